--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -402,7 +402,7 @@
             |bench| {
                 bench.iter(|| {
                     let mut out = Effects::default();
-                    owner.work(now, &mut out);
+                    owner.process_due(now, &mut out);
                     black_box(out)
                 });
             },
@@ -417,7 +417,7 @@
     let listings: Vec<Listing> = (0..8).map(listing).collect();
     let mut out = Effects::default();
     owner.claim(listings[0].rack_id(), Token::new(Epoch(1), 1), &mut out);
-    owner.list(&listings, now, &mut out);
+    owner.update_endpoints(&listings, now, &mut out);
     answer_all(&mut owner, now);
     for serial in 0..count + 16 {
         owner.accept(&own, batch(serial), now, &mut out);
@@ -430,7 +430,7 @@
 fn answer_all(owner: &mut Owner, now: Time) {
     let clock = now.0 / 1_000;
     let mut out = Effects::default();
-    owner.work(now, &mut out);
+    owner.process_due(now, &mut out);
     for output in out.outputs {
         if let Output::Call { call, order, .. } = output {
             let reply = match order {
@@ -440,7 +440,7 @@
                 }),
                 _ => Reply::Done { clock },
             };
-            owner.called(call, now, reply, now, &mut Effects::default());
+            owner.on_reply(call, now, reply, now, &mut Effects::default());
         }
     }
 }
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -270,7 +270,7 @@
     fn over(&self, now: Time) -> bool {
         let told = |since| now.since(since) >= LINGER + PARTING + PARTING;
         let answered = self.entry.is_empty() && self.requests.is_empty();
-        self.draining.is_some_and(told) && answered && self.owner.idle()
+        self.draining.is_some_and(told) && answered && self.owner.is_idle()
     }
 
     /// Tells whether it hears no peer.
@@ -335,7 +335,7 @@
         loop {
             let messages = std::mem::take(&mut out.messages);
             if messages.is_empty() {
-                self.owner.work(now, out);
+                self.owner.process_due(now, out);
                 self.report_ends(now, out);
                 if out.messages.is_empty() {
                     return;
@@ -406,7 +406,7 @@
                 }
             }
             Input::Heartbeats(heartbeats) => self.take_heartbeats(heartbeats, now, out),
-            Input::Called { call, sent, reply } => self.owner.called(call, sent, reply, now, out),
+            Input::Called { call, sent, reply } => self.owner.on_reply(call, sent, reply, now, out),
             Input::Drain => {
                 self.draining.get_or_insert(now);
                 out.outputs.push(Output::Log(Record::new("draining")));
@@ -481,7 +481,7 @@
             out.outputs.push(Output::Log(record.with("from", from)));
         }
         if former.centres != *centres {
-            self.owner.evacuate(centres);
+            self.owner.set_evacuated_centres(centres);
             self.entry.evacuate(centres);
             self.entry.work(now, out);
         }
@@ -502,7 +502,7 @@
             return;
         }
         self.listed = true;
-        self.owner.list(&roster.endpoints, now, out);
+        self.owner.update_endpoints(&roster.endpoints, now, out);
         self.roster = roster;
         self.list_racks();
         self.deal(now, out);
@@ -549,7 +549,7 @@
             // Room counts only from a rack's owner.
             self.update_owners();
             if lives {
-                self.owner.hear(name);
+                self.owner.mark_entry_alive(name);
                 self.entry.rooms(name, heartbeat.rooms);
             }
             if lives && !lived {
@@ -589,7 +589,7 @@
                 let record = Record::new("session_begun").with("member", name.as_str());
                 let record = record.with("session", from.session);
                 out.outputs.push(Output::Log(record));
-                self.owner.abandon(name, out);
+                self.owner.drop_entry(name, out);
                 self.entry.lost(name, now, out);
             }
             Reception::Valid => {}
@@ -649,13 +649,13 @@
                 self.entry.returned(serial, tasks, started, cause, now, out);
                 self.entry.work(now, out);
             }
-            Message::Audit(serials) => self.owner.audit(from, serials, out),
+            Message::Audit(serials) => self.owner.report_unknown_batches(from, serials, out),
             Message::Unknown(serials) => self.entry.unknown(&from.name, &serials, now, out),
             Message::Want {
                 from: rack,
                 to,
                 rooms,
-            } => self.owner.spare(rack, to, rooms, out),
+            } => self.owner.reassign_waiting(rack, to, rooms, out),
             Message::Handover(handover) => self.take_over(*handover, now, out),
             Message::Moved { serial, to, moves } => {
                 let lost = to != self.identity.contact.name
@@ -702,7 +702,7 @@
                 life,
                 serial,
                 late,
-            } => self.owner.noted(&endpoint, life, serial, late, now),
+            } => self.owner.on_end_stored(&endpoint, life, serial, late, now),
         }
     }
 
@@ -711,7 +711,7 @@
         out.outputs.push(Output::Log(Record::new("awoke")));
         let acts = self.durable.void(out);
         self.act(acts, now, out);
-        self.owner.void(&self.identity.contact.name);
+        self.owner.reset(&self.identity.contact.name);
         for member in self.members.void(now) {
             out.outputs.push(Output::Session {
                 to: member.contact,
@@ -744,7 +744,7 @@
             });
             let claims = member.status.map_or_else(Vec::new, |status| status.racks);
             self.remember(&name, &claims, now);
-            self.owner.abandon(&name, out);
+            self.owner.drop_entry(&name, out);
             self.entry.lost(&name, now, out);
             self.durable.suspect(now);
         }
--- a/src/dispatch/announcement.rs
+++ b/src/dispatch/announcement.rs
@@ -161,8 +161,8 @@
         let interval = Span(ROOMS.0 * (close.count() as u64).max(AUDIENCE) / AUDIENCE);
         let due = now.since(self.announced) >= HEARTBEAT;
         let since = now.since(self.rooms);
-        let turned = since >= ROOMS && self.owner.turned(now);
-        let changed = turned || since >= interval && self.owner.changed(now);
+        let turned = since >= ROOMS && self.owner.has_space_changes(now);
+        let changed = turned || since >= interval && self.owner.has_room_changes(now);
         if !due && !changed {
             return;
         }
@@ -170,7 +170,7 @@
         if all {
             self.refresh = now;
         }
-        let rooms = self.owner.rooms(all, now);
+        let rooms = self.owner.take_room_updates(all, now);
         (self.announced, self.rooms) = (now, now);
         let own = self.identity.contact.name.clone();
         self.entry.rooms(&own, rooms.clone());
@@ -197,7 +197,7 @@
         if self.draining() {
             return;
         }
-        for (to, rooms) in self.owner.spacious(now) {
+        for (to, rooms) in self.owner.racks_with_space(now) {
             let Some((from, contact)) = self.entry.busiest(to) else {
                 continue;
             };
--- a/src/dispatch/coordination.rs
+++ b/src/dispatch/coordination.rs
@@ -124,7 +124,7 @@
 
     /// Reports ends that must be stored to the coordinators of their shards.
     pub(super) fn report_ends(&mut self, now: Time, out: &mut Effects) {
-        let ends = self.owner.unstored(now);
+        let ends = self.owner.take_ends_to_report(now);
         if ends.is_empty() {
             return;
         }
--- a/src/dispatch/owner.rs
+++ b/src/dispatch/owner.rs
@@ -202,7 +202,7 @@
     }
 
     /// Counts the changes of the racks that it owns.
-    pub fn claims(&self) -> u64 {
+    pub fn rack_changes(&self) -> u64 {
         self.claims
     }
 
@@ -212,7 +212,7 @@
     }
 
     /// Tells whether nothing waits or runs.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.loads.is_empty()
     }
 
@@ -294,7 +294,7 @@
     }
 
     /// Gives everything up, after the process stood still: others have taken over what it had.
-    pub fn void(&mut self, own: &Instance) {
+    pub fn reset(&mut self, own: &Instance) {
         // Answers to calls of before are for calls that are not known any more.
         *self = Self {
             serial: self.serial,
@@ -305,7 +305,7 @@
     }
 
     /// Takes note of the endpoints that the platform lists.
-    pub fn list(&mut self, listings: &[Listing], now: Time, out: &mut Effects) {
+    pub fn update_endpoints(&mut self, listings: &[Listing], now: Time, out: &mut Effects) {
         for state in self.endpoints.values_mut() {
             state.delisted = true;
         }
@@ -347,7 +347,7 @@
     }
 
     /// Starts nothing in these data centres from now on; what runs there ends by itself.
-    pub fn evacuate(&mut self, centres: &BTreeSet<String>) {
+    pub fn set_evacuated_centres(&mut self, centres: &BTreeSet<String>) {
         self.evacuated.clone_from(centres);
         for state in self.endpoints.values_mut() {
             state.evacuated = centres.contains(&state.listing.centre);
@@ -466,7 +466,7 @@
     }
 
     /// Takes note that an entry is heard.
-    pub fn hear(&mut self, entry: &Instance) {
+    pub fn mark_entry_alive(&mut self, entry: &Instance) {
         if !self.present.contains(entry) {
             self.present.insert(entry.clone());
             self.gone.remove(entry);
@@ -475,7 +475,7 @@
     }
 
     /// Stops all that an instance had here, which is gone or has begun anew.
-    pub fn abandon(&mut self, entry: &Instance, out: &mut Effects) {
+    pub fn drop_entry(&mut self, entry: &Instance, out: &mut Effects) {
         if self.present.remove(entry) {
             self.gone.insert(entry.clone());
         }
@@ -588,7 +588,7 @@
     }
 
     /// Answers which batches of an entry are not here.
-    pub fn audit(&self, entry: &Contact, serials: Vec<u64>, out: &mut Effects) {
+    pub fn report_unknown_batches(&self, entry: &Contact, serials: Vec<u64>, out: &mut Effects) {
         let unknown = |serial: &u64| {
             let key = (entry.name.clone(), *serial);
             !self.by_entry.contains_key(&key)
--- a/src/dispatch/owner/answer.rs
+++ b/src/dispatch/owner/answer.rs
@@ -36,7 +36,14 @@
 
 impl Owner {
     /// Takes the answer of an endpoint, or its absence.
-    pub fn called(&mut self, call: CallId, sent: Time, reply: Reply, now: Time, out: &mut Effects) {
+    pub fn on_reply(
+        &mut self,
+        call: CallId,
+        sent: Time,
+        reply: Reply,
+        now: Time,
+        out: &mut Effects,
+    ) {
         let Some((id, purpose)) = self.calls.remove(&call) else {
             return;
         };
--- a/src/dispatch/owner/ends.rs
+++ b/src/dispatch/owner/ends.rs
@@ -43,7 +43,7 @@
     }
 
     /// Returns the ends to report: new ones, and those that were reported long ago.
-    pub fn unstored(&mut self, now: Time) -> Vec<RunEnd> {
+    pub fn take_ends_to_report(&mut self, now: Time) -> Vec<RunEnd> {
         let mut due = Vec::new();
         for (end, at) in self.ends.values_mut() {
             if at.is_none_or(|at| now.since(at) >= AGAIN) {
@@ -55,7 +55,14 @@
     }
 
     /// Takes note that an end is stored, or needn't be; a `late` one is forgotten when the endpoint's lease has passed.
-    pub fn noted(&mut self, endpoint: &Endpoint, life: Life, serial: u64, late: bool, now: Time) {
+    pub fn on_end_stored(
+        &mut self,
+        endpoint: &Endpoint,
+        life: Life,
+        serial: u64,
+        late: bool,
+        now: Time,
+    ) {
         self.ends.remove(&(endpoint.clone(), life, serial));
         if let Some(state) = self.endpoints.get_mut(endpoint) {
             match late {
--- a/src/dispatch/owner/handover.rs
+++ b/src/dispatch/owner/handover.rs
@@ -99,7 +99,7 @@
         out: &mut Effects,
     ) {
         self.claim(handover.rack, token, out);
-        self.list(listings, now, out);
+        self.update_endpoints(listings, now, out);
         let mut unwanted = Vec::new();
         for held in handover.batches {
             let numbers = held.next.iter().zip(&held.failures);
--- a/src/dispatch/owner/place.rs
+++ b/src/dispatch/owner/place.rs
@@ -51,7 +51,7 @@
 
 impl Owner {
     /// Does what is due: places what waits, looks where something runs, gives up what has lapsed.
-    pub fn work(&mut self, now: Time, out: &mut Effects) {
+    pub fn process_due(&mut self, now: Time, out: &mut Effects) {
         self.lapse(now, out);
         self.release(now);
         self.retry(now, out);
--- a/src/dispatch/owner/room.rs
+++ b/src/dispatch/owner/room.rs
@@ -32,7 +32,7 @@
 
 impl Owner {
     /// Tells whether the room of some rack has changed since it was told.
-    pub fn changed(&self, now: Time) -> bool {
+    pub fn has_room_changes(&self, now: Time) -> bool {
         let mut racks = self.racks.values();
         racks.any(|rack| rack.changed || rack.open != self.open(rack, now))
     }
@@ -41,7 +41,7 @@
     ///
     /// Others send tasks to where they think there is space. Told late, tasks waited on racks that had filled up, while endpoints of
     /// others had nothing to do; what changes between these two can be told later.
-    pub fn turned(&self, now: Time) -> bool {
+    pub fn has_space_changes(&self, now: Time) -> bool {
         let mut racks = self.racks.values();
         racks.any(|rack| rack.spacious != self.is_spacious(rack, now))
     }
@@ -62,7 +62,7 @@
     }
 
     /// Tells the room of racks where it has changed since it was told to all, or of all.
-    pub fn rooms(&mut self, all: bool, now: Time) -> Vec<Vacancy> {
+    pub fn take_room_updates(&mut self, all: bool, now: Time) -> Vec<Vacancy> {
         let told = |rack: &Rack| all || rack.changed || rack.open != self.open(rack, now);
         let racks = self.racks.iter().filter(|(_, rack)| told(rack));
         let rooms: Vec<Vacancy> = racks
@@ -104,7 +104,7 @@
     /// Returns the racks with space, and the room of their endpoints that have some.
     ///
     /// What waits there fits in none of it, or it would have been started; tasks of another size that wait elsewhere may.
-    pub fn spacious(&self, now: Time) -> Vec<(RackId, Vec<Room>)> {
+    pub fn racks_with_space(&self, now: Time) -> Vec<(RackId, Vec<Room>)> {
         let mut found = Vec::new();
         for (id, rack) in &self.racks {
             let states = rack
@@ -121,7 +121,13 @@
     }
 
     /// Gives tasks that wait on a rack to another one that has room and nothing waiting.
-    pub fn spare(&mut self, from: RackId, to: RackId, mut rooms: Vec<Room>, out: &mut Effects) {
+    pub fn reassign_waiting(
+        &mut self,
+        from: RackId,
+        to: RackId,
+        mut rooms: Vec<Room>,
+        out: &mut Effects,
+    ) {
         let Some(rack) = self.racks.get(&from) else {
             return;
         };
--- a/src/dispatch/ownership.rs
+++ b/src/dispatch/ownership.rs
@@ -163,7 +163,8 @@
         for rack in mine {
             self.owner.claim(rack, token, out);
         }
-        self.owner.list(&self.roster.endpoints, now, out);
+        self.owner
+            .update_endpoints(&self.roster.endpoints, now, out);
         // The others must not place tasks by what the former owner said.
         self.announced = Time::default();
     }
@@ -224,7 +225,7 @@
     ///
     /// Done for each message, this took nine tenths of the processor time of 42 instances with 44 racks.
     pub(super) fn update_owners(&mut self) {
-        let claims = (self.members.claims(), self.owner.claims());
+        let claims = (self.members.claims(), self.owner.rack_changes());
         if self.claims == Some(claims) {
             return;
         }
--- a/tests/owner.rs
+++ b/tests/owner.rs
@@ -115,7 +115,7 @@
         let listing = listing(slots);
         let rack = listing.rack_id();
         owner.claim(rack, Token::new(Epoch(1), 1), &mut out);
-        owner.list(&[listing], START, &mut out);
+        owner.update_endpoints(&[listing], START, &mut out);
         let mut bench = Self { owner, rack };
         bench.work(START);
         bench
@@ -126,7 +126,7 @@
         let mut bench = Self::new(1);
         let (entry, next) = (contact("entry"), contact("next"));
         let mut out = Effects::default();
-        bench.owner.hear(&entry.name);
+        bench.owner.mark_entry_alive(&entry.name);
         bench.owner.accept(&entry, batch(1, tasks), START, &mut out);
         (bench, entry, next)
     }
@@ -135,7 +135,7 @@
     fn work(&mut self, now: Time) -> Vec<Order> {
         let mut orders = Vec::new();
         let mut out = Effects::default();
-        self.owner.work(now, &mut out);
+        self.owner.process_due(now, &mut out);
         for output in out.outputs {
             let Output::Call { call, order, .. } = output else {
                 continue;
@@ -153,7 +153,7 @@
             };
             orders.push(order);
             let mut out = Effects::default();
-            self.owner.called(call, now, reply, now, &mut out);
+            self.owner.on_reply(call, now, reply, now, &mut out);
         }
         orders
     }
@@ -240,7 +240,7 @@
         .owner
         .accept(&entry, batch(1, vec![0, 1]), START, &mut out);
     assert_eq!(starts(&bench.work(START)), 0);
-    bench.owner.hear(&entry.name);
+    bench.owner.mark_entry_alive(&entry.name);
     assert_eq!(starts(&bench.work(START)), 2);
 }
 
@@ -261,7 +261,7 @@
         index: 0,
     };
     let mut out = Effects::default();
-    bench.owner.work(START + Span::millis(130), &mut out);
+    bench.owner.process_due(START + Span::millis(130), &mut out);
     let look = out.outputs.iter().find_map(|output| match output {
         Output::Call {
             call,
@@ -284,14 +284,18 @@
         ..Lists::default()
     });
     let mut out = Effects::default();
-    bench.owner.called(look.unwrap(), now, reply, now, &mut out);
+    bench
+        .owner
+        .on_reply(look.unwrap(), now, reply, now, &mut out);
     let to = RackId::of("cells", "a", "other");
     let room = Room {
         cpu: 4_000,
         memory: 100,
         gpu: 0,
     };
-    bench.owner.spare(bench.rack, to, vec![room], &mut out);
+    bench
+        .owner
+        .reassign_waiting(bench.rack, to, vec![room], &mut out);
     let returned = |l: &Message| matches!(l, Message::Returned { tasks, .. } if tasks == &[1]);
     assert!(out.messages.iter().any(|(_, message)| returned(message)));
     let done = |l: &Message| {
@@ -313,7 +317,7 @@
     assert_eq!(starts(&bench.work(START)), 1);
     let handover = bench.owner.hand_over(bench.rack, &next, START, &mut out);
     let mut receiver = Owner::new(&next.name);
-    receiver.hear(&entry.name);
+    receiver.mark_entry_alive(&entry.name);
     for owner in [&mut bench.owner, &mut receiver] {
         let mut out = Effects::default();
         owner.cancel(&entry, 1, START, &mut out);
@@ -332,7 +336,7 @@
         matches!(order, Order::Stop { .. })
     };
     assert!(out.outputs.iter().any(stop), "{:?}", out.outputs);
-    assert!(receiver.idle());
+    assert!(receiver.is_idle());
 }
 
 /// A batch comes with a rack from an entry that has begun a new session with the next owner, and one of its tasks has ended.
@@ -345,8 +349,8 @@
     let mut handover = handover.unwrap();
     handover.batches[0].done = vec![0];
     let mut receiver = Owner::new(&next.name);
-    receiver.hear(&entry.name);
-    receiver.abandon(&entry.name, &mut out);
+    receiver.mark_entry_alive(&entry.name);
+    receiver.drop_entry(&entry.name, &mut out);
     let token = Token::new(Epoch(2), 2);
     let mut out = Effects::default();
     receiver.take_over(handover, token, &[listing(1)], START, &mut out);
@@ -365,14 +369,14 @@
     let elsewhere = RackId::of("cells", "a", "other");
     bench
         .owner
-        .spare(bench.rack, elsewhere, vec![room], &mut out);
+        .reassign_waiting(bench.rack, elsewhere, vec![room], &mut out);
     let handover = bench.owner.hand_over(bench.rack, &next, START, &mut out);
     let mut receiver = Owner::new(&next.name);
-    receiver.hear(&entry.name);
+    receiver.mark_entry_alive(&entry.name);
     let token = Token::new(Epoch(2), 2);
     receiver.take_over(handover.unwrap(), token, &[listing(1)], START, &mut out);
     let mut out = Effects::default();
-    receiver.work(START, &mut out);
+    receiver.process_due(START, &mut out);
     let look = out.outputs.iter().find_map(|output| match output {
         Output::Call { call, .. } => Some(*call),
         _ => None,
@@ -395,7 +399,7 @@
         ..Lists::default()
     });
     let mut out = Effects::default();
-    receiver.called(look.unwrap(), START, reply, START, &mut out);
+    receiver.on_reply(look.unwrap(), START, reply, START, &mut out);
     let reported = out.messages.iter().find_map(|(_, message)| match message {
         Message::Report { outcome, done, .. } => Some((*outcome, done.clone())),
         _ => None,
@@ -439,13 +443,13 @@
     let mut bench = Bench::new(1);
     let own = contact("own");
     let mut out = Effects::default();
-    bench.owner.rooms(true, START);
-    assert!(!bench.owner.turned(START));
+    bench.owner.take_room_updates(true, START);
+    assert!(!bench.owner.has_space_changes(START));
     bench.owner.accept(&own, batch(1, vec![0]), START, &mut out);
     assert_eq!(starts(&bench.work(START)), 1);
-    assert!(bench.owner.turned(START), "it has filled up");
-    assert!(bench.owner.rooms(false, START)[0].free[0].cpu == 0);
-    assert!(!bench.owner.turned(START), "that is told");
+    assert!(bench.owner.has_space_changes(START), "it has filled up");
+    assert!(bench.owner.take_room_updates(false, START)[0].free[0].cpu == 0);
+    assert!(!bench.owner.has_space_changes(START), "that is told");
     let mut out = Effects::default();
     bench.owner.cancel(&own, 1, START, &mut out);
     let stopped = START + Span::millis(1);
@@ -464,11 +468,11 @@
         };
         bench
             .owner
-            .called(call, stopped, reply, stopped, &mut Effects::default());
+            .on_reply(call, stopped, reply, stopped, &mut Effects::default());
     }
     let later = stopped + Span::millis(130);
     bench.work(later);
-    assert!(bench.owner.turned(later), "it has space again");
+    assert!(bench.owner.has_space_changes(later), "it has space again");
 }
 
 /// A wide task waits on a rack whose only endpoint has less room than that, and a narrow one elsewhere that would fit. The rack asks for it: while
@@ -489,7 +493,7 @@
     bench.owner.accept(&own, wide(1, 2_500), START, &mut out);
     bench.owner.accept(&own, wide(2, 3_000), START, &mut out);
     assert_eq!(starts(&bench.work(START)), 1);
-    let spacious = bench.owner.spacious(START);
+    let spacious = bench.owner.racks_with_space(START);
     assert_eq!(spacious.len(), 1, "it asks for what others have waiting");
     assert_eq!(spacious[0].1[0].cpu, 1_500);
 }
@@ -503,13 +507,13 @@
     let mut out = Effects::default();
     bench.owner.accept(&own, batch(1, vec![0]), START, &mut out);
     let mut out = Effects::default();
-    bench.owner.work(START, &mut out);
+    bench.owner.process_due(START, &mut out);
     for output in out.outputs {
         if let Output::Call { call, .. } = output {
             let reply = Reply::Unwell;
             bench
                 .owner
-                .called(call, START, reply, START, &mut Effects::default());
+                .on_reply(call, START, reply, START, &mut Effects::default());
         }
     }
     let rest = START + Span::millis(500);
@@ -535,7 +539,9 @@
         ..listing(4)
     };
     let mut out = Effects::default();
-    bench.owner.list(&[listing(4), leaving], START, &mut out);
+    bench
+        .owner
+        .update_endpoints(&[listing(4), leaving], START, &mut out);
     bench.owner.accept(&own, batch(1, vec![0]), START, &mut out);
     assert_eq!(starts(&bench.work(START)), 1);
     let failed = Ended {
@@ -550,7 +556,7 @@
     };
     let now = START + Span::millis(130);
     let mut out = Effects::default();
-    bench.owner.work(now, &mut out);
+    bench.owner.process_due(now, &mut out);
     for output in out.outputs {
         if let Output::Call { call, endpoint, .. } = output {
             let ended = (endpoint == listing(4).id).then(|| failed.clone());
@@ -562,7 +568,7 @@
             let reply = Reply::Looked(lists);
             bench
                 .owner
-                .called(call, now, reply, now, &mut Effects::default());
+                .on_reply(call, now, reply, now, &mut Effects::default());
         }
     }
     assert_eq!(starts(&bench.work(now)), 1);
