--- a/tests/dispatch/endpoint.rs
+++ b/tests/dispatch/endpoint.rs
@@ -34,7 +34,7 @@
 
 /// A run that has begun, for the judge.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Begun {
+pub(crate) struct RunRecord {
     pub task: TaskId,
     pub run: Run,
     pub from: Time,
@@ -44,7 +44,7 @@
     /// Whether its endpoint crashed under it.
     pub crashed: bool,
     /// Whether its owner let the endpoint forget its end, before the endpoint's lease had passed.
-    pub noted: bool,
+    pub forgotten_early: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -65,21 +65,21 @@
 pub(crate) struct Worker {
     pub listing: Listing,
     /// Its clock runs this much slower than true time.
-    pub slow: f64,
+    pub clock_lag: f64,
     /// The share of a sound endpoint's speed at which its tasks come along; at zero they stand still.
-    pub pace: f64,
+    pub speed: f64,
     /// When its clock was set, on true time in milliseconds, and to what.
     origin: u64,
     ahead: u64,
-    pub running: BTreeMap<TaskId, Active_>,
-    pub history: Vec<Begun>,
+    pub running: BTreeMap<TaskId, ActiveRun>,
+    pub history: Vec<RunRecord>,
     pub up: bool,
     /// Whether it fails what it starts.
     pub failing: bool,
     /// Whether it is down for a while, refuses connections, and is still listed.
     pub down: bool,
     /// Whether it refuses what doesn't fit.
-    pub guarded: bool,
+    pub enforces_capacity: bool,
     ended: Vec<Ended>,
     serial: u64,
     lease: u64,
@@ -93,10 +93,10 @@
 
 /// Keeps the fields of a run to this module.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Active_(Active);
+pub(crate) struct ActiveRun(Active);
 
 impl Active {
-    fn pass(&mut self, pace: f64, now: Time) {
+    fn advance(&mut self, pace: f64, now: Time) {
         self.done = self.done + Span((now.since(self.at).0 as f64 * pace) as u64);
         self.at = now;
     }
@@ -106,8 +106,8 @@
     pub(crate) fn new(listing: Listing, slow: f64) -> Self {
         Self {
             listing,
-            slow,
-            pace: 1.0,
+            clock_lag: slow,
+            speed: 1.0,
             origin: 0,
             ahead: 5_000,
             running: BTreeMap::new(),
@@ -115,7 +115,7 @@
             up: true,
             failing: false,
             down: false,
-            guarded: true,
+            enforces_capacity: true,
             ended: Vec::new(),
             serial: 0,
             lease: 0,
@@ -128,18 +128,18 @@
 
     fn clock(&self, now: Time) -> u64 {
         let since = now.0 as f64 / 1_000.0 - self.origin as f64;
-        (since * (1.0 - self.slow)) as u64 + self.ahead
+        (since * (1.0 - self.clock_lag)) as u64 + self.ahead
     }
 
     /// Lets time pass: runs end, or their lease does.
-    pub(crate) fn pass(&mut self, now: Time) {
+    pub(crate) fn advance(&mut self, now: Time) {
         let lapsed = self.clock(now) >= self.lease;
         if lapsed {
             self.lapsed = now;
         }
-        let pace = self.pace;
+        let pace = self.speed;
         for run in self.running.values_mut() {
-            run.0.pass(pace, now);
+            run.0.advance(pace, now);
         }
         let over: Vec<TaskId> = self
             .running
@@ -182,21 +182,21 @@
     }
 
     /// Starts again under the name that it had, with everything forgotten; `ahead` is what its clock shows then.
-    pub(crate) fn begin_anew(&mut self, now: Time, ahead: u64) {
+    pub(crate) fn restart(&mut self, now: Time, ahead: u64) {
         let history = std::mem::take(&mut self.history);
         let mut listing = self.listing.clone();
         listing.life = Life(now.0 / 1_000);
         *self = Self {
             history,
-            guarded: self.guarded,
+            enforces_capacity: self.enforces_capacity,
             origin: now.0 / 1_000,
             ahead,
-            ..Self::new(listing, self.slow)
+            ..Self::new(listing, self.clock_lag)
         };
     }
 
     /// Tells how much is taken of it, by those that are being stopped too.
-    pub(crate) fn taken(&self, needs: &HashMap<TaskId, Room>) -> u64 {
+    pub(crate) fn used_cpu(&self, needs: &HashMap<TaskId, Room>) -> u64 {
         self.running.keys().map(|task| needs[task].cpu).sum()
     }
 
@@ -225,7 +225,7 @@
     }
 
     /// Carries an order out.
-    pub(crate) fn obey(
+    pub(crate) fn execute(
         &mut self,
         order: &Order,
         needs: &HashMap<TaskId, Room>,
@@ -233,7 +233,7 @@
         fails: bool,
         now: Time,
     ) -> Reply {
-        self.pass(now);
+        self.advance(now);
         let clock = self.clock(now);
         let (Order::Start { token, .. } | Order::Stop { token, .. } | Order::Look { token, .. }) =
             order;
@@ -260,7 +260,7 @@
                 if *lease <= clock {
                     return refuse(Refusal::Late);
                 }
-                if self.guarded && !self.room(needs).fits(&needs[task]) {
+                if self.enforces_capacity && !self.room(needs).fits(&needs[task]) {
                     return refuse(Refusal::Full);
                 }
                 self.extend(Some(*lease), now);
@@ -272,7 +272,7 @@
                     fails,
                     place: self.history.len(),
                 };
-                self.history.push(Begun {
+                self.history.push(RunRecord {
                     task: *task,
                     run: *run,
                     from: now,
@@ -280,9 +280,9 @@
                     done: false,
                     failed: false,
                     crashed: false,
-                    noted: false,
+                    forgotten_early: false,
                 });
-                self.running.insert(*task, Active_(active));
+                self.running.insert(*task, ActiveRun(active));
                 Reply::Done { clock }
             }
             Order::Stop { task, run, .. } => {
@@ -301,7 +301,7 @@
             Order::Look { lease, seen, .. } => {
                 self.extend(*lease, now);
                 self.note(*seen);
-                self.lists(now)
+                self.poll_reply(now)
             }
         }
     }
@@ -309,17 +309,17 @@
     fn note(&mut self, seen: u64) {
         for end in self.ended.iter().filter(|end| end.serial <= seen) {
             let past = &mut self.history[self.places[&end.serial]];
-            past.noted = past.until.is_some_and(|until| until > self.lapsed);
+            past.forgotten_early = past.until.is_some_and(|until| until > self.lapsed);
         }
         self.ended.retain(|end| end.serial > seen);
     }
 
-    pub(crate) fn has_ends(&self) -> bool {
+    pub(crate) fn has_unacknowledged_ends(&self) -> bool {
         !self.ended.is_empty()
     }
 
     /// Answers a look.
-    pub(crate) fn lists(&self, now: Time) -> Reply {
+    pub(crate) fn poll_reply(&self, now: Time) -> Reply {
         let running = self.running.iter().map(|(task, run)| Running {
             task: Name::Known(*task),
             run: run.0.run,
--- a/tests/dispatch/world.rs
+++ b/tests/dispatch/world.rs
@@ -314,7 +314,7 @@
             self.events.pop();
             self.now = time;
             for worker in &mut self.workers {
-                worker.pass(time);
+                worker.advance(time);
             }
             self.answer_looks();
             if let Some(event) = self.payloads.remove(&serial) {
@@ -585,7 +585,7 @@
                     self.stopped += 1;
                 }
                 let takes = takes.unwrap_or_default();
-                let reply = self.workers[w].obey(&order, &self.needs, takes, fails, now);
+                let reply = self.workers[w].execute(&order, &self.needs, takes, fails, now);
                 self.judge_room(w);
                 if self.crash_under(w, &order, &reply) {
                     return;
@@ -667,7 +667,7 @@
                     false => self.silent.remove(&w),
                 };
             }
-            Event::Pace(w, pace) => self.workers[w].pace = pace,
+            Event::Pace(w, pace) => self.workers[w].speed = pace,
             Event::Fail(w, on) => self.workers[w].failing = on,
             Event::Crash(w) => {
                 let now = self.now;
@@ -687,7 +687,7 @@
             }
             Event::BeginAnew(w, ahead) => {
                 let now = self.now;
-                self.workers[w].begin_anew(now, ahead);
+                self.workers[w].restart(now, ahead);
                 self.at(self.row_lag, Event::Relist);
             }
             Event::Relist => self.relist(),
@@ -744,7 +744,7 @@
         let begun = worker.history.last().filter(|begun| begun.from == self.now);
         if begun.is_some() && self.now.since(*at) > HEARD_OF {
             assert!(
-                worker.taken(&self.needs) <= *cpu,
+                worker.used_cpu(&self.needs) <= *cpu,
                 "{begun:?} at {}",
                 self.now.0
             );
@@ -758,11 +758,11 @@
             if !worker.up || worker.down {
                 continue;
             }
-            if until > now && !worker.has_ends() {
+            if until > now && !worker.has_unacknowledged_ends() {
                 self.parked.push((w, until, (i, life, call, sent), order));
                 continue;
             }
-            let reply = Box::new(worker.lists(now));
+            let reply = Box::new(worker.poll_reply(now));
             if !self.silent.contains(&w) && !self.severed.contains(&w) {
                 self.at(Span(WAY), Event::Reply(i, life, call, sent, reply));
             }
@@ -857,7 +857,7 @@
         );
         seen.refused &= refused;
         if answer == Answer::Completed {
-            let of = |b: &&super::endpoint::Begun| b.task.job == job && b.done;
+            let of = |b: &&super::endpoint::RunRecord| b.task.job == job && b.done;
             let done: HashSet<u32> = self
                 .workers
                 .iter()
@@ -934,7 +934,7 @@
         let all = || self.workers.iter().flat_map(|w| &w.history);
         for begun in all().filter(|b| b.done) {
             done.insert(begun.task);
-            if begun.noted {
+            if begun.forgotten_early {
                 let again = all().find(|b| b.task == begun.task && Some(b.from) > begun.until);
                 assert_eq!(
                     again, None,
@@ -1102,7 +1102,7 @@
 
     /// Changes an endpoint's capacity while it runs; those of the fleet don't guard it from then on.
     pub(crate) fn resize_at(&mut self, after: Span, w: usize, cpu: u64) {
-        self.workers[w].guarded = false;
+        self.workers[w].enforces_capacity = false;
         self.at(after, Event::Resize(w, cpu));
     }
 
