--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -15,14 +15,14 @@
 pub mod message;
 pub mod owner;
 mod ownership;
-pub mod pace;
-pub mod patience;
+pub mod progress;
 pub mod queue;
 mod reading;
 mod requests;
 pub mod roster;
 pub mod route;
 pub mod task;
+pub mod timeout;
 pub mod watch;
 
 use std::{
--- a/src/dispatch/endpoint.rs
+++ b/src/dispatch/endpoint.rs
@@ -524,11 +524,11 @@
         let Some(percent) = percent.filter(|_| execution.phase == Phase::Running) else {
             return;
         };
-        if let Some(gap) = execution.pace.seen(percent, now) {
+        if let Some(gap) = execution.progress.record(percent, now) {
             self.moved = now;
             self.gap = self.gap.max(Some(gap));
         }
-        if execution.pace.still(self.gap, now) {
+        if execution.progress.is_stalled(self.gap, now) {
             events.push(Event::Still(*task, execution.batch));
         }
     }
@@ -748,7 +748,7 @@
     /// Tells whether it doesn't rest yet, and nothing on it has come along for as long as a run stands still.
     pub fn stands_still(&self, task: &TaskId, now: Time) -> bool {
         let run = self.executions.get(task);
-        let patience = run.and_then(|run| run.pace.patience(self.gap));
+        let patience = run.and_then(|run| run.progress.stall_timeout(self.gap));
         now >= self.rest && patience.is_some_and(|span| now.since(self.moved) > span)
     }
 
--- a/src/dispatch/endpoint/execution.rs
+++ b/src/dispatch/endpoint/execution.rs
@@ -3,7 +3,7 @@
 use super::super::{
     id::Run,
     message::Suspicion,
-    pace::Pace,
+    progress::Tracker,
     queue::Handle,
     task::Room, //
 };
@@ -47,7 +47,7 @@
     /// How often its start was sent, or its stop.
     pub tries: u8,
     /// How it comes along.
-    pub pace: Pace,
+    pub progress: Tracker,
     /// Whether an earlier start of this run may still arrive.
     pub doubt: bool,
     /// Whether its end must be stored before the endpoint forgets it.
@@ -66,7 +66,7 @@
     /// Makes a run whose start is about to leave.
     pub fn new(batch: Handle, run: Run, need: Room, estimate: Span) -> Self {
         Self {
-            pace: Pace::new(estimate),
+            progress: Tracker::new(estimate),
             batch,
             run,
             need,
--- a/src/dispatch/owner.rs
+++ b/src/dispatch/owner.rs
@@ -50,13 +50,13 @@
         RunEnd,
         Suspicion, //
     },
-    patience::Patience,
     queue::{
         Claim,
         Handle,
         Queue,
         Waiting, //
     },
+    timeout::Estimator,
 };
 use crate::prelude::*;
 
@@ -161,7 +161,7 @@
     detained: BTreeMap<TaskId, (Time, Handle)>,
     /// Ends that endpoints list until they are stored, with the time at which each was reported last.
     ends: BTreeMap<(Endpoint, Life, u64), (RunEnd, Option<Time>)>,
-    patience: Patience,
+    call_timeout: Estimator,
     handles: u64,
     serial: u64,
     claims: u64,
@@ -558,7 +558,7 @@
             Order::Look { wait, .. } => *wait,
             _ => Span(0),
         };
-        let patience = wait + self.patience.span();
+        let patience = wait + self.call_timeout.timeout();
         self.calls.insert(call, (id.clone(), purpose));
         out.outputs.push(Output::Call {
             call,
--- a/src/dispatch/owner/answer.rs
+++ b/src/dispatch/owner/answer.rs
@@ -24,7 +24,7 @@
             Reply,
             RunEnd, //
         },
-        pace::RESTARTS,
+        progress::MAX_RESTARTS,
         queue::Handle, //
     },
     Effects,
@@ -61,13 +61,13 @@
             Reply::Looked(_) => {}
             _ => {
                 if reply == Reply::Silent {
-                    self.patience.missed();
+                    self.call_timeout.record_timeout();
                 }
                 return self.unanswered(call, &id, purpose, reply, now, out);
             }
         }
         if purpose != Purpose::Look {
-            self.patience.answered(now.since(sent));
+            self.call_timeout.record(now.since(sent));
         }
         let events = match (purpose, reply) {
             (Purpose::Look, Reply::Looked(lists)) => {
@@ -352,7 +352,7 @@
     ) {
         let load = self.loads.get_mut(&handle);
         let progress = load.and_then(|load| load.tasks.get_mut(&task.index));
-        let Some(progress) = progress.filter(|progress| progress.restarts < RESTARTS) else {
+        let Some(progress) = progress.filter(|progress| progress.restarts < MAX_RESTARTS) else {
             return;
         };
         progress.restarts += 1;
--- a/src/dispatch/pace.rs
+++ b/src/dispatch/progress.rs
@@ -14,18 +14,18 @@
 
 /// How often a task is taken from an endpoint where it stands still. One that stands still everywhere does so by itself, and would
 /// make every endpoint look sick in turn.
-pub const RESTARTS: u32 = 3;
+pub const MAX_RESTARTS: u32 = 3;
 
 /// How a run comes along.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Pace {
+pub struct Tracker {
     estimate: Span,
     percent: u8,
     /// When it was seen first, or its percent rose last.
     moved: Option<Time>,
 }
 
-impl Pace {
+impl Tracker {
     /// Begins with a run that was not seen yet.
     pub fn new(estimate: Span) -> Self {
         Self {
@@ -36,7 +36,7 @@
     }
 
     /// Takes note of what its endpoint says of it; returns how long it took since that was less.
-    pub fn seen(&mut self, percent: u8, now: Time) -> Option<Span> {
+    pub fn record(&mut self, percent: u8, now: Time) -> Option<Span> {
         let before = self.moved;
         if before.is_some() && percent <= self.percent {
             return None;
@@ -50,15 +50,15 @@
     ///
     /// One that was never seen to tell of any says nothing by it, and one that does so rarely says little: all their longer
     /// runs would be taken for ones that stand still, and be started over and over.
-    pub fn patience(&self, gap: Option<Span>) -> Option<Span> {
+    pub fn stall_timeout(&self, gap: Option<Span>) -> Option<Span> {
         let own = Span((self.estimate.0 as f64 * STILL_SHARE) as u64 + STILL.0);
         gap.map(|gap| own.max(gap.times(2)))
     }
 
     /// Tells whether it stands still. An endpoint whose tasks stand still answers all calls, and takes new tasks: the caller
     /// sees its job end with its time.
-    pub fn still(&self, gap: Option<Span>, now: Time) -> bool {
-        let (Some(patience), Some(moved)) = (self.patience(gap), self.moved) else {
+    pub fn is_stalled(&self, gap: Option<Span>, now: Time) -> bool {
+        let (Some(patience), Some(moved)) = (self.stall_timeout(gap), self.moved) else {
             return false;
         };
         now.since(moved) > patience && self.percent < NEARLY
--- a/src/dispatch/patience.rs
+++ b/src/dispatch/timeout.rs
@@ -18,13 +18,13 @@
 
 /// Estimates how long an answer may take.
 #[derive(Debug, Clone, Copy)]
-pub struct Patience {
+pub struct Estimator {
     mean: f64,
     deviation: f64,
     backoff: f64,
 }
 
-impl Default for Patience {
+impl Default for Estimator {
     fn default() -> Self {
         Self {
             mean: 0.0,
@@ -34,9 +34,9 @@
     }
 }
 
-impl Patience {
+impl Estimator {
     /// Takes note of how long an answer took.
-    pub fn answered(&mut self, took: Span) {
+    pub fn record(&mut self, took: Span) {
         let took = took.0 as f64;
         self.deviation += DEVIATION * ((took - self.mean).abs() - self.deviation);
         self.mean += MEAN * (took - self.mean);
@@ -44,13 +44,13 @@
     }
 
     /// Takes note that an answer didn't come in time.
-    pub fn missed(&mut self) {
+    pub fn record_timeout(&mut self) {
         let most = MOST.0 as f64 / LEAST.0 as f64;
         self.backoff = (self.backoff * BACKOFF).min(most);
     }
 
     /// Returns how long to wait for an answer.
-    pub fn span(&self) -> Span {
+    pub fn timeout(&self) -> Span {
         let base = (self.mean + 4.0 * self.deviation).max(LEAST.0 as f64);
         Span((base * self.backoff) as u64).min(MOST)
     }
