--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -46,7 +46,7 @@
     },
     member::{
         Members,
-        Reception, //
+        SenderCheck, //
     },
     message::{
         Answer,
@@ -77,13 +77,13 @@
 use crate::prelude::*;
 
 /// After which a batch of a member that isn't a neighbour comes too late: half of what a member may be silent.
-const BELATED: Span = Span(member::SILENCE.0 / 2);
+const BELATED: Span = Span(member::HEARTBEAT_TIMEOUT.0 / 2);
 
 /// Between audits of batches that have been out for long.
 const AUDITS: Span = Span::millis(250);
 
 /// A pause between two steps after which an instance takes all that it holds as lapsed: it ticks every few
-/// milliseconds, and its peers take over what it had after [`member::SILENCE`].
+/// milliseconds, and its peers take over what it had after [`member::HEARTBEAT_TIMEOUT`].
 const PAUSE: Span = Span::millis(450);
 
 /// Between searches for members that have been silent too long: a tenth of what a heartbeat takes to come again.
@@ -100,7 +100,7 @@
 pub const PARTING: Span = Span::millis(200);
 
 /// Between decisions on which shards to coordinate: what others say of theirs comes as often.
-const COORDINATE: Span = member::HEARTBEAT;
+const COORDINATE: Span = member::HEARTBEAT_INTERVAL;
 
 /// How long a question about a stored job may take: a few takeovers of its shard.
 const ASKED: Span = Span::millis(2_500);
@@ -399,7 +399,8 @@
             }
             Input::Received { from, messages } => {
                 if self.meet(&from, now, out) {
-                    self.members.hear(&from.contact.name, from.sent, now);
+                    self.members
+                        .update_last_heard(&from.contact.name, from.sent, now);
                     for message in messages {
                         self.message(&from.contact, message, now, out);
                     }
@@ -512,7 +513,7 @@
         if contact.name == self.identity.contact.name {
             return;
         }
-        if self.members.find(contact, now) {
+        if self.members.add(contact, now) {
             let record = Record::new("member_found").with("member", contact.name.as_str());
             out.outputs.push(Output::Log(record));
             self.heartbeat(slice::from_ref(&contact.name), &[], now, out);
@@ -525,7 +526,7 @@
         now: Time,
         out: &mut Effects,
     ) {
-        let claims = self.members.claims();
+        let claims = self.members.claim_changes();
         let movable = |(_, heartbeat): &(Sender, Heartbeat)| {
             heartbeat.rooms.iter().any(|vacancy| vacancy.movable > 0)
         };
@@ -541,9 +542,9 @@
             let evacuation = heartbeat.status.evacuation.clone();
             self.evacuate(evacuation, from.contact.name.as_str(), now, out);
             self.members
-                .heartbeat(name, heartbeat.status, from.sent, now);
+                .on_heartbeat(name, heartbeat.status, from.sent, now);
             if heartbeat.watching {
-                self.members.asked(name, now);
+                self.members.on_watched_by(name, now);
             }
             let lives = self.members.get(name).is_some_and(|m| m.live);
             // Room counts only from a rack's owner.
@@ -559,7 +560,7 @@
             }
         }
         // What changes with time alone is found at the next tick.
-        if self.members.claims() != claims {
+        if self.members.claim_changes() != claims {
             self.deal(now, out);
         }
         if movable {
@@ -574,13 +575,16 @@
             .members
             .get(name)
             .map(|m| (m.live, m.incarnation, m.session));
-        match self.members.receive(from, self.identity.incarnation, now) {
-            Reception::Stale => {
+        match self
+            .members
+            .check_sender(from, self.identity.incarnation, now)
+        {
+            SenderCheck::Stale => {
                 let record = Record::new("messages_stale").with("member", name.as_str());
                 out.outputs.push(Output::Log(record));
                 return false;
             }
-            Reception::Anew => {
+            SenderCheck::NewSession => {
                 if was.is_some_and(|(_, life, _)| life != from.incarnation) {
                     // Its former life has ended for certain, and its racks can be claimed at once.
                     self.former
@@ -592,7 +596,7 @@
                 self.owner.abandon(name, out);
                 self.entry.lost(name, now, out);
             }
-            Reception::Valid => {}
+            SenderCheck::Current => {}
         }
         let member = self.members.get(name);
         let is = member.map(|m| (m.live, m.incarnation, m.session));
@@ -611,8 +615,8 @@
     /// Of one that isn't a neighbour nothing else may have come lately. Its batch would be run until its silence is found, and
     /// its caller, whose connection broke when it died, may have come again elsewhere by then.
     fn is_belated(&self, name: &Instance, now: Time) -> bool {
-        let member = self.members.get(name).filter(|m| !m.watch.is_near());
-        let heard = member.and_then(|member| member.heard);
+        let member = self.members.get(name).filter(|m| !m.watch.is_neighbour());
+        let heard = member.and_then(|member| member.last_heard);
         heard.is_some_and(|at| now.since(at) > BELATED)
     }
 
@@ -712,7 +716,7 @@
         let acts = self.durable.void(out);
         self.act(acts, now, out);
         self.owner.void(&self.identity.contact.name);
-        for member in self.members.void(now) {
+        for member in self.members.expire_all(now) {
             out.outputs.push(Output::Session {
                 to: member.contact,
                 incarnation: member.incarnation,
@@ -734,7 +738,7 @@
         for member in self.members.expire(now) {
             let name = member.contact.name.clone();
             let record = Record::new("member_lost").with("member", name.as_str());
-            let heard = member.heard.unwrap_or(now);
+            let heard = member.last_heard.unwrap_or(now);
             out.outputs
                 .push(Output::Log(record.with("silent_ms", now.since(heard))));
             out.outputs.push(Output::Session {
--- a/src/dispatch/announcement.rs
+++ b/src/dispatch/announcement.rs
@@ -5,7 +5,7 @@
 use super::{
     member::{
         Member,
-        HEARTBEAT, //
+        HEARTBEAT_INTERVAL, //
     },
     message::{
         Claim,
@@ -64,12 +64,12 @@
     ) {
         let needed = |name: &Instance| {
             let member = self.members.get(name);
-            member.is_some_and(|member| member.watch.is_needed(now))
+            member.is_some_and(|member| member.watch.is_needed_here(now))
         };
         let (watched, others): (Vec<Instance>, Vec<Instance>) =
             to.iter().cloned().partition(needed);
         for (names, watching) in [(watched, true), (others, false)] {
-            let tell = |name| self.members.tell(name, now);
+            let tell = |name| self.members.mark_heartbeat_sent(name, now);
             let to: Vec<Contact> = names.iter().filter_map(tell).collect();
             if !to.is_empty() {
                 self.send_heartbeat(&to, watching, rooms, now, out);
@@ -140,26 +140,40 @@
     /// those whose turn it is.
     fn due(&self, now: Time) -> Vec<Instance> {
         let urgent = self.announced == Time::default();
-        let distant = self.members.all().filter(|m| !m.is_close(now));
-        let interval = watch::interval(distant.count());
-        let due = |m: &&Member| match m.is_close(now) {
-            true => m.watch.is_new(),
-            false => urgent || now.since(m.watch.told) >= interval,
+        let distant = self
+            .members
+            .all()
+            .filter(|m| !m.has_frequent_heartbeats(now));
+        let interval = watch::heartbeat_interval(distant.count());
+        let due = |m: &&Member| match m.has_frequent_heartbeats(now) {
+            true => m.watch.needs_first_heartbeat(),
+            false => urgent || now.since(m.watch.heartbeat_sent) >= interval,
         };
         let mut due: Vec<&Member> = self.members.all().filter(due).collect();
         if !urgent && due.len() > SPREAD {
             // Those that became due together are spread out: a burst of datagrams holds up what else is on the link.
-            due.sort_by_key(|member| (!member.is_close(now), member.watch.told));
-            let close = due.iter().filter(|m| m.is_close(now)).count();
+            due.sort_by_key(|member| {
+                (
+                    !member.has_frequent_heartbeats(now),
+                    member.watch.heartbeat_sent,
+                )
+            });
+            let close = due
+                .iter()
+                .filter(|m| m.has_frequent_heartbeats(now))
+                .count();
             due.truncate(SPREAD.max(close));
         }
         due.into_iter().map(|m| m.contact.name.clone()).collect()
     }
 
     fn tell_close(&mut self, now: Time, out: &mut Effects) {
-        let close = self.members.all().filter(|m| m.is_close(now));
+        let close = self
+            .members
+            .all()
+            .filter(|m| m.has_frequent_heartbeats(now));
         let interval = Span(ROOMS.0 * (close.count() as u64).max(AUDIENCE) / AUDIENCE);
-        let due = now.since(self.announced) >= HEARTBEAT;
+        let due = now.since(self.announced) >= HEARTBEAT_INTERVAL;
         let since = now.since(self.rooms);
         let turned = since >= ROOMS && self.owner.turned(now);
         let changed = turned || since >= interval && self.owner.changed(now);
@@ -174,7 +188,10 @@
         (self.announced, self.rooms) = (now, now);
         let own = self.identity.contact.name.clone();
         self.entry.rooms(&own, rooms.clone());
-        let close = self.members.all().filter(|m| m.is_close(now));
+        let close = self
+            .members
+            .all()
+            .filter(|m| m.has_frequent_heartbeats(now));
         let close: Vec<Instance> = close.map(|m| m.contact.name.clone()).collect();
         self.heartbeat(&close, &rooms, now, out);
         self.want(now, out);
@@ -183,12 +200,12 @@
     /// Watches those closely with which it shares work: their death must be found before their callers, or its own, come
     /// again, and their room decides where the next tasks go.
     fn watch(&mut self, now: Time) {
-        self.members.arrange(now);
+        self.members.choose_neighbours(now);
         for name in self.entry.owners() {
-            self.members.watch(name, now);
+            self.members.watch_closely(name, now);
         }
         for name in self.owner.entries() {
-            self.members.watch(name, now);
+            self.members.watch_closely(name, now);
         }
     }
 
--- a/src/dispatch/coordination.rs
+++ b/src/dispatch/coordination.rs
@@ -7,7 +7,7 @@
     id::ShardId,
     member::{
         Member,
-        SETTLE, //
+        STARTUP_DELAY, //
     },
     message::{
         Contact,
@@ -66,7 +66,7 @@
 
     /// Decides which shards it coordinates: those of nobody else, by their weight, until it ends.
     pub(super) fn coordinate(&mut self, now: Time, out: &mut Effects) {
-        if now.since(self.began) < SETTLE {
+        if now.since(self.began) < STARTUP_DELAY {
             return;
         }
         let own = self.identity.contact.name.clone();
@@ -74,7 +74,7 @@
         let mut acts = Vec::new();
         let candidates: Vec<Instance> = self
             .members
-            .takers()
+            .available()
             .map(|m| m.contact.name.clone())
             .collect();
         for shard in ShardId::all() {
--- a/src/dispatch/member.rs
+++ b/src/dispatch/member.rs
@@ -25,21 +25,21 @@
 };
 use crate::prelude::*;
 
-/// Between heartbeats: six of them fit in [`SILENCE`], so that lost or late ones are no death.
-pub const HEARTBEAT: Span = Span::millis(100);
+/// Between heartbeats: six of them fit in [`HEARTBEAT_TIMEOUT`], so that lost or late ones are no death.
+pub const HEARTBEAT_INTERVAL: Span = Span::millis(100);
 
 /// After which a silent member counts as gone. A caller comes again 1.3 s after its connection broke; what the
 /// dead instance had running must have been stopped by then, which takes another 100 ms.
-pub const SILENCE: Span = Span::millis(600);
+pub const HEARTBEAT_TIMEOUT: Span = Span::millis(600);
 
 /// How long a member that starts listens before it claims racks that nobody seems to own: members start
 /// within 0.3 s of each other, and a heartbeat of each must have come. Claims that collide cost a moment, not more, and
 /// after a loss of all instances callers wait for this.
-pub const SETTLE: Span = Span::millis(450);
+pub const STARTUP_DELAY: Span = Span::millis(450);
 
 /// How long no further member must have been heard before a fleet that starts as a whole claims its racks, ahead of
-/// [`SETTLE`]: as long as a heartbeat takes to come again.
-pub const QUIET: Span = HEARTBEAT;
+/// [`STARTUP_DELAY`]: as long as a heartbeat takes to come again.
+pub const STARTUP_QUIET: Span = HEARTBEAT_INTERVAL;
 
 /// How long a member that was found, or has just been lost, is called as often as one that is watched closely: it may be
 /// starting, and after a loss of all instances callers wait until they hear each other.
@@ -64,7 +64,7 @@
     /// The session with it.
     pub session: u32,
     /// When the last that came of it left, on this instance's clock; never, if it only was listed.
-    pub heard: Option<Time>,
+    pub last_heard: Option<Time>,
     /// When the heartbeat with its status left, on its own clock.
     told: Time,
     /// The least that its clock was seen behind this one, in microseconds: the difference of the clocks and the
@@ -73,7 +73,7 @@
     /// Whether it counts as alive.
     pub live: bool,
     /// Since when it is alive, or gone, or known.
-    pub since: Time,
+    pub state_since: Time,
     /// What it said last.
     pub status: Option<Status>,
     /// How closely it is watched.
@@ -82,25 +82,25 @@
 
 impl Member {
     /// Tells whether it is told of this instance at the short interval.
-    pub fn is_close(&self, now: Time) -> bool {
-        let awaited = !self.live && now.since(self.since) < AWAITED;
+    pub fn has_frequent_heartbeats(&self, now: Time) -> bool {
+        let awaited = !self.live && now.since(self.state_since) < AWAITED;
         awaited || self.watch.is_close(now)
     }
 
     /// Tells whether nothing has come of it for so long that it is gone.
     fn is_gone(&self, now: Time) -> bool {
-        let silent = |at| now.since(at) > SILENCE && self.watch.counts(now);
-        self.heard.is_none_or(silent)
+        let silent = |at| now.since(at) > HEARTBEAT_TIMEOUT && self.watch.is_conclusive(now);
+        self.last_heard.is_none_or(silent)
     }
 }
 
 /// What became of messages that arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reception {
+pub enum SenderCheck {
     /// They count.
-    Valid,
+    Current,
     /// They count, and all that was agreed with the sender before is void.
-    Anew,
+    NewSession,
     /// They are from a life or a session that has ended.
     Stale,
 }
@@ -134,7 +134,7 @@
     }
 
     /// Takes note of a member; returns whether it is new or has moved.
-    pub fn find(&mut self, contact: &Contact, now: Time) -> bool {
+    pub fn add(&mut self, contact: &Contact, now: Time) -> bool {
         // A seed is named by its address until it says its name.
         let seed = contact.name.as_str() == contact.address;
         if seed && self.live().any(|m| m.contact.address == contact.address) {
@@ -145,7 +145,7 @@
                 return false;
             }
             member.contact = contact.clone();
-            member.since = now;
+            member.state_since = now;
             return true;
         }
         let member = Member {
@@ -153,11 +153,11 @@
             centre: String::new(),
             incarnation: 0,
             session: 0,
-            heard: None,
+            last_heard: None,
             told: Time::default(),
             offset: None,
             live: false,
-            since: now,
+            state_since: now,
             status: None,
             watch: Watch::default(),
         };
@@ -169,8 +169,8 @@
     ///
     /// A frozen sender's messages may leave long after their time. They carry a session that the receiver gave
     /// up, so they start nothing.
-    pub fn receive(&mut self, from: &Sender, own: u64, now: Time) -> Reception {
-        self.find(&from.contact, now);
+    pub fn check_sender(&mut self, from: &Sender, own: u64, now: Time) -> SenderCheck {
+        self.add(&from.contact, now);
         let met = self.known.get(&from.contact.name);
         if met.is_some_and(|member| member.incarnation < from.incarnation) {
             // It may have been known by its address only, as a seed.
@@ -181,16 +181,16 @@
             });
         }
         let Some(member) = self.known.get_mut(&from.contact.name) else {
-            return Reception::Stale;
+            return SenderCheck::Stale;
         };
         let older = from.incarnation < member.incarnation;
         let misled = from.to != 0 && from.to != own;
         if older || misled {
-            return Reception::Stale;
+            return SenderCheck::Stale;
         }
         let reborn = from.incarnation > member.incarnation;
         if !reborn && from.session < member.session {
-            return Reception::Stale;
+            return SenderCheck::Stale;
         }
         if reborn || member.contact != from.contact {
             self.claims += 1;
@@ -205,14 +205,14 @@
         if reborn {
             member.status = None;
             member.offset = None;
-            member.heard = None;
+            member.last_heard = None;
             member.told = Time::default();
             member.live = false;
-            member.since = now;
+            member.state_since = now;
         }
         match anew {
-            true => Reception::Anew,
-            false => Reception::Valid,
+            true => SenderCheck::NewSession,
+            false => SenderCheck::Current,
         }
     }
 
@@ -220,23 +220,23 @@
     ///
     /// Either side may be so slow that heartbeats lie in its buffers. What comes counts from when it left: otherwise a
     /// slow owner would start tasks for an entry that gave it up long ago and has placed them elsewhere.
-    pub fn hear(&mut self, name: &Instance, sent: Time, now: Time) {
+    pub fn update_last_heard(&mut self, name: &Instance, sent: Time, now: Time) {
         let Some(member) = self.known.get_mut(name) else {
             return;
         };
         let behind = now.0 as i64 - sent.0 as i64;
         let offset = member.offset.map_or(behind, |offset| {
-            let since = member.heard.map_or(0, |heard| now.since(heard).0);
+            let since = member.last_heard.map_or(0, |heard| now.since(heard).0);
             behind.min(offset + (since as f64 * DRIFT) as i64)
         });
         member.offset = Some(offset);
         let left = Time((sent.0 as i64 + offset).max(1) as u64);
-        member.heard = member.heard.max(Some(left));
+        member.last_heard = member.last_heard.max(Some(left));
     }
 
     /// Takes note of a heartbeat that left at `sent` on its sender's clock.
-    pub fn heartbeat(&mut self, name: &Instance, status: Status, sent: Time, now: Time) {
-        self.hear(name, sent, now);
+    pub fn on_heartbeat(&mut self, name: &Instance, status: Status, sent: Time, now: Time) {
+        self.update_last_heard(name, sent, now);
         for absence in &status.absences {
             self.suspect(absence, now);
         }
@@ -252,10 +252,12 @@
             self.claims += 1;
         }
         member.status = Some(status);
-        let lately = member.heard.is_some_and(|at| now.since(at) <= SILENCE);
+        let lately = member
+            .last_heard
+            .is_some_and(|at| now.since(at) <= HEARTBEAT_TIMEOUT);
         if !member.live && lately {
             member.live = true;
-            member.since = now;
+            member.state_since = now;
             self.claims += 1;
         }
     }
@@ -266,26 +268,26 @@
             return;
         };
         if member.live && member.incarnation == absence.incarnation {
-            member.watch.need(now);
+            member.watch.extend(now);
         }
     }
 
     /// Watches a member closely for as long as work is shared with it.
-    pub fn watch(&mut self, name: &Instance, now: Time) {
+    pub fn watch_closely(&mut self, name: &Instance, now: Time) {
         if let Some(member) = self.known.get_mut(name) {
-            member.watch.need(now);
+            member.watch.extend(now);
         }
     }
 
     /// Takes note that a member watches this one closely, and waits for its heartbeats.
-    pub fn asked(&mut self, name: &Instance, now: Time) {
+    pub fn on_watched_by(&mut self, name: &Instance, now: Time) {
         if let Some(member) = self.known.get_mut(name) {
-            member.watch.ask(now);
+            member.watch.extend_for_peer(now);
         }
     }
 
     /// Chooses the members that are always watched closely, where the fleet has changed.
-    pub fn arrange(&mut self, now: Time) {
+    pub fn choose_neighbours(&mut self, now: Time) {
         let key = Some((self.known.len(), self.claims));
         if self.arranged == key {
             return;
@@ -293,14 +295,14 @@
         self.arranged = key;
         let near = neighbours(&self.own, &self.centre, self.known.values());
         for (name, member) in &mut self.known {
-            member.watch.settle(near.contains(name), now);
+            member.watch.set_neighbour(near.contains(name), now);
         }
     }
 
     /// Takes note that a member is told of this one, and returns where it is reached.
-    pub fn tell(&mut self, name: &Instance, now: Time) -> Option<Contact> {
+    pub fn mark_heartbeat_sent(&mut self, name: &Instance, now: Time) -> Option<Contact> {
         let member = self.known.get_mut(name)?;
-        member.watch.told = now;
+        member.watch.heartbeat_sent = now;
         Some(member.contact.clone())
     }
 
@@ -313,12 +315,12 @@
             if member.is_gone(now) {
                 member.live = false;
                 member.session += 1;
-                member.since = now;
+                member.state_since = now;
                 lost.push(member.clone());
                 member.status = None;
                 self.claims += 1;
-            } else if member.heard.is_some_and(|at| now.since(at) > patience) {
-                member.watch.need(now);
+            } else if member.last_heard.is_some_and(|at| now.since(at) > patience) {
+                member.watch.extend(now);
             }
         }
         let absence = |member: &Member| Absence {
@@ -326,17 +328,17 @@
             incarnation: member.incarnation,
         };
         self.absences
-            .retain(|(_, at)| now.since(*at) < watch::LINGER);
+            .retain(|(_, at)| now.since(*at) < watch::WATCH_TIME);
         self.absences
             .extend(lost.iter().map(|member| (absence(member), now)));
         self.known
-            .retain(|_, member| member.live || now.since(member.since) < FORGOTTEN);
+            .retain(|_, member| member.live || now.since(member.state_since) < FORGOTTEN);
         lost
     }
 
     /// Returns how long a member that isn't watched closely may be silent: one of its heartbeats may get lost.
     fn patience(&self) -> Span {
-        watch::interval(self.known.len()).times(2) + SILENCE
+        watch::heartbeat_interval(self.known.len()).times(2) + HEARTBEAT_TIMEOUT
     }
 
     /// Returns the members that this instance found to be gone of late.
@@ -346,9 +348,9 @@
     }
 
     /// Gives up all of them.
-    pub fn void(&mut self, now: Time) -> Vec<Member> {
+    pub fn expire_all(&mut self, now: Time) -> Vec<Member> {
         for member in self.known.values_mut() {
-            member.heard = None;
+            member.last_heard = None;
         }
         let lost = self.expire(now);
         // This instance stood still, not they.
@@ -372,18 +374,18 @@
     }
 
     /// Counts the changes of what live members claim, and where they are.
-    pub fn claims(&self) -> u64 {
+    pub fn claim_changes(&self) -> u64 {
         self.claims
     }
 
     /// Returns the highest epoch that any member told.
-    pub fn epoch(&self) -> Epoch {
+    pub fn highest_epoch(&self) -> Epoch {
         let told = self.known.values().filter_map(|m| m.status.as_ref());
         told.map(|status| status.epoch).max().unwrap_or_default()
     }
 
     /// Returns the owner of each rack that a live member says it owns, the higher token first.
-    pub fn owners(&self) -> HashMap<RackId, (Instance, Token)> {
+    pub fn rack_owners(&self) -> HashMap<RackId, (Instance, Token)> {
         let mut owners: HashMap<RackId, (Instance, Token)> = HashMap::new();
         for member in self.live() {
             for claim in member.status.iter().flat_map(|status| &status.racks) {
@@ -398,7 +400,7 @@
     }
 
     /// Returns the live members that may take racks: those that have been heard whole, and stay.
-    pub fn takers(&self) -> impl Iterator<Item = &Member> {
+    pub fn available(&self) -> impl Iterator<Item = &Member> {
         let stays = |m: &&Member| m.status.as_ref().is_some_and(|status| !status.draining);
         self.live().filter(stays)
     }
@@ -422,7 +424,10 @@
 ///
 /// Owners do most of the work, and instances differ four times in their share. Dealt out evenly, the racks of the
 /// weak ones were served late.
-pub fn deal(orphans: &[(RackId, String)], candidates: &mut [Candidate]) -> Vec<(RackId, Instance)> {
+pub fn assign_racks(
+    orphans: &[(RackId, String)],
+    candidates: &mut [Candidate],
+) -> Vec<(RackId, Instance)> {
     let mut dealt = Vec::new();
     for (rack, centre) in orphans {
         let near = candidates.iter().any(|c| c.centre == *centre);
--- a/src/dispatch/ownership.rs
+++ b/src/dispatch/ownership.rs
@@ -13,11 +13,11 @@
         Token, //
     },
     member::{
-        deal,
+        assign_racks,
         Candidate,
         Member,
-        QUIET,
-        SETTLE, //
+        STARTUP_DELAY, //
+        STARTUP_QUIET,
     },
     message::{
         Claim,
@@ -89,7 +89,7 @@
     /// After a loss of all instances callers wait for the first claims: 0.35 s less of that is as much work of all endpoints. One
     /// that starts among others waits longer: a rack whose owner it hasn't heard yet is none of its business.
     fn is_common(&self, known: usize, now: Time) -> bool {
-        let quiet = self.last.is_some_and(|at| now.since(at) >= QUIET);
+        let quiet = self.last.is_some_and(|at| now.since(at) >= STARTUP_QUIET);
         quiet && self.established == 0 && self.fresh * 2 >= known
     }
 }
@@ -98,7 +98,7 @@
     /// Tells whether it has listened long enough to claim racks that nobody seems to own.
     fn settled(&self, now: Time) -> bool {
         let known = self.members.all().count();
-        now.since(self.began) >= SETTLE || self.startup.is_common(known, now)
+        now.since(self.began) >= STARTUP_DELAY || self.startup.is_common(known, now)
     }
 
     /// Decides who owns what: gives up what another owns with a higher token, claims what nobody owns.
@@ -147,7 +147,7 @@
             share: self.identity.share,
             racks: self.owner.racks().count(),
         });
-        let mine: Vec<RackId> = deal(&orphans, &mut candidates)
+        let mine: Vec<RackId> = assign_racks(&orphans, &mut candidates)
             .into_iter()
             .filter(|(_, owner)| owner == own)
             .map(|(rack, _)| rack)
@@ -201,7 +201,7 @@
     }
 
     pub(super) fn candidates(&self) -> Vec<Candidate> {
-        let members = self.members.takers();
+        let members = self.members.available();
         let candidate = |m: &Member| {
             let status = m.status.as_ref()?;
             Some(Candidate {
@@ -215,7 +215,7 @@
     }
 
     pub(super) fn next_token(&mut self) -> Token {
-        self.epoch = Epoch(self.epoch.max(self.members.epoch()).0 + 1);
+        self.epoch = Epoch(self.epoch.max(self.members.highest_epoch()).0 + 1);
         let name = self.identity.contact.name.as_str().as_bytes();
         Token::new(self.epoch, fnv(self.identity.incarnation, name))
     }
@@ -224,12 +224,12 @@
     ///
     /// Done for each message, this took nine tenths of the processor time of 42 instances with 44 racks.
     pub(super) fn update_owners(&mut self) {
-        let claims = (self.members.claims(), self.owner.claims());
+        let claims = (self.members.claim_changes(), self.owner.claims());
         if self.claims == Some(claims) {
             return;
         }
         self.claims = Some(claims);
-        let owners = self.members.owners();
+        let owners = self.members.rack_owners();
         let mut contacts: HashMap<RackId, Contact> = HashMap::new();
         for (rack, (name, _)) in &owners {
             if let Some(member) = self.members.get(name) {
@@ -255,7 +255,7 @@
         self.rebalanced = now;
         let steady = |c: &Candidate| {
             let member = self.members.get(&c.name);
-            member.is_some_and(|m| m.live && now.since(m.since) >= STEADY)
+            member.is_some_and(|m| m.live && now.since(m.state_since) >= STEADY)
         };
         let candidates: Vec<Candidate> = self.candidates().into_iter().filter(steady).collect();
         let centres: HashMap<RackId, String> = self.entry.racks().into_iter().collect();
@@ -301,7 +301,7 @@
         let centres: HashMap<RackId, String> = self.entry.racks().into_iter().collect();
         let with_centre = |rack: &RackId| (*rack, centres.get(rack).cloned().unwrap_or_default());
         let racks: Vec<(RackId, String)> = racks.iter().map(with_centre).collect();
-        for (rack, name) in deal(&racks, &mut self.candidates()) {
+        for (rack, name) in assign_racks(&racks, &mut self.candidates()) {
             self.give(rack, &name, now, out);
         }
     }
--- a/src/dispatch/reading.rs
+++ b/src/dispatch/reading.rs
@@ -122,7 +122,7 @@
 
     /// Decides whether to read the list of endpoints.
     pub(super) fn choose_readers(&mut self, now: Time, out: &mut Effects) {
-        let near = self.members.takers();
+        let near = self.members.available();
         let near = near.filter(|member| member.centre == self.identity.centre);
         let own = preference(self.identity.share, &self.identity.contact.name);
         let is_ahead = |member: &&Member| {
--- a/src/dispatch/watch.rs
+++ b/src/dispatch/watch.rs
@@ -1,7 +1,7 @@
 //! How closely an instance watches another, and how often it tells it of itself.
 //!
 //! All instances of a small fleet watch each other closely: ten heartbeats a second each way, and a death is found within
-//! [`SILENCE`](super::member::SILENCE). In a large one these took half of a weak machine's processor share: with 147 instances
+//! [`HEARTBEAT_TIMEOUT`](super::member::HEARTBEAT_TIMEOUT). In a large one these took half of a weak machine's processor share: with 147 instances
 //! each sent and received 1,460 a second. There, an instance watches those closely with which it shares work, and its neighbours in
 //! its data centre, whose racks it takes over; all others are told of it at a bounded rate. Nobody is taken for gone without
 //! having been watched closely for a while, and who finds a member gone says so in its heartbeats.
@@ -23,10 +23,10 @@
 /// How long a member must have been watched closely before its silence counts: it hears within some milliseconds that it is, and
 /// four of its heartbeats fit. What a dead entry's batch runs, on a rack that was handed over just then, is stopped a second
 /// after its death, which is before its caller comes again.
-pub const GRACE: Span = Span::millis(400);
+pub const MIN_WATCH: Span = Span::millis(400);
 
 /// How long a member is watched closely after work was shared with it last, which mostly comes again.
-pub const LINGER: Span = Span::seconds(1);
+pub const WATCH_TIME: Span = Span::seconds(1);
 
 /// Heartbeats a second to members that aren't watched closely, all together, as long as [`LONGEST`] allows it.
 const RATE: u64 = 80;
@@ -46,49 +46,49 @@
     /// Since when it is watched closely.
     since: Time,
     /// When it was told of this instance last.
-    pub told: Time,
+    pub heartbeat_sent: Time,
 }
 
 impl Watch {
     /// Tells whether heartbeats go both ways at the short interval.
     pub fn is_close(&self, now: Time) -> bool {
-        self.is_needed(now) || now < self.asked
+        self.is_needed_here(now) || now < self.asked
     }
 
     /// Tells whether this side has a reason of its own to watch it.
-    pub fn is_needed(&self, now: Time) -> bool {
+    pub fn is_needed_here(&self, now: Time) -> bool {
         self.near || now < self.needed
     }
 
     /// Tells whether its silence counts.
-    pub fn counts(&self, now: Time) -> bool {
-        self.is_close(now) && now.since(self.since) > GRACE
+    pub fn is_conclusive(&self, now: Time) -> bool {
+        self.is_close(now) && now.since(self.since) > MIN_WATCH
     }
 
     /// Tells whether it hasn't been told of this instance since it is watched closely.
-    pub fn is_new(&self) -> bool {
-        self.told < self.since
+    pub fn needs_first_heartbeat(&self) -> bool {
+        self.heartbeat_sent < self.since
     }
 
     /// Tells whether it is a neighbour.
-    pub fn is_near(&self) -> bool {
+    pub fn is_neighbour(&self) -> bool {
         self.near
     }
 
     /// Watches it for a while.
-    pub fn need(&mut self, now: Time) {
+    pub fn extend(&mut self, now: Time) {
         self.begin(now);
-        self.needed = now + LINGER;
+        self.needed = now + WATCH_TIME;
     }
 
     /// Takes note that the member watches this side.
-    pub fn ask(&mut self, now: Time) {
+    pub fn extend_for_peer(&mut self, now: Time) {
         self.begin(now);
-        self.asked = now + LINGER;
+        self.asked = now + WATCH_TIME;
     }
 
     /// Takes note of whether it is a neighbour.
-    pub fn settle(&mut self, near: bool, now: Time) {
+    pub fn set_neighbour(&mut self, near: bool, now: Time) {
         if near {
             self.begin(now);
         }
@@ -103,7 +103,7 @@
 }
 
 /// Returns the time between two heartbeats to a member that isn't watched closely, in a fleet of `members`.
-pub fn interval(members: usize) -> Span {
+pub fn heartbeat_interval(members: usize) -> Span {
     let even = Span(members as u64 * 1_000_000 / RATE);
     even.min(LONGEST)
 }
--- a/tests/fleet/watch.rs
+++ b/tests/fleet/watch.rs
@@ -61,13 +61,16 @@
     let mut members = Members::new(&own, "centre-0");
     for i in 0..999 {
         let from = sender(i, now);
-        members.receive(&from, 1, now);
-        members.heartbeat(&from.contact.name, Status::default(), now, now);
+        members.check_sender(&from, 1, now);
+        members.on_heartbeat(&from.contact.name, Status::default(), now, now);
     }
-    members.arrange(now);
-    let close = members.all().filter(|m| m.is_close(now)).count();
+    members.choose_neighbours(now);
+    let close = members
+        .all()
+        .filter(|m| m.has_frequent_heartbeats(now))
+        .count();
     let distant = members.all().count() - close;
-    let each = watch::interval(distant);
+    let each = watch::heartbeat_interval(distant);
     let rate = close as u64 * 10 + distant as u64 * 1_000_000 / each.0;
     assert!(close >= 24, "{close} are watched closely");
     assert!(rate <= 290 * 7 / 2, "{rate} heartbeats a second");
