--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -36,7 +36,7 @@
 
 use self::{
     documents::Documents,
-    durable::Durable,
+    durable::Coordinator,
     entry::Entry,
     evacuation::Evacuation,
     id::{
@@ -160,7 +160,7 @@
     entry: Entry,
     owner: Owner,
     /// The shards of stored jobs that it coordinates.
-    durable: Durable,
+    durable: Coordinator,
     /// Requests about stored jobs that wait for an answer.
     requests: Requests,
     documents: Documents,
@@ -206,7 +206,7 @@
                 identity.centre.as_str(),
             ),
             owner: Owner::new(&identity.contact.name),
-            durable: Durable::new(format!(
+            durable: Coordinator::new(format!(
                 "{} {}",
                 identity.contact.name, identity.incarnation
             )),
@@ -370,7 +370,7 @@
                 self.ask_again(now, out);
             }
             Input::Stored { call, reply } => {
-                let acts = self.durable.stored(call, reply, now, out);
+                let acts = self.durable.on_store_reply(call, reply, now, out);
                 self.act(acts, now, out);
                 self.call_store(now, out);
             }
@@ -555,7 +555,7 @@
             }
             if lives && !lived {
                 self.startup.heard(self.members.get(name), now);
-                self.durable.doubt_empty();
+                self.durable.recheck_empty();
                 self.greet(&from.contact, now, out);
             }
         }
@@ -639,7 +639,7 @@
                 started,
             } => {
                 let job = self.entry.report(serial, outcome, done, started, now, out);
-                if let Some(act) = job.and_then(|job| self.durable.fail(job)) {
+                if let Some(act) = job.and_then(|job| self.durable.fail_job(job)) {
                     self.act(vec![act], now, out);
                     self.call_store(now, out);
                 }
@@ -697,7 +697,7 @@
                 let batch = end.batch.as_ref().filter(|(entry, _)| entry == own);
                 let batch = batch.map(|(_, serial)| *serial);
                 let batch = batch.filter(|serial| self.entry.has_out(*serial));
-                let act = self.durable.ended(from, &end, batch, out);
+                let act = self.durable.on_run_end(from, &end, batch, out);
                 self.act(act.into_iter().collect(), now, out);
                 self.call_store(now, out);
             }
@@ -713,7 +713,7 @@
     /// Takes all that it holds as lapsed, after the process stood still for longer than its peers wait.
     fn awake(&mut self, now: Time, out: &mut Effects) {
         out.outputs.push(Output::Log(Record::new("awoke")));
-        let acts = self.durable.void(out);
+        let acts = self.durable.release_all(out);
         self.act(acts, now, out);
         self.owner.void(&self.identity.contact.name);
         for member in self.members.expire_all(now) {
@@ -750,7 +750,7 @@
             self.remember(&name, &claims, now);
             self.owner.abandon(&name, out);
             self.entry.lost(&name, now, out);
-            self.durable.suspect(now);
+            self.durable.require_lock_checks(now);
         }
     }
 
--- a/src/dispatch/coordination.rs
+++ b/src/dispatch/coordination.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use super::{
-    durable::Act,
+    durable::Action,
     id::ShardId,
     member::{
         Member,
@@ -22,22 +22,22 @@
 impl Dispatcher {
     /// Lets the shards do what is due, with the calls to the store that it takes.
     pub(super) fn call_store(&mut self, now: Time, out: &mut Effects) {
-        let acts = self.durable.work(now, out);
+        let acts = self.durable.run_due(now, out);
         self.act(acts, now, out);
     }
 
     /// Does what a shard's rows ask for.
-    pub(super) fn act(&mut self, acts: Vec<Act>, now: Time, out: &mut Effects) {
+    pub(super) fn act(&mut self, acts: Vec<Action>, now: Time, out: &mut Effects) {
         for act in acts {
             match act {
-                Act::Run(job, at) => {
-                    if let Some((record, progress)) = self.durable.job(job) {
+                Action::Run(job, at) => {
+                    if let Some((record, progress)) = self.durable.open_job(job) {
                         self.entry.run(job, record, progress, at, now);
                     }
                 }
-                Act::Done(task) => self.entry.task_done(task, now, out),
-                Act::Failed(task, batch) => self.entry.task_failed(task, batch, now),
-                Act::Release(job) => self.entry.release(job, out),
+                Action::TaskDone(task) => self.entry.task_done(task, now, out),
+                Action::TaskFailed(task, batch) => self.entry.task_failed(task, batch, now),
+                Action::Release(job) => self.entry.release(job, out),
             }
         }
         self.entry.begin(now, out);
@@ -85,7 +85,7 @@
             } else if mine && known.is_some_and(|name| *name != own) {
                 acts.extend(self.durable.release(shard, "another holds it", out));
             } else if mine && self.contested(shard) {
-                self.durable.suspect(now);
+                self.durable.require_lock_checks(now);
                 let heavier =
                     |name: &Instance| shard.weight(name.as_str()) > shard.weight(own.as_str());
                 let held = self.durable.knowledge(shard) == Some(Knowledge::Held);
--- a/src/dispatch/durable.rs
+++ b/src/dispatch/durable.rs
@@ -59,20 +59,20 @@
 
 /// What the dispatcher must do with a job's tasks.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Act {
+pub enum Action {
     /// Run what is not done, from a time on.
     Run(JobId, Time),
     /// A task is done.
-    Done(TaskId),
+    TaskDone(TaskId),
     /// A run of a task failed, and it may run again. The batch is the run's, if this instance has it out.
-    Failed(TaskId, Option<u64>),
+    TaskFailed(TaskId, Option<u64>),
     /// Stop all of a job that runs, and forget it.
     Release(JobId),
 }
 
 /// All shards that this instance coordinates.
 #[derive(Debug)]
-pub struct Durable {
+pub struct Coordinator {
     /// Names one life of the instance in lock rows.
     own: String,
     shards: BTreeMap<ShardId, Shard>,
@@ -84,7 +84,7 @@
     taken: BTreeMap<ShardId, Time>,
 }
 
-impl Durable {
+impl Coordinator {
     /// Makes one that coordinates nothing; `own` tells one life of an instance from all others.
     pub fn new(own: impl Into<String>) -> Self {
         Self {
@@ -124,7 +124,7 @@
     }
 
     /// Gives a shard up; its jobs are stopped here, and run on at its next coordinator.
-    pub fn release(&mut self, shard: ShardId, why: &str, out: &mut Effects) -> Vec<Act> {
+    pub fn release(&mut self, shard: ShardId, why: &str, out: &mut Effects) -> Vec<Action> {
         let Some(state) = self.shards.remove(&shard) else {
             return Vec::new();
         };
@@ -133,18 +133,18 @@
             out.outputs.push(Output::Log(entry.with("reason", why)));
         }
         self.calls.retain(|_, of| *of != shard);
-        state.jobs.keys().copied().map(Act::Release).collect()
+        state.jobs.keys().copied().map(Action::Release).collect()
     }
 
     /// Gives all shards up, after the process stood still.
-    pub fn void(&mut self, out: &mut Effects) -> Vec<Act> {
+    pub fn release_all(&mut self, out: &mut Effects) -> Vec<Action> {
         let shards: Vec<ShardId> = self.shards.keys().copied().collect();
         let release = |shard| self.release(shard, "the process stood still", out);
         shards.into_iter().flat_map(release).collect()
     }
 
     /// Takes note that a member was lost, or coordinates the same shard: it may live, and take shards over.
-    pub fn suspect(&mut self, now: Time) {
+    pub fn require_lock_checks(&mut self, now: Time) {
         let already = self.suspicious(now);
         self.lost = Some(now);
         for shard in self.shards.values_mut() {
@@ -157,7 +157,7 @@
 
     /// Looks again at shards that it found empty: a member that is heard again may have stored the first job meanwhile, and
     /// have given the shard up. It would be run by nobody.
-    pub fn doubt_empty(&mut self) {
+    pub fn recheck_empty(&mut self) {
         for shard in self.shards.values_mut() {
             if shard.phase == Phase::Empty {
                 shard.phase = Phase::Reading;
@@ -170,7 +170,7 @@
     }
 
     /// Answers a caller's request, or takes it up.
-    pub fn request(
+    pub fn on_request(
         &mut self,
         from: &Contact,
         serial: u64,
@@ -178,7 +178,7 @@
         question: Question,
         now: Time,
         out: &mut Effects,
-    ) -> Option<Act> {
+    ) -> Option<Action> {
         let Some(shard) = self.shards.get_mut(&job.shard()) else {
             answer(from, serial, Verdict::Unready, out);
             return None;
@@ -192,19 +192,19 @@
     }
 
     /// Returns the stored state of a job, unless it has changed and that isn't stored yet.
-    pub fn state(&self, job: JobId) -> Option<State> {
+    pub fn stored_state(&self, job: JobId) -> Option<State> {
         let job = self.shards.get(&job.shard())?.jobs.get(&job)?;
         job.shown.filter(|state| *state == job.progress.state)
     }
 
     /// Tells whether it knows a job, stored or about to be.
-    pub fn knows(&self, job: JobId) -> bool {
+    pub fn contains(&self, job: JobId) -> bool {
         let shard = self.shards.get(&job.shard());
         shard.is_some_and(|shard| shard.jobs.contains_key(&job))
     }
 
     /// Returns what was asked for, and how far it has come, of a job that has not ended.
-    pub fn job(&self, job: JobId) -> Option<(&Accepted, &Progress)> {
+    pub fn open_job(&self, job: JobId) -> Option<(&Accepted, &Progress)> {
         let job = self.shards.get(&job.shard())?.jobs.get(&job)?;
         Some((job.record.as_deref()?, &job.progress))
     }
@@ -212,24 +212,24 @@
     /// Takes note of the end of a run, and tells what follows; its endpoint forgets it when that is stored.
     ///
     /// `batch` is the run's, if this instance has it out.
-    pub fn ended(
+    pub fn on_run_end(
         &mut self,
         from: &Contact,
         end: &RunEnd,
         batch: Option<u64>,
         out: &mut Effects,
-    ) -> Option<Act> {
+    ) -> Option<Action> {
         let shard = self.shards.get_mut(&end.task.job.shard())?;
         shard.ended(from, end, batch, out)
     }
 
     /// Takes note that endpoints crash under a task of a job, so that it has failed.
-    pub fn fail(&mut self, job: JobId) -> Option<Act> {
+    pub fn fail_job(&mut self, job: JobId) -> Option<Action> {
         self.shards.get_mut(&job.shard())?.fail(job)
     }
 
     /// Does what is due: calls the store, forgets jobs that ended long ago, gives shards up that may be another's.
-    pub fn work(&mut self, now: Time, out: &mut Effects) -> Vec<Act> {
+    pub fn run_due(&mut self, now: Time, out: &mut Effects) -> Vec<Action> {
         let suspicious = self.suspicious(now);
         let mut acts = Vec::new();
         let doubtful = |(shard, state): (&ShardId, &Shard)| {
@@ -257,13 +257,13 @@
     }
 
     /// Takes an answer of the store.
-    pub fn stored(
+    pub fn on_store_reply(
         &mut self,
         call: StoreCall,
         reply: StoreReply,
         now: Time,
         out: &mut Effects,
-    ) -> Vec<Act> {
+    ) -> Vec<Action> {
         let Some(id) = self.calls.remove(&call) else {
             return Vec::new();
         };
--- a/src/dispatch/durable/record.rs
+++ b/src/dispatch/durable/record.rs
@@ -26,7 +26,7 @@
 /// The key of the row whose version fences a shard's writers, beside keys that begin with a job's digits.
 pub(super) const LOCK: &str = "lock";
 
-/// Ends the key of a job's progress.
+/// StepProgress the key of a job's progress.
 const PROGRESS: &str = ".progress";
 
 /// Where a job stands.
@@ -61,22 +61,22 @@
     /// Where it stands.
     pub state: State,
     /// Its steps.
-    pub steps: Vec<Ends>,
+    pub steps: Vec<StepProgress>,
 }
 
 /// The ends of a step's tasks.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Ends {
+pub struct StepProgress {
     /// Tasks that are done.
     pub done: BTreeSet<u32>,
     /// The ends of runs that failed, by task. Each is named: an end whose endpoint hasn't forgotten it is heard again by the
     /// next coordinator, and counted twice its job would have failed too soon.
-    pub failures: BTreeMap<u32, BTreeSet<Source>>,
+    pub failures: BTreeMap<u32, BTreeSet<RunEndId>>,
 }
 
 /// Names the end of a run.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Source {
+pub struct RunEndId {
     /// The endpoint.
     pub endpoint: Endpoint,
     /// The life of it that listed the end.
@@ -88,15 +88,15 @@
 
 impl Progress {
     /// Begins with a job of which nothing has run.
-    pub fn begin(job: &Accepted) -> Self {
+    pub fn new(job: &Accepted) -> Self {
         Self {
             state: State::Open,
-            steps: vec![Ends::default(); job.submission.steps.len()],
+            steps: vec![StepProgress::default(); job.submission.steps.len()],
         }
     }
 
     /// Takes note of the end of a run; returns whether it changed anything.
-    pub fn end(&mut self, job: &Accepted, end: &RunEnd) -> bool {
+    pub fn record_end(&mut self, job: &Accepted, end: &RunEnd) -> bool {
         if self.state != State::Open {
             return false;
         }
@@ -112,7 +112,7 @@
             ends.done.insert(task.index);
         } else {
             let failures = ends.failures.entry(task.index).or_default();
-            let source = Source {
+            let source = RunEndId {
                 endpoint: end.endpoint.clone(),
                 life: end.life,
                 serial: end.serial,
--- a/src/dispatch/durable/shard.rs
+++ b/src/dispatch/durable/shard.rs
@@ -36,7 +36,7 @@
         State,
         LOCK, //
     },
-    Act, //
+    Action, //
 };
 use crate::prelude::*;
 
@@ -134,7 +134,7 @@
     pub(super) progress: Progress,
     /// The state that is stored, none before the job is.
     pub(super) shown: Option<State>,
-    /// Ends that were heard, and whether each came late: told otherwise the second time, its endpoint would forget it
+    /// StepProgress that were heard, and whether each came late: told otherwise the second time, its endpoint would forget it
     /// too soon.
     pub(super) counted: HashMap<(Endpoint, Life, u64), bool>,
     pub(super) ended: bool,
@@ -224,7 +224,7 @@
             }
             None => {
                 let fresh = Job {
-                    progress: Progress::begin(&record),
+                    progress: Progress::new(&record),
                     record: Some(record),
                     shown: None,
                     counted: HashMap::new(),
@@ -243,7 +243,7 @@
         serial: u64,
         id: JobId,
         out: &mut Effects,
-    ) -> Option<Act> {
+    ) -> Option<Action> {
         let Some(job) = self.jobs.get_mut(&id) else {
             self.unknown(from, serial, out);
             return None;
@@ -258,18 +258,18 @@
         }
         let change = self.changed.entry(id).or_default();
         change.cancelled.push((from.clone(), serial));
-        open.then_some(Act::Release(id))
+        open.then_some(Action::Release(id))
     }
 
     /// Takes note that a job has failed otherwise than by the ends of its runs.
-    pub(super) fn fail(&mut self, id: JobId) -> Option<Act> {
+    pub(super) fn fail(&mut self, id: JobId) -> Option<Action> {
         let job = self.jobs.get_mut(&id)?;
         if job.progress.state != State::Open {
             return None;
         }
         job.progress.state = State::Failed;
         self.changed.entry(id).or_default();
-        Some(Act::Release(id))
+        Some(Action::Release(id))
     }
 
     /// Answers how a job stands that the dispatcher doesn't find among those whose end is stored.
@@ -329,7 +329,7 @@
         end: &RunEnd,
         batch: Option<u64>,
         out: &mut Effects,
-    ) -> Option<Act> {
+    ) -> Option<Action> {
         let noted = |late| Message::Noted {
             endpoint: end.endpoint.clone(),
             life: end.life,
@@ -360,7 +360,7 @@
         let known = job.counted.get(&key).copied();
         let first = known.is_none();
         let record = job.record.as_ref();
-        let counts = first && record.is_some_and(|r| job.progress.end(r, end));
+        let counts = first && record.is_some_and(|r| job.progress.record_end(r, end));
         // Of a task that is done already: another run of it was started, unless its job ends for another reason.
         let other = matches!(job.progress.state, State::Open | State::Completed);
         let again = first && !counts && end.done && other;
@@ -372,9 +372,9 @@
         change.ends.push((from.clone(), noted(late)));
         match (counts, job.progress.state, end.done) {
             (false, ..) => None,
-            (_, State::Failed | State::Cancelled, _) => Some(Act::Release(end.task.job)),
-            (_, _, true) => Some(Act::Done(end.task)),
-            (_, _, false) => Some(Act::Failed(end.task, batch)),
+            (_, State::Failed | State::Cancelled, _) => Some(Action::Release(end.task.job)),
+            (_, _, true) => Some(Action::TaskDone(end.task)),
+            (_, _, false) => Some(Action::TaskFailed(end.task, batch)),
         }
     }
 
@@ -537,7 +537,7 @@
         id: ShardId,
         reply: StoreReply,
         now: Time,
-        acts: &mut Vec<Act>,
+        acts: &mut Vec<Action>,
         out: &mut Effects,
     ) -> bool {
         let StoreReply::Rows(rows, more) = reply else {
@@ -567,7 +567,7 @@
         self.phase = Phase::Held;
         for (id, job) in &mut self.jobs {
             if job.progress.state == State::Open && job.record.is_some() {
-                acts.push(Act::Run(*id, now + DOUBT));
+                acts.push(Action::Run(*id, now + DOUBT));
             } else {
                 job.ended = true;
                 self.ended.push_back((now, *id));
@@ -603,7 +603,7 @@
         reply: StoreReply,
         sent: Time,
         now: Time,
-        acts: &mut Vec<Act>,
+        acts: &mut Vec<Action>,
         out: &mut Effects,
     ) -> bool {
         match reply {
@@ -648,7 +648,7 @@
         id: JobId,
         change: Change,
         now: Time,
-        acts: &mut Vec<Act>,
+        acts: &mut Vec<Action>,
         out: &mut Effects,
     ) {
         if change.forget {
@@ -666,7 +666,7 @@
             let entry = Record::routine("job_stored").job(id);
             out.outputs.push(Output::Log(entry));
             if !ended {
-                acts.push(Act::Run(id, now));
+                acts.push(Action::Run(id, now));
             }
         }
         for (to, serial) in change.accepted {
--- a/src/dispatch/entry/stored.rs
+++ b/src/dispatch/entry/stored.rs
@@ -9,8 +9,8 @@
 use super::{
     super::{
         durable::record::{
-            Ends,
             Progress as Stored, //
+            StepProgress,
         },
         id::{
             JobId,
@@ -36,7 +36,7 @@
             left: (0..step.count).filter(|i| !ends.done.contains(i)).collect(),
             placed: false,
         });
-        let begun = |ends: &Ends| !ends.done.is_empty() || !ends.failures.is_empty();
+        let begun = |ends: &StepProgress| !ends.done.is_empty() || !ends.failures.is_empty();
         let job = Job {
             tickets: Vec::new(),
             service: accepted.service.clone(),
--- a/src/dispatch/requests.rs
+++ b/src/dispatch/requests.rs
@@ -220,14 +220,16 @@
             let message = Message::Verdict { serial, verdict };
             return out.messages.push((from.clone(), message));
         }
-        let act = self.durable.request(from, serial, job, question, now, out);
+        let act = self
+            .durable
+            .on_request(from, serial, job, question, now, out);
         if let Some(act) = act {
             self.act(vec![act], now, out);
         }
     }
 
     fn state(&self, job: JobId) -> Option<JobState> {
-        let state = self.durable.state(job)?.into();
+        let state = self.durable.stored_state(job)?.into();
         let queued = state == JobState::Running && !self.entry.started(job);
         Some(if queued { JobState::Queued } else { state })
     }
@@ -236,7 +238,7 @@
     fn rejection(&self, job: JobId, record: &Accepted) -> Option<Verdict> {
         // What a former coordinator accepted is known when the shard is held.
         let held = self.durable.knowledge(job.shard()) == Some(Knowledge::Held);
-        if !held || self.durable.knows(job) {
+        if !held || self.durable.contains(job) {
             return None;
         }
         let needed = self.entry.expect(&record.submission, &record.service);
--- a/tests/entry.rs
+++ b/tests/entry.rs
@@ -394,7 +394,7 @@
         objective: Span::seconds(1),
     };
     let mut out = Effects::default();
-    entry.run(JobId(7), &record, &Progress::begin(&record), NOW, NOW);
+    entry.run(JobId(7), &record, &Progress::new(&record), NOW, NOW);
     entry.begin(NOW, &mut out);
     batches(&out).remove(0)
 }
