--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -67,7 +67,7 @@
         Owner, //
     },
     ownership::{
-        Former,
+        FormerOwner,
         Startup, //
     },
     reading::Reading,
@@ -174,7 +174,7 @@
     /// The counts of changes, of members' claims and of its own, up to which `owners` is known.
     claims: Option<(u64, u64)>,
     /// Racks that nobody is heard to own, and that may still be somebody's.
-    former: BTreeMap<RackId, Former>,
+    former: BTreeMap<RackId, FormerOwner>,
     epoch: Epoch,
     /// Racks that were handed over, with the time of that.
     ceded: Vec<(Claim, Time)>,
@@ -336,7 +336,7 @@
             let messages = std::mem::take(&mut out.messages);
             if messages.is_empty() {
                 self.owner.work(now, out);
-                self.report_ends(now, out);
+                self.report_run_ends(now, out);
                 if out.messages.is_empty() {
                     return;
                 }
@@ -371,7 +371,7 @@
             }
             Input::Stored { call, reply } => {
                 let acts = self.durable.on_store_reply(call, reply, now, out);
-                self.act(acts, now, out);
+                self.apply_actions(acts, now, out);
                 self.call_store(now, out);
             }
             Input::Cancelled(job) => {
@@ -506,7 +506,7 @@
         self.owner.list(&roster.endpoints, now, out);
         self.roster = roster;
         self.list_racks();
-        self.deal(now, out);
+        self.update_ownership(now, out);
     }
 
     fn find(&mut self, contact: &Contact, now: Time, out: &mut Effects) {
@@ -554,14 +554,14 @@
                 self.entry.rooms(name, heartbeat.rooms);
             }
             if lives && !lived {
-                self.startup.heard(self.members.get(name), now);
+                self.startup.on_member_heard(self.members.get(name), now);
                 self.durable.recheck_empty();
                 self.greet(&from.contact, now, out);
             }
         }
         // What changes with time alone is found at the next tick.
         if self.members.claim_changes() != claims {
-            self.deal(now, out);
+            self.update_ownership(now, out);
         }
         if movable {
             self.want(now, out);
@@ -640,7 +640,7 @@
             } => {
                 let job = self.entry.report(serial, outcome, done, started, now, out);
                 if let Some(act) = job.and_then(|job| self.durable.fail_job(job)) {
-                    self.act(vec![act], now, out);
+                    self.apply_actions(vec![act], now, out);
                     self.call_store(now, out);
                 }
             }
@@ -660,7 +660,7 @@
                 to,
                 rooms,
             } => self.owner.spare(rack, to, rooms, out),
-            Message::Handover(handover) => self.take_over(*handover, now, out),
+            Message::Handover(handover) => self.accept_handover(*handover, now, out),
             Message::Moved { serial, to, moves } => {
                 let lost = to != self.identity.contact.name
                     && self.members.get(&to).is_none_or(|member| !member.live);
@@ -698,7 +698,7 @@
                 let batch = batch.map(|(_, serial)| *serial);
                 let batch = batch.filter(|serial| self.entry.has_out(*serial));
                 let act = self.durable.on_run_end(from, &end, batch, out);
-                self.act(act.into_iter().collect(), now, out);
+                self.apply_actions(act.into_iter().collect(), now, out);
                 self.call_store(now, out);
             }
             Message::Noted {
@@ -714,7 +714,7 @@
     fn awake(&mut self, now: Time, out: &mut Effects) {
         out.outputs.push(Output::Log(Record::new("awoke")));
         let acts = self.durable.release_all(out);
-        self.act(acts, now, out);
+        self.apply_actions(acts, now, out);
         self.owner.void(&self.identity.contact.name);
         for member in self.members.expire_all(now) {
             out.outputs.push(Output::Session {
@@ -747,7 +747,7 @@
                 session: member.session,
             });
             let claims = member.status.map_or_else(Vec::new, |status| status.racks);
-            self.remember(&name, &claims, now);
+            self.add_former_owner(&name, &claims, now);
             self.owner.abandon(&name, out);
             self.entry.lost(&name, now, out);
             self.durable.require_lock_checks(now);
@@ -756,12 +756,12 @@
 
     fn tick(&mut self, now: Time, out: &mut Effects) {
         self.ceded.retain(|(_, at)| now.since(*at) < CEDED);
-        self.deal(now, out);
-        self.rebalance(now, out);
+        self.update_ownership(now, out);
+        self.rebalance_racks(now, out);
         self.choose_readers(now, out);
         if now.since(self.coordinated) >= COORDINATE {
             self.coordinated = now;
-            self.coordinate(now, out);
+            self.update_coordination(now, out);
         }
         self.call_store(now, out);
         self.ask_again(now, out);
--- a/src/dispatch/coordination.rs
+++ b/src/dispatch/coordination.rs
@@ -23,11 +23,11 @@
     /// Lets the shards do what is due, with the calls to the store that it takes.
     pub(super) fn call_store(&mut self, now: Time, out: &mut Effects) {
         let acts = self.durable.run_due(now, out);
-        self.act(acts, now, out);
+        self.apply_actions(acts, now, out);
     }
 
     /// Does what a shard's rows ask for.
-    pub(super) fn act(&mut self, acts: Vec<Action>, now: Time, out: &mut Effects) {
+    pub(super) fn apply_actions(&mut self, acts: Vec<Action>, now: Time, out: &mut Effects) {
         for act in acts {
             match act {
                 Action::Run(job, at) => {
@@ -65,7 +65,7 @@
     }
 
     /// Decides which shards it coordinates: those of nobody else, by their weight, until it ends.
-    pub(super) fn coordinate(&mut self, now: Time, out: &mut Effects) {
+    pub(super) fn update_coordination(&mut self, now: Time, out: &mut Effects) {
         if now.since(self.began) < STARTUP_DELAY {
             return;
         }
@@ -103,7 +103,7 @@
                 }
             }
         }
-        self.act(acts, now, out);
+        self.apply_actions(acts, now, out);
     }
 
     /// Returns the live members that claim a shard.
@@ -123,7 +123,7 @@
     }
 
     /// Reports ends that must be stored to the coordinators of their shards.
-    pub(super) fn report_ends(&mut self, now: Time, out: &mut Effects) {
+    pub(super) fn report_run_ends(&mut self, now: Time, out: &mut Effects) {
         let ends = self.owner.unstored(now);
         if ends.is_empty() {
             return;
--- a/src/dispatch/ownership.rs
+++ b/src/dispatch/ownership.rs
@@ -51,7 +51,7 @@
 
 /// A rack whose owner has fallen silent, or has fenced this instance off.
 #[derive(Debug, Clone)]
-pub(super) struct Former {
+pub(super) struct FormerOwner {
     /// Who owned it, as far as is known.
     pub(super) owner: Option<Instance>,
     /// The highest token known there.
@@ -74,7 +74,7 @@
 
 impl Startup {
     /// Takes note of a member that is heard for the first time, or again.
-    pub(super) fn heard(&mut self, member: Option<&Member>, now: Time) {
+    pub(super) fn on_member_heard(&mut self, member: Option<&Member>, now: Time) {
         self.last = Some(now);
         let status = member.and_then(|member| member.status.as_ref());
         match status.is_some_and(|status| !status.racks.is_empty()) {
@@ -102,7 +102,7 @@
     }
 
     /// Decides who owns what: gives up what another owns with a higher token, claims what nobody owns.
-    pub(super) fn deal(&mut self, now: Time, out: &mut Effects) {
+    pub(super) fn update_ownership(&mut self, now: Time, out: &mut Effects) {
         self.update_owners();
         let owners = self.owners.clone();
         let lost: Vec<RackId> = self
@@ -116,7 +116,7 @@
         }
         for (rack, token) in self.owner.take_fenced() {
             self.epoch = Epoch(self.epoch.0 + LEAP);
-            let former = Former {
+            let former = FormerOwner {
                 owner: None,
                 token,
                 since: now,
@@ -126,21 +126,21 @@
         }
         self.former.retain(|rack, _| !owners.contains_key(rack));
         if self.draining() {
-            self.hand_over(now, out);
+            self.hand_over_all(now, out);
         } else if self.settled(now) {
             self.update_owners();
-            self.claim(now, out);
+            self.claim_orphans(now, out);
         }
         self.update_owners();
     }
 
-    fn claim(&mut self, now: Time, out: &mut Effects) {
+    fn claim_orphans(&mut self, now: Time, out: &mut Effects) {
         let orphans = self.entry.orphans();
         if orphans.is_empty() {
             return;
         }
         let own = &self.identity.contact.name;
-        let mut candidates = self.candidates();
+        let mut candidates = self.rack_candidates();
         candidates.push(Candidate {
             name: own.clone(),
             centre: self.identity.centre.clone(),
@@ -154,7 +154,7 @@
             .collect();
         let mine: Vec<RackId> = mine
             .into_iter()
-            .filter(|rack| self.is_free(*rack, now, out))
+            .filter(|rack| self.is_claimable(*rack, now, out))
             .collect();
         if mine.is_empty() {
             return;
@@ -169,7 +169,7 @@
     }
 
     /// Tells whether a rack that nobody is heard to own can be claimed.
-    pub(super) fn is_free(&mut self, rack: RackId, now: Time, out: &mut Effects) -> bool {
+    pub(super) fn is_claimable(&mut self, rack: RackId, now: Time, out: &mut Effects) -> bool {
         let Some(former) = self.former.get(&rack).cloned() else {
             return true;
         };
@@ -188,9 +188,9 @@
     }
 
     /// Takes note of racks whose owner isn't heard any more.
-    pub(super) fn remember(&mut self, owner: &Instance, claims: &[Claim], now: Time) {
+    pub(super) fn add_former_owner(&mut self, owner: &Instance, claims: &[Claim], now: Time) {
         for claim in claims {
-            let former = Former {
+            let former = FormerOwner {
                 owner: Some(owner.clone()),
                 token: claim.token,
                 since: now,
@@ -200,7 +200,7 @@
         }
     }
 
-    pub(super) fn candidates(&self) -> Vec<Candidate> {
+    pub(super) fn rack_candidates(&self) -> Vec<Candidate> {
         let members = self.members.available();
         let candidate = |m: &Member| {
             let status = m.status.as_ref()?;
@@ -248,7 +248,7 @@
     /// Racks of an instance that was restarted stay with those that took them over. Without a way back, a data
     /// centre whose only instance had been restarted owned none of its racks, and when it was cut off they could be
     /// used by neither side.
-    pub(super) fn rebalance(&mut self, now: Time, out: &mut Effects) {
+    pub(super) fn rebalance_racks(&mut self, now: Time, out: &mut Effects) {
         if self.draining() || now.since(self.rebalanced) < REBALANCE {
             return;
         }
@@ -257,7 +257,8 @@
             let member = self.members.get(&c.name);
             member.is_some_and(|m| m.live && now.since(m.state_since) >= STEADY)
         };
-        let candidates: Vec<Candidate> = self.candidates().into_iter().filter(steady).collect();
+        let candidates: Vec<Candidate> =
+            self.rack_candidates().into_iter().filter(steady).collect();
         let centres: HashMap<RackId, String> = self.entry.racks().into_iter().collect();
         let own: Vec<RackId> = self.owner.racks().map(|(rack, _)| rack).collect();
         let burden = |racks: usize, share: u32| racks as u64 * 1_000_000 / u64::from(share.max(1));
@@ -273,12 +274,12 @@
             };
             if centre != home || burden(next.racks + 1, next.share) < mine {
                 let next = next.name.clone();
-                return self.give(rack, &next, now, out);
+                return self.hand_over_rack(rack, &next, now, out);
             }
         }
     }
 
-    fn give(&mut self, rack: RackId, to: &Instance, now: Time, out: &mut Effects) {
+    fn hand_over_rack(&mut self, rack: RackId, to: &Instance, now: Time, out: &mut Effects) {
         let Some(member) = self.members.get(to) else {
             return;
         };
@@ -293,7 +294,7 @@
     }
 
     /// Gives all racks to members that stay.
-    pub(super) fn hand_over(&mut self, now: Time, out: &mut Effects) {
+    pub(super) fn hand_over_all(&mut self, now: Time, out: &mut Effects) {
         let racks: Vec<RackId> = self.owner.racks().map(|(rack, _)| rack).collect();
         if racks.is_empty() {
             return;
@@ -301,12 +302,12 @@
         let centres: HashMap<RackId, String> = self.entry.racks().into_iter().collect();
         let with_centre = |rack: &RackId| (*rack, centres.get(rack).cloned().unwrap_or_default());
         let racks: Vec<(RackId, String)> = racks.iter().map(with_centre).collect();
-        for (rack, name) in assign_racks(&racks, &mut self.candidates()) {
-            self.give(rack, &name, now, out);
+        for (rack, name) in assign_racks(&racks, &mut self.rack_candidates()) {
+            self.hand_over_rack(rack, &name, now, out);
         }
     }
 
-    pub(super) fn take_over(&mut self, handover: Handover, now: Time, out: &mut Effects) {
+    pub(super) fn accept_handover(&mut self, handover: Handover, now: Time, out: &mut Effects) {
         self.epoch = self.epoch.max(handover.token.epoch());
         let token = self.next_token();
         self.owner
@@ -314,7 +315,7 @@
         self.update_owners();
         self.announced = Time::default();
         if self.draining() {
-            self.hand_over(now, out);
+            self.hand_over_all(now, out);
         }
     }
 }
--- a/src/dispatch/requests.rs
+++ b/src/dispatch/requests.rs
@@ -224,7 +224,7 @@
             .durable
             .on_request(from, serial, job, question, now, out);
         if let Some(act) = act {
-            self.act(vec![act], now, out);
+            self.apply_actions(vec![act], now, out);
         }
     }
 
