--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -18,7 +18,7 @@
 pub mod pace;
 pub mod patience;
 pub mod queue;
-mod reading;
+mod reader;
 mod requests;
 pub mod roster;
 pub mod route;
@@ -70,7 +70,7 @@
         FormerOwner,
         Startup, //
     },
-    reading::Reading,
+    reader::Reader,
     requests::Requests,
     route::Configuration,
 };
@@ -168,7 +168,7 @@
     evacuation: Evacuation,
     roster: Roster,
     listed: bool,
-    reading: Reading,
+    reading: Reader,
     /// The owner of each rack that another instance has, with its token.
     owners: Rc<HashMap<RackId, (Instance, Token)>>,
     /// The counts of changes, of members' claims and of its own, up to which `owners` is known.
@@ -218,7 +218,7 @@
             evacuation: Evacuation::default(),
             roster: Roster::default(),
             listed: false,
-            reading: Reading::default(),
+            reading: Reader::default(),
             owners: Rc::default(),
             claims: None,
             former: BTreeMap::new(),
@@ -376,22 +376,22 @@
             }
             Input::Cancelled(job) => {
                 if !self.entry.cancel(job, now, out) {
-                    self.tell_all(Message::CancelJob(job), out);
+                    self.broadcast(Message::CancelJob(job), out);
                 }
             }
             Input::Configured(configuration) => self.configure(*configuration, "store", out),
             Input::Evacuated(evacuation) => self.evacuate(evacuation, "store", now, out),
             Input::EvacuationChanged(change) => {
-                if let Some(evacuation) = self.evacuation.with(&change) {
+                if let Some(evacuation) = self.evacuation.with_change(&change) {
                     self.evacuate(evacuation, "store", now, out);
                 }
             }
             Input::Listed(roster) => {
                 let earlier = self.roster.clone();
                 self.list(roster, now, out);
-                self.tell_change(&earlier, out);
+                self.send_roster_change(&earlier, out);
             }
-            Input::Read(done) => self.reading.note(done, now),
+            Input::Read(done) => self.reading.on_read(done, now),
             Input::Found(contacts) => {
                 for contact in contacts {
                     self.find(&contact, now, out);
@@ -516,7 +516,7 @@
         if self.members.add(contact, now) {
             let record = Record::new("member_found").with("member", contact.name.as_str());
             out.outputs.push(Output::Log(record));
-            self.heartbeat(slice::from_ref(&contact.name), &[], now, out);
+            self.send_heartbeats(slice::from_ref(&contact.name), &[], now, out);
         }
     }
 
@@ -556,7 +556,7 @@
             if lives && !lived {
                 self.startup.on_member_heard(self.members.get(name), now);
                 self.durable.recheck_empty();
-                self.greet(&from.contact, now, out);
+                self.introduce(&from.contact, now, out);
             }
         }
         // What changes with time alone is found at the next tick.
@@ -564,7 +564,7 @@
             self.update_ownership(now, out);
         }
         if movable {
-            self.want(now, out);
+            self.request_waiting_tasks(now, out);
         }
     }
 
@@ -671,7 +671,7 @@
                 }
             }
             Message::RosterChange(change) => {
-                if let Some(roster) = self.roster.with(&change).filter(|_| self.listed) {
+                if let Some(roster) = self.roster.with_change(&change).filter(|_| self.listed) {
                     self.list(roster, now, out);
                 }
             }
@@ -758,7 +758,7 @@
         self.ceded.retain(|(_, at)| now.since(*at) < CEDED);
         self.update_ownership(now, out);
         self.rebalance_racks(now, out);
-        self.choose_readers(now, out);
+        self.decide_reading(now, out);
         if now.since(self.coordinated) >= COORDINATE {
             self.coordinated = now;
             self.update_coordination(now, out);
@@ -771,7 +771,7 @@
             self.audit = now;
             self.entry.audit(now, out);
         }
-        self.tell(now, out);
+        self.send_due_heartbeats(now, out);
         if self.closed(now) && !self.shut {
             self.shut = true;
             out.outputs.push(Output::Closed);
--- a/src/dispatch/announcement.rs
+++ b/src/dispatch/announcement.rs
@@ -43,7 +43,7 @@
 
 impl Dispatcher {
     /// Tells a member that has just come all that it must know to place tasks.
-    pub(super) fn greet(&mut self, to: &Contact, now: Time, out: &mut Effects) {
+    pub(super) fn introduce(&mut self, to: &Contact, now: Time, out: &mut Effects) {
         let record = Record::new("member_heard").with("member", to.name.as_str());
         out.outputs.push(Output::Log(record));
         let members = self.members.live().map(|m| m.contact.clone()).collect();
@@ -51,11 +51,11 @@
         let rooms = self.owner.vacancies(now);
         let own = self.identity.contact.name.clone();
         self.entry.rooms(&own, rooms.clone());
-        self.heartbeat(slice::from_ref(&to.name), &rooms, now, out);
+        self.send_heartbeats(slice::from_ref(&to.name), &rooms, now, out);
     }
 
     /// Sends heartbeats with `rooms` to members.
-    pub(super) fn heartbeat(
+    pub(super) fn send_heartbeats(
         &mut self,
         to: &[Instance],
         rooms: &[Vacancy],
@@ -72,12 +72,12 @@
             let tell = |name| self.members.mark_heartbeat_sent(name, now);
             let to: Vec<Contact> = names.iter().filter_map(tell).collect();
             if !to.is_empty() {
-                self.send_heartbeat(&to, watching, rooms, now, out);
+                self.push_heartbeats(&to, watching, rooms, now, out);
             }
         }
     }
 
-    fn send_heartbeat(
+    fn push_heartbeats(
         &self,
         to: &[Contact],
         watching: bool,
@@ -118,7 +118,7 @@
         }
     }
 
-    pub(super) fn tell_all(&self, message: Message, out: &mut Effects) {
+    pub(super) fn broadcast(&self, message: Message, out: &mut Effects) {
         for member in self.members.live() {
             out.messages.push((member.contact.clone(), message.clone()));
         }
@@ -126,19 +126,19 @@
 
     /// Tells peers that it lives, and of room that has changed: those that it watches closely often, the others at their
     /// interval, and all of them where something changed that they must know.
-    pub(super) fn tell(&mut self, now: Time, out: &mut Effects) {
-        self.watch(now);
-        let some = self.due(now);
+    pub(super) fn send_due_heartbeats(&mut self, now: Time, out: &mut Effects) {
+        self.watch_work_peers(now);
+        let some = self.due_members(now);
         if !some.is_empty() {
             let rooms = self.owner.vacancies(now);
-            self.heartbeat(&some, &rooms, now, out);
+            self.send_heartbeats(&some, &rooms, now, out);
         }
-        self.tell_close(now, out);
+        self.send_frequent_heartbeats(now, out);
     }
 
     /// Returns the members that are to be told by themselves: those that are watched closely since just now, and of the others
     /// those whose turn it is.
-    fn due(&self, now: Time) -> Vec<Instance> {
+    fn due_members(&self, now: Time) -> Vec<Instance> {
         let urgent = self.announced == Time::default();
         let distant = self
             .members
@@ -167,7 +167,7 @@
         due.into_iter().map(|m| m.contact.name.clone()).collect()
     }
 
-    fn tell_close(&mut self, now: Time, out: &mut Effects) {
+    fn send_frequent_heartbeats(&mut self, now: Time, out: &mut Effects) {
         let close = self
             .members
             .all()
@@ -193,13 +193,13 @@
             .all()
             .filter(|m| m.has_frequent_heartbeats(now));
         let close: Vec<Instance> = close.map(|m| m.contact.name.clone()).collect();
-        self.heartbeat(&close, &rooms, now, out);
-        self.want(now, out);
+        self.send_heartbeats(&close, &rooms, now, out);
+        self.request_waiting_tasks(now, out);
     }
 
     /// Watches those closely with which it shares work: their death must be found before their callers, or its own, come
     /// again, and their room decides where the next tasks go.
-    fn watch(&mut self, now: Time) {
+    fn watch_work_peers(&mut self, now: Time) {
         self.members.choose_neighbours(now);
         for name in self.entry.owners() {
             self.members.watch_closely(name, now);
@@ -210,7 +210,7 @@
     }
 
     /// Asks owners whose racks have tasks waiting for some, where an own rack has room and nothing waits.
-    pub(super) fn want(&mut self, now: Time, out: &mut Effects) {
+    pub(super) fn request_waiting_tasks(&mut self, now: Time, out: &mut Effects) {
         if self.draining() {
             return;
         }
--- a/src/dispatch/evacuation.rs
+++ b/src/dispatch/evacuation.rs
@@ -39,7 +39,7 @@
     /// Returns what holds after a change; none where the change is known already.
     ///
     /// A feed may tell late what a peer has told of before, and must not bring it back.
-    pub fn with(&self, change: &Change) -> Option<Self> {
+    pub fn with_change(&self, change: &Change) -> Option<Self> {
         if change.version <= self.version {
             return None;
         }
--- a/src/dispatch/reading.rs
+++ b/src/dispatch/reader.rs
@@ -45,7 +45,7 @@
 
 /// Whether this instance reads the list of endpoints from the store.
 #[derive(Debug, Default)]
-pub(super) struct Reading {
+pub(super) struct Reader {
     /// When it has read last, unless a later call failed.
     read: Option<Time>,
     /// Whether it is to read.
@@ -54,9 +54,9 @@
     lacking: Option<Time>,
 }
 
-impl Reading {
+impl Reader {
     /// Takes note of how a call to the store ended.
-    pub(super) fn note(&mut self, done: bool, now: Time) {
+    pub(super) fn on_read(&mut self, done: bool, now: Time) {
         self.read = done.then_some(now);
     }
 
@@ -100,7 +100,7 @@
     }
 
     /// Returns the list with a change, unless it lacks what came before the change, or has newer ones.
-    pub fn with(&self, change: &RosterChange) -> Option<Self> {
+    pub fn with_change(&self, change: &RosterChange) -> Option<Self> {
         if self.version < change.after || self.version > change.version {
             return None;
         }
@@ -116,12 +116,12 @@
 
 impl Dispatcher {
     /// Tells whether this instance is to read the list of endpoints from the store.
-    pub fn reads(&self) -> bool {
+    pub fn reads_roster(&self) -> bool {
         !self.listed || self.reading.due
     }
 
     /// Decides whether to read the list of endpoints.
-    pub(super) fn choose_readers(&mut self, now: Time, out: &mut Effects) {
+    pub(super) fn decide_reading(&mut self, now: Time, out: &mut Effects) {
         let near = self.members.available();
         let near = near.filter(|member| member.centre == self.identity.centre);
         let own = preference(self.identity.share, &self.identity.contact.name);
@@ -143,7 +143,7 @@
     }
 
     /// Tells the members of the data centre that don't read what has changed on the list of endpoints.
-    pub(super) fn tell_change(&self, earlier: &Roster, out: &mut Effects) {
+    pub(super) fn send_roster_change(&self, earlier: &Roster, out: &mut Effects) {
         let change = self.roster.changes_since(earlier);
         if change.changed.len() + change.gone.len() > LARGEST {
             return;
--- a/src/dispatch/roster.rs
+++ b/src/dispatch/roster.rs
@@ -47,7 +47,7 @@
 
 impl Cache {
     /// Takes note that the store failed.
-    pub fn fail(&mut self) {
+    pub fn on_store_failure(&mut self) {
         self.store = Store::Away;
     }
 
@@ -55,7 +55,7 @@
     ///
     /// Endpoints have their time from its return on, not from the last call that failed: that may have been a second before, and
     /// a quarter of all endpoints were taken for gone that were just about to write their entries anew.
-    pub fn answered(&mut self, now: Time) {
+    pub fn on_store_answer(&mut self, now: Time) {
         match self.store {
             Store::Away => self.store = Store::Back(now),
             Store::Back(since) if now.since(since) >= RETURN => self.store = Store::Well,
@@ -65,7 +65,7 @@
 
     /// Takes over what peers told of endpoints that this instance hasn't read itself. One that starts while the store is away
     /// knows them from its peers alone; those that are missing when the store returns are no more gone for it than for them.
-    pub fn adopt(&mut self, roster: &Roster) {
+    pub fn merge_peer_roster(&mut self, roster: &Roster) {
         if roster.version < self.version {
             return;
         }
@@ -110,14 +110,14 @@
 
     /// Takes note that a row doesn't name an endpoint any more, outage or not: its endpoint may be anything now, and gets no
     /// task.
-    pub fn revoke(&mut self, id: &Endpoint, version: u64) {
+    pub fn remove_at_once(&mut self, id: &Endpoint, version: u64) {
         if self.entries.remove(id).is_some() {
             self.change(version);
         }
     }
 
     /// Takes the whole list anew: what is not in it has vanished.
-    pub fn replace(&mut self, listings: Vec<(Listing, u64)>, now: Time) {
+    pub fn replace_all(&mut self, listings: Vec<(Listing, u64)>, now: Time) {
         let version = listings.iter().map(|(_, v)| *v).max();
         let version = version.unwrap_or(self.version).max(self.version);
         let listed = |id: &Endpoint| listings.iter().any(|(listing, _)| listing.id == *id);
@@ -146,7 +146,7 @@
     }
 
     /// Returns the list if it has changed since it was taken last.
-    pub fn take(&mut self, now: Time) -> Option<Roster> {
+    pub fn take_changed(&mut self, now: Time) -> Option<Roster> {
         if !self.may_lapse(now) {
             let before = self.entries.len();
             self.entries.retain(|_, entry| entry.lapsed.is_none());
--- a/src/instance/feeds.rs
+++ b/src/instance/feeds.rs
@@ -288,7 +288,7 @@
     let cache = RefCell::new(Cache::default());
     let mut version = None;
     loop {
-        if !hub.look(Dispatcher::reads) {
+        if !hub.look(Dispatcher::reads_roster) {
             // What others tell meanwhile isn't in what was read before.
             version = None;
             sleep(FOLLOWING).await;
@@ -298,17 +298,19 @@
         hub.feed(Input::Read(read.is_ok()));
         match read {
             Ok((rows, at)) => {
-                cache.borrow_mut().answered(now());
+                cache.borrow_mut().on_store_answer(now());
                 if version.is_none() {
-                    hub.look(|dispatcher| cache.borrow_mut().adopt(dispatcher.roster()));
+                    hub.look(|dispatcher| {
+                        cache.borrow_mut().merge_peer_roster(dispatcher.roster())
+                    });
                 }
                 take_endpoints(&client, &cache, rows, version.is_none());
                 version = Some(at);
             }
             Err(Failure::Status(status)) if store::lacks_history(status) => version = None,
-            Err(_) => cache.borrow_mut().fail(),
+            Err(_) => cache.borrow_mut().on_store_failure(),
         }
-        let roster = cache.borrow_mut().take(now());
+        let roster = cache.borrow_mut().take_changed(now());
         if let Some(roster) = roster.filter(|_| version.is_some()) {
             hub.feed(Input::Listed(roster));
         }
@@ -337,13 +339,13 @@
             Err(fault) => {
                 client.malformed(record::ENDPOINTS, &row.key, &fault);
                 if let Ok(id) = row.key.parse::<Endpoint>() {
-                    cache.revoke(&id, row.version);
+                    cache.remove_at_once(&id, row.version);
                 }
             }
         }
     }
     if whole {
-        cache.replace(listings, now());
+        cache.replace_all(listings, now());
     }
 }
 
--- a/tests/dispatch/world.rs
+++ b/tests/dispatch/world.rs
@@ -712,7 +712,7 @@
             evacuated,
             version: self.evacuation.version + 1,
         };
-        self.evacuation = self.evacuation.with(&change).unwrap();
+        self.evacuation = self.evacuation.with_change(&change).unwrap();
         for i in 0..self.hosts.len() {
             if !self.turned_away.contains(&i) && !self.frozen(i) {
                 self.feed(i, Input::EvacuationChanged(change.clone()));
--- a/tests/fleet/readers.rs
+++ b/tests/fleet/readers.rs
@@ -61,7 +61,7 @@
 
 fn readers(fleet: &Fleet) -> Vec<usize> {
     let alive = (0..COUNT).filter(|i| !fleet.dead.contains(i));
-    alive.filter(|i| fleet.hosts[*i].reads()).collect()
+    alive.filter(|i| fleet.hosts[*i].reads_roster()).collect()
 }
 
 fn start() -> Fleet {
@@ -133,12 +133,15 @@
     let versions: Vec<Roster> = (1..5).map(|v| roster(v, v as usize)).collect();
     let change = |from: usize, to: usize| versions[to].changes_since(&versions[from]);
     assert_eq!(
-        versions[0].with(&change(0, 1)).as_ref().map(|r| r.version),
+        versions[0]
+            .with_change(&change(0, 1))
+            .as_ref()
+            .map(|r| r.version),
         Some(2)
     );
-    assert_eq!(versions[0].with(&change(1, 2)), None);
-    assert_eq!(versions[3].with(&change(1, 2)), None);
-    let known = versions[1].with(&change(0, 3)).unwrap();
+    assert_eq!(versions[0].with_change(&change(1, 2)), None);
+    assert_eq!(versions[3].with_change(&change(1, 2)), None);
+    let known = versions[1].with_change(&change(0, 3)).unwrap();
     let leaving = known.endpoints.iter().filter(|l| l.draining).count();
     assert_eq!((known.version, leaving), (4, 4));
 }
--- a/tests/roster.rs
+++ b/tests/roster.rs
@@ -37,10 +37,10 @@
 
 fn cache(ids: &[&str]) -> Cache {
     let mut cache = Cache::default();
-    cache.answered(at(0));
+    cache.on_store_answer(at(0));
     let listings = ids.iter().map(|id| (listing(id), 1));
-    cache.replace(listings.collect(), at(0));
-    cache.take(at(0));
+    cache.replace_all(listings.collect(), at(0));
+    cache.take_changed(at(0));
     cache
 }
 
@@ -49,16 +49,18 @@
 #[test]
 fn entries_have_their_time_from_the_return_on() {
     let mut cache = cache(&["i-1", "i-2"]);
-    cache.fail();
-    cache.answered(at(1_000));
+    cache.on_store_failure();
+    cache.on_store_answer(at(1_000));
     cache.remove(&"i-2".parse().unwrap(), 5, at(1_000));
-    cache.answered(at(2_900));
-    assert_eq!(cache.take(at(2_900)), None);
+    cache.on_store_answer(at(2_900));
+    assert_eq!(cache.take_changed(at(2_900)), None);
     cache.set(listing("i-2"), 7);
-    assert!(cache.take(at(3_000)).is_none_or(|r| r.endpoints.len() == 2));
-    cache.answered(at(6_000));
+    assert!(cache
+        .take_changed(at(3_000))
+        .is_none_or(|r| r.endpoints.len() == 2));
+    cache.on_store_answer(at(6_000));
     cache.remove(&"i-2".parse().unwrap(), 9, at(6_000));
-    let roster = cache.take(at(6_000)).unwrap();
+    let roster = cache.take_changed(at(6_000)).unwrap();
     assert_eq!(names(&roster), ["i-1"]);
 }
 
@@ -68,18 +70,18 @@
 #[test]
 fn an_instance_that_starts_in_an_outage_keeps_what_peers_told() {
     let mut cache = Cache::default();
-    cache.fail();
+    cache.on_store_failure();
     let told = Roster {
         version: 3,
         endpoints: vec![listing("i-1"), listing("i-2")],
     };
-    cache.answered(at(500));
-    cache.adopt(&told);
-    cache.replace(vec![(listing("i-1"), 5)], at(500));
-    let roster = cache.take(at(500));
+    cache.on_store_answer(at(500));
+    cache.merge_peer_roster(&told);
+    cache.replace_all(vec![(listing("i-1"), 5)], at(500));
+    let roster = cache.take_changed(at(500));
     assert!(roster.is_none_or(|r| names(&r) == ["i-1", "i-2"]));
-    cache.answered(at(3_000));
-    let roster = cache.take(at(3_000)).unwrap();
+    cache.on_store_answer(at(3_000));
+    let roster = cache.take_changed(at(3_000)).unwrap();
     assert_eq!(names(&roster), ["i-1"]);
 }
 
@@ -87,7 +89,7 @@
 #[test]
 fn vanished_entries_are_gone_at_once_in_quiet_times() {
     let mut cache = cache(&["i-1", "i-2"]);
-    cache.answered(at(9_000));
-    cache.replace(vec![(listing("i-1"), 1)], at(9_000));
-    assert_eq!(names(&cache.take(at(9_000)).unwrap()), ["i-1"]);
+    cache.on_store_answer(at(9_000));
+    cache.replace_all(vec![(listing("i-1"), 1)], at(9_000));
+    assert_eq!(names(&cache.take_changed(at(9_000)).unwrap()), ["i-1"]);
 }
