--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -60,9 +60,9 @@
 #[test]
 fn calm_jobs_complete() {
     let mut world = World::new(1, 3, 2, CALM);
-    world.load(60, Span::millis(150));
+    world.submit_jobs(60, Span::millis(150));
     world.run(Span::seconds(12));
-    world.settle();
+    world.finish_and_check();
     assert_eq!(world.count(completed), 60);
     assert_eq!(world.stopped, 0);
 }
@@ -74,10 +74,10 @@
 fn owner_dies() {
     for seed in 0..10 {
         let mut world = World::new(seed, 3, 2, CALM);
-        world.load(60, Span::millis(150));
+        world.submit_jobs(60, Span::millis(150));
         world.kill_at(Span::millis(1_500), 1 + seed as usize % 2, Span::seconds(1));
         world.run(Span::seconds(12));
-        world.settle();
+        world.finish_and_check();
         assert!(world.count(completed) > 50, "{}", world.count(completed));
     }
 }
@@ -88,10 +88,10 @@
 fn frozen_owner_wakes() {
     for seed in 0..10 {
         let mut world = World::new(seed, 3, 2, CALM);
-        world.load(60, Span::millis(150));
+        world.submit_jobs(60, Span::millis(150));
         world.freeze_at(Span::millis(1_000), 1, Span::millis(3_500));
         world.run(Span::seconds(9));
-        world.settle();
+        world.finish_and_check();
     }
 }
 
@@ -102,10 +102,10 @@
 fn instances_cut_apart() {
     for seed in 0..10 {
         let mut world = World::new(seed, 4, 4, CALM);
-        world.load(60, Span::millis(150));
-        world.cut_at(Span::millis(1_000), &[0, 1], Span::seconds(4));
+        world.submit_jobs(60, Span::millis(150));
+        world.partition_at(Span::millis(1_000), &[0, 1], Span::seconds(4));
         world.run(Span::seconds(9));
-        world.settle();
+        world.finish_and_check();
         assert!(world.count(completed) >= 50, "{}", world.count(completed));
         assert!(world.stopped <= 30, "{} stops", world.stopped);
     }
@@ -118,9 +118,9 @@
     let faults = Faults { late: 0.1, ..CALM };
     for seed in 0..10 {
         let mut world = World::new(seed, 3, 2, faults);
-        world.load(60, Span::millis(150));
+        world.submit_jobs(60, Span::millis(150));
         world.run(Span::seconds(12));
-        world.settle();
+        world.finish_and_check();
         assert!(world.count(completed) > 54, "{}", world.count(completed));
     }
 }
@@ -131,11 +131,11 @@
 fn endpoints_fall_silent() {
     for seed in 0..10 {
         let mut world = World::new(seed, 3, 2, CALM);
-        world.load(60, Span::millis(150));
-        world.silence_at(Span::millis(1_000), 0, Span::seconds(3));
-        world.silence_at(Span::millis(1_500), 5, Span::seconds(3));
+        world.submit_jobs(60, Span::millis(150));
+        world.mute_endpoint_at(Span::millis(1_000), 0, Span::seconds(3));
+        world.mute_endpoint_at(Span::millis(1_500), 5, Span::seconds(3));
         world.run(Span::seconds(12));
-        world.settle();
+        world.finish_and_check();
         assert!(world.count(completed) > 54, "{}", world.count(completed));
     }
 }
@@ -144,10 +144,10 @@
 #[test]
 fn endpoint_crashes() {
     let mut world = World::new(3, 3, 2, CALM);
-    world.load(60, Span::millis(150));
+    world.submit_jobs(60, Span::millis(150));
     world.crash_at(Span::millis(1_000), 2);
     world.run(Span::seconds(12));
-    world.settle();
+    world.finish_and_check();
     assert_eq!(world.count(completed), 60);
 }
 
@@ -155,12 +155,12 @@
 #[test]
 fn leaving_endpoint_gets_nothing_new() {
     let mut world = World::new(4, 3, 2, CALM);
-    world.load(60, Span::millis(150));
+    world.submit_jobs(60, Span::millis(150));
     world.leave_at(Span::millis(1_000), 2);
     world.run(Span::millis(1_000));
     let left = world.now;
     world.run(Span::seconds(7));
-    world.settle();
+    world.finish_and_check();
     assert_eq!(world.starts_on(2, left + Span::millis(5)), 0);
     assert_eq!(world.count(completed), 60);
 }
@@ -171,11 +171,11 @@
 fn drain_cuts_nothing_off() {
     for seed in 0..10 {
         let mut world = World::new(seed, 3, 2, CALM);
-        world.load(60, Span::millis(150));
+        world.submit_jobs(60, Span::millis(150));
         // The two that own a rack, by turns.
         world.drain_at(Span::millis(1_000), 1 + seed as usize % 2);
         world.run(Span::seconds(12));
-        world.settle();
+        world.finish_and_check();
         assert_eq!(world.hosts_up, 2);
         assert_eq!(world.stopped, 0, "seed {seed}");
         let refused = |a: &Answer| matches!(a, Answer::Refused { .. });
@@ -193,7 +193,7 @@
 fn racks_return_home() {
     for seed in 0..5 {
         let mut world = World::new(seed, 3, 2, CALM);
-        world.load(60, Span::millis(150));
+        world.submit_jobs(60, Span::millis(150));
         world.kill_at(Span::millis(500), 1, Span::seconds(1));
         world.run(Span::millis(2_500));
         assert_eq!(world.racks_of(1), 0);
@@ -202,7 +202,7 @@
         assert_eq!(world.racks_of(1), 1);
         assert_eq!(world.stopped, stopped, "seed {seed}");
         world.run(Span::seconds(8));
-        world.settle();
+        world.finish_and_check();
     }
 }
 
@@ -211,16 +211,16 @@
 #[test]
 fn all_die_and_come_back() {
     let mut world = World::new(8, 3, 2, CALM);
-    world.load(20, Span::millis(150));
+    world.submit_jobs(20, Span::millis(150));
     world.run(Span::millis(2_500));
     for i in 0..3 {
         world.kill_at(Span::millis(1), i, Span::millis(1_000));
     }
     world.run(Span::millis(2_200));
     let before = world.count(completed);
-    world.load(20, Span::millis(100));
+    world.submit_jobs(20, Span::millis(100));
     world.run(Span::millis(3_000));
-    world.settle();
+    world.finish_and_check();
     assert!(world.count(completed) - before >= 20);
 }
 
@@ -232,9 +232,9 @@
         ..CALM
     };
     let mut world = World::new(6, 3, 2, faults);
-    world.load(60, Span::millis(150));
+    world.submit_jobs(60, Span::millis(150));
     world.run(Span::seconds(12));
-    world.settle();
+    world.finish_and_check();
     assert!(world.count(completed) > 50, "{}", world.count(completed));
 }
 
@@ -256,13 +256,13 @@
     // With them callers were told what is untrue: with 133 "complete" (1 of 400 seeds), with the others "not run" (7 of 400).
     for seed in [19, 33, 82, 133, 204, 228, 274, 348] {
         let mut world = World::new(seed, 6, 4, faults);
-        world.load(120, Span::millis(20));
+        world.submit_jobs(120, Span::millis(20));
         for (n, instance) in [1, 3, 0, 4].into_iter().enumerate() {
             let at = 400 + 450 * n as u64 + 7 * seed % 400;
             world.drain_at(Span::millis(at), instance);
         }
         world.run(Span::seconds(9));
-        world.settle();
+        world.finish_and_check();
     }
 }
 
@@ -279,23 +279,23 @@
             ..CALM
         };
         let mut world = World::new(seed, 4, 3, faults);
-        world.load(80, Span::millis(80));
+        world.submit_jobs(80, Span::millis(80));
         for (n, kind) in kinds.iter().take(6).enumerate() {
             let at = Span::millis(400 + n as u64 * 650);
             let (instance, worker) = (*kind as usize / 8 % 4, *kind as usize / 8 % 12);
             match kind % 8 {
                 0 => world.kill_at(at, instance, Span::millis(800)),
                 1 => world.freeze_at(at, instance, Span::millis(2_500)),
-                2 => world.cut_at(at, &[instance], Span::millis(2_500)),
-                3 => world.silence_at(at, worker, Span::millis(2_000)),
+                2 => world.partition_at(at, &[instance], Span::millis(2_500)),
+                3 => world.mute_endpoint_at(at, worker, Span::millis(2_000)),
                 4 => world.crash_at(at, worker),
                 5 => world.freeze_at(at, instance, Span::millis(500)),
                 6 => world.drain_at(at, instance),
-                _ => world.cut_at(at, &[instance, (instance + 1) % 4], Span::millis(1_500)),
+                _ => world.partition_at(at, &[instance, (instance + 1) % 4], Span::millis(1_500)),
             }
         }
         world.run(Span::seconds(12));
-        world.settle();
+        world.finish_and_check();
         true
     }
     QuickCheck::new()
--- a/tests/dispatch/crashes.rs
+++ b/tests/dispatch/crashes.rs
@@ -30,15 +30,15 @@
 fn endpoints_start_again_under_their_name() {
     for seed in 0..12 {
         let mut world = World::new(seed, 3, 2, CALM);
-        world.rows_lag([Span(0), Span::millis(40), Span::millis(1_500)][seed as usize % 3]);
-        world.load(40, Span::millis(250));
+        world.set_row_lag([Span(0), Span::millis(40), Span::millis(1_500)][seed as usize % 3]);
+        world.submit_jobs(40, Span::millis(250));
         for (n, w) in [2, 5, 0].into_iter().enumerate() {
             let at = Span::millis(900 + 700 * n as u64);
             let down = Span::millis([400, 1_100, 2_000][n]);
-            world.down_at(at, w, down, [0, 5_000, 900_000][n]);
+            world.crash_and_restart_at(at, w, down, [0, 5_000, 900_000][n]);
         }
         world.run(Span::seconds(12));
-        world.settle();
+        world.finish_and_check();
         assert_eq!(world.count(completed), 40, "seed {seed}");
     }
 }
@@ -54,17 +54,17 @@
             ..CALM
         };
         let mut world = World::new(seed, 4, 3, faults);
-        world.rows_lag(Span::millis([0, 300, 2_000][seed as usize % 3]));
-        world.load(80, Span::millis(100));
+        world.set_row_lag(Span::millis([0, 300, 2_000][seed as usize % 3]));
+        world.submit_jobs(80, Span::millis(100));
         for (n, w) in [1, 4, 8, 11].into_iter().enumerate() {
             let at = Span::millis(700 + 600 * n as u64);
-            world.down_at(at, w, Span::millis(300 + 400 * n as u64), 100 * seed);
+            world.crash_and_restart_at(at, w, Span::millis(300 + 400 * n as u64), 100 * seed);
         }
         world.kill_at(Span::millis(1_000), 1, Span::millis(900));
         world.drain_at(Span::millis(2_200), 2);
-        world.cut_at(Span::millis(3_000), &[0], Span::millis(1_500));
+        world.partition_at(Span::millis(3_000), &[0], Span::millis(1_500));
         world.run(Span::seconds(12));
-        world.settle();
+        world.finish_and_check();
     }
 }
 
@@ -75,15 +75,15 @@
     for seed in 0..8 {
         let mut world = World::new(seed, 3, 2, CALM);
         world.store_jobs();
-        world.load(40, Span::millis(150));
+        world.submit_jobs(40, Span::millis(150));
         for (n, w) in [2, 5, 0, 3].into_iter().enumerate() {
             let at = Span::millis(900 + 500 * n as u64);
-            world.down_at(at, w, Span::millis(400), 0);
+            world.crash_and_restart_at(at, w, Span::millis(400), 0);
         }
-        world.store_away_at(Span::millis(1_500), Span::millis(900));
+        world.store_outage_at(Span::millis(1_500), Span::millis(900));
         world.kill_at(Span::millis(3_100), seed as usize % 3, Span::seconds(1));
         world.run(Span::seconds(12));
-        assert!(world.settle_stored() > 30);
+        assert!(world.finish_and_check_stored() > 30);
     }
 }
 
@@ -94,10 +94,10 @@
     let mut failed = 0;
     for seed in 0..12 {
         let mut world = World::new(seed, 3, 4, CALM);
-        world.load(60, Span::millis(120));
-        world.crash_with(Span::millis(1_000), GUILTY, 2);
+        world.submit_jobs(60, Span::millis(120));
+        world.submit_crashing_job(Span::millis(1_000), GUILTY, 2);
         world.run(Span::seconds(16));
-        world.settle();
+        world.finish_and_check();
         let crashes: usize = world.crashes.values().sum();
         assert!(crashes <= 2, "seed {seed}: {crashes} endpoints crashed");
         let innocent = world.jobs.iter().filter(|(id, _)| **id != GUILTY);
@@ -121,8 +121,8 @@
     for seed in 0..16 {
         let mut world = World::new(seed, 3, 4, CALM);
         world.store_jobs();
-        world.load(30, Span::millis(150));
-        world.crash_with(Span::millis(800), GUILTY, 2);
+        world.submit_jobs(30, Span::millis(150));
+        world.submit_crashing_job(Span::millis(800), GUILTY, 2);
         if seed % 2 == 0 {
             let at = Span::millis(1_200 + 300 * seed);
             world.kill_at(at, seed as usize % 3, Span::millis(900));
@@ -136,7 +136,7 @@
         }
         let first = world.crashes.values().copied().max();
         assert!(first.is_some_and(|crashes| crashes >= 2), "seed {seed}");
-        world.settle_crashed(GUILTY);
+        world.check_crashing_job_failed(GUILTY);
     }
 }
 
@@ -146,13 +146,13 @@
 fn innocent_tasks_are_cleared() {
     for seed in 0..8 {
         let mut world = World::new(seed, 3, 6, CALM);
-        world.load(60, Span::millis(100));
+        world.submit_jobs(60, Span::millis(100));
         let guilty = [JobId(0xbad), JobId(0xbae), JobId(0xbaf)];
         for job in guilty {
-            world.crash_with(Span::millis(1_000), job, 3);
+            world.submit_crashing_job(Span::millis(1_000), job, 3);
         }
         world.run(Span::seconds(16));
-        world.settle();
+        world.finish_and_check();
         let crashes: usize = world.crashes.values().sum();
         assert!(crashes <= 6, "seed {seed}: {crashes}");
         for (id, seen) in world.jobs.iter().filter(|(id, _)| !guilty.contains(id)) {
@@ -169,10 +169,10 @@
     for seed in 0..24 {
         let mut world = World::new(seed, 2, 2, CALM);
         world.crash_silently();
-        world.load(12, Span::millis(250));
-        world.crash_with(Span::millis(1_000), GUILTY, 1);
+        world.submit_jobs(12, Span::millis(250));
+        world.submit_crashing_job(Span::millis(1_000), GUILTY, 1);
         world.run(Span::seconds(20));
-        world.settle();
+        world.finish_and_check();
         for (task, crashes) in &world.crashes {
             assert!(
                 *crashes <= 3 + AFTER_THREE,
@@ -192,16 +192,16 @@
 fn endpoints_that_start_again_behind_a_cut_convict_nothing() {
     for seed in 0..16 {
         let mut world = World::new(seed, 3, 4, CALM);
-        world.load(12, Span::millis(60));
+        world.submit_jobs(12, Span::millis(60));
         for w in 0..16 {
             if (w + seed as usize).is_multiple_of(2) {
-                world.sever_at(Span::millis(800), w, Span::millis(2_500));
+                world.isolate_endpoint_at(Span::millis(800), w, Span::millis(2_500));
                 let again = Span::millis(900 + 90 * w as u64);
-                world.down_at(again, w, Span::millis(200), 0);
+                world.crash_and_restart_at(again, w, Span::millis(200), 0);
             }
         }
         world.run(Span::seconds(14));
-        world.settle();
+        world.finish_and_check();
         for (id, seen) in &world.jobs {
             assert_ne!(seen.answer, Some(Answer::Failed), "{id} of seed {seed}");
         }
@@ -214,13 +214,13 @@
 fn capacity_shrinks_and_grows() {
     for seed in 0..10 {
         let mut world = World::new(seed, 3, 2, CALM);
-        world.load(40, Span::millis(250));
+        world.submit_jobs(40, Span::millis(250));
         for w in [0, 1, 4] {
             world.resize_at(Span::millis(1_000), w, 1_500);
             world.resize_at(Span::millis(4_000), w, 6_000);
         }
         world.run(Span::seconds(12));
-        world.settle();
+        world.finish_and_check();
         assert_eq!(world.count(completed), 40, "seed {seed}");
     }
 }
@@ -230,7 +230,7 @@
 #[test]
 fn what_fits_nowhere_is_refused() {
     let mut world = World::new(2, 3, 4, CALM);
-    world.load(40, Span::millis(100));
+    world.submit_jobs(40, Span::millis(100));
     for w in 0..16 {
         let late = Span::millis(if w / 4 % 2 == 0 { 1_000 } else { 2_000 });
         world.resize_at(late, w, 900);
@@ -245,5 +245,5 @@
             "{seen:?}"
         );
     }
-    world.settle();
+    world.finish_and_check();
 }
--- a/tests/dispatch/evacuation.rs
+++ b/tests/dispatch/evacuation.rs
@@ -8,7 +8,7 @@
 use super::{
     completed,
     world::{
-        Seen,
+        CallerView,
         World, //
     },
     CALM, //
@@ -25,7 +25,7 @@
 }
 
 /// Checks that nothing was started in a data centre in a span that begins `after` from now, while time passes until its end.
-fn run_and_judge(world: &mut World, centre: &str, after: Span, span: Span) {
+fn run_without_starts(world: &mut World, centre: &str, after: Span, span: Span) {
     let from = world.now + after;
     world.run(span);
     assert_eq!(world.starts_in(centre, from, world.now), 0);
@@ -38,15 +38,15 @@
 fn evacuated_centre_gets_nothing_new() {
     for seed in 0..10 {
         let mut world = World::new(seed, 3, 4, CALM);
-        world.load(60, Span::millis(150));
+        world.submit_jobs(60, Span::millis(150));
         world.evacuate_at(Span::millis(1_000), "ulemiste", Span::seconds(4));
         world.run(Span::millis(1_000));
         assert!(world.starts_in("ulemiste", Time(0), world.now) > 0);
-        run_and_judge(&mut world, "ulemiste", WAY, Span::millis(3_990));
+        run_without_starts(&mut world, "ulemiste", WAY, Span::millis(3_990));
         let returned = world.now + Span::millis(10);
         world.run(Span::seconds(6));
         assert!(world.starts_in("ulemiste", returned, world.now) > 0);
-        world.settle();
+        world.finish_and_check();
         assert_eq!(world.count(completed), 60, "seed {seed}");
         assert_eq!(world.stopped, 0, "seed {seed}");
     }
@@ -58,15 +58,15 @@
 fn evacuation_reaches_whom_the_store_turns_away() {
     for seed in 0..10 {
         let mut world = World::new(seed, 3, 4, CALM);
-        world.load(60, Span::millis(150));
-        world.turn_away_at(Span::millis(500), 1, Span::seconds(20));
+        world.submit_jobs(60, Span::millis(150));
+        world.deny_store_at(Span::millis(500), 1, Span::seconds(20));
         world.evacuate_at(Span::millis(1_000), "maardu", Span::seconds(4));
         world.run(Span::millis(1_000));
-        run_and_judge(&mut world, "maardu", TOLD, Span::millis(3_990));
+        run_without_starts(&mut world, "maardu", TOLD, Span::millis(3_990));
         let returned = world.now + Span::millis(10);
         world.run(Span::seconds(6));
         assert!(world.starts_in("maardu", returned, world.now) > 0);
-        world.settle();
+        world.finish_and_check();
         assert_eq!(world.count(completed), 60, "seed {seed}");
     }
 }
@@ -77,16 +77,16 @@
 fn evacuation_outlives_all_instances() {
     for seed in 0..5 {
         let mut world = World::new(seed, 3, 4, CALM);
-        world.load(80, Span::millis(100));
+        world.submit_jobs(80, Span::millis(100));
         world.evacuate_at(Span::millis(500), "maardu", Span::seconds(7));
         world.run(Span::millis(1_000));
-        world.turn_away_at(Span(0), 1, Span::seconds(20));
+        world.deny_store_at(Span(0), 1, Span::seconds(20));
         for i in 0..3 {
             world.kill_at(Span::millis(1), i, Span::millis(1_000 + 40 * i as u64));
         }
-        run_and_judge(&mut world, "maardu", WAY, Span::millis(6_400));
+        run_without_starts(&mut world, "maardu", WAY, Span::millis(6_400));
         world.run(Span::seconds(8));
-        world.settle();
+        world.finish_and_check();
         assert!(world.count(completed) > 60, "{}", world.count(completed));
     }
 }
@@ -97,14 +97,14 @@
 fn evacuation_goes_along_with_racks() {
     for seed in 0..5 {
         let mut world = World::new(seed, 4, 4, CALM);
-        world.load(80, Span::millis(100));
+        world.submit_jobs(80, Span::millis(100));
         world.evacuate_at(Span::millis(500), "maardu", Span::seconds(9));
         world.kill_at(Span::millis(1_500), 1, Span::seconds(1));
         world.drain_at(Span::millis(6_000), 3);
         world.run(Span::millis(500));
-        run_and_judge(&mut world, "maardu", WAY, Span::millis(8_990));
+        run_without_starts(&mut world, "maardu", WAY, Span::millis(8_990));
         world.run(Span::seconds(6));
-        world.settle();
+        world.finish_and_check();
         assert!(world.count(completed) > 70, "{}", world.count(completed));
     }
 }
@@ -115,15 +115,15 @@
 fn evacuations_follow_each_other() {
     for seed in 0..6 {
         let mut world = World::new(seed, 3, 4, CALM);
-        world.load(60, Span::millis(150));
+        world.submit_jobs(60, Span::millis(150));
         world.evacuate_at(Span::millis(500), "maardu", Span::seconds(3));
         world.evacuate_at(Span::millis(3_500), "ulemiste", Span::seconds(3));
         world.run(Span::millis(500));
-        run_and_judge(&mut world, "maardu", WAY, Span::millis(2_990));
+        run_without_starts(&mut world, "maardu", WAY, Span::millis(2_990));
         world.run(Span::millis(10));
-        run_and_judge(&mut world, "ulemiste", WAY, Span::millis(2_990));
+        run_without_starts(&mut world, "ulemiste", WAY, Span::millis(2_990));
         world.run(Span::seconds(6));
-        world.settle();
+        world.finish_and_check();
         assert_eq!(world.count(completed), 60, "seed {seed}");
     }
 }
@@ -133,7 +133,7 @@
 #[test]
 fn jobs_that_can_run_nowhere_are_refused_at_once() {
     let mut world = World::new(5, 3, 4, CALM);
-    world.load(40, Span::millis(100));
+    world.submit_jobs(40, Span::millis(100));
     world.evacuate_at(Span::millis(1_000), "maardu", Span::seconds(6));
     world.evacuate_at(Span::millis(1_000), "ulemiste", Span::seconds(6));
     world.run(Span::millis(1_000));
@@ -145,9 +145,9 @@
         let at_once = seen.at.since(seen.since) <= Span::millis(20);
         assert!(seen.answer.as_ref().is_some_and(refused) && at_once);
     }
-    let waited = |seen: &&Seen| seen.since <= from && seen.at > from && seen.refused;
+    let waited = |seen: &&CallerView| seen.since <= from && seen.at > from && seen.refused;
     for seen in world.jobs.values().filter(waited) {
         assert!(seen.at.since(from) <= Span::millis(50), "{seen:?}");
     }
-    world.settle();
+    world.finish_and_check();
 }
--- a/tests/dispatch/overload.rs
+++ b/tests/dispatch/overload.rs
@@ -27,12 +27,12 @@
 /// Plays a burst of three times the work that the endpoints can do, and then half of what they can.
 fn burst(seed: u64) -> (World, Time) {
     let mut world = World::new(seed, 3, 2, CALM);
-    world.load(100, Span::millis(20));
+    world.submit_jobs(100, Span::millis(20));
     world.run(BURST);
     let over = world.now;
-    world.load(60, Span::millis(150));
+    world.submit_jobs(60, Span::millis(150));
     world.run(Span::seconds(12));
-    world.settle();
+    world.finish_and_check();
     (world, over)
 }
 
@@ -131,11 +131,11 @@
     for seed in 0..5 {
         let mut world = World::new(seed, 3, 2, CALM);
         for w in [1, 6] {
-            world.pace_at(Span::millis(2_500), w, 0.0, Span::seconds(6));
+            world.slow_endpoint_at(Span::millis(2_500), w, 0.0, Span::seconds(6));
         }
-        world.load(70, Span::millis(150));
+        world.submit_jobs(70, Span::millis(150));
         world.run(Span::seconds(11));
-        world.settle();
+        world.finish_and_check();
         all += world.jobs.len();
         lost += world.jobs.len() - world.count(|a| *a == Answer::Completed);
         late += world.jobs.keys().filter(|id| !world.on_time(**id)).count();
@@ -156,9 +156,9 @@
             world.kill_at(Span::millis(500), i, down);
         }
         let back = world.now + Span::millis(500) + down;
-        world.load(40, Span::millis(50));
+        world.submit_jobs(40, Span::millis(50));
         world.run(Span::seconds(4));
-        world.settle();
+        world.finish_and_check();
         let starts = world.workers.iter().flat_map(|w| &w.history);
         let first = starts.map(|begun| begun.from).filter(|at| *at > back).min();
         let idle = first.map(|at| at.since(back));
--- a/tests/dispatch/placement.rs
+++ b/tests/dispatch/placement.rs
@@ -17,10 +17,10 @@
 fn failed_task_goes_elsewhere() {
     for seed in 0..8 {
         let mut world = World::new(seed, 3, 2, CALM);
-        world.fail_at(Span::millis(500), seed as usize, Span::seconds(9));
-        world.load(60, Span::millis(150));
+        world.fail_runs_at(Span::millis(500), seed as usize, Span::seconds(9));
+        world.submit_jobs(60, Span::millis(150));
         world.run(Span::seconds(11));
-        world.settle();
+        world.finish_and_check();
         assert_eq!(world.count(|a| *a == Answer::Failed), 0, "seed {seed}");
         assert!(world.count(completed) >= 57, "{}", world.count(completed));
     }
--- a/tests/dispatch/rows.rs
+++ b/tests/dispatch/rows.rs
@@ -22,7 +22,7 @@
 
 impl Rows {
     /// Carries a request out.
-    pub(crate) fn obey(&mut self, request: &StoreRequest) -> StoreReply {
+    pub(crate) fn execute(&mut self, request: &StoreRequest) -> StoreReply {
         match request {
             StoreRequest::Read { shard, after } => {
                 let all = self.rows.iter().filter(|((s, _), _)| s == shard);
--- a/tests/dispatch/stored.rs
+++ b/tests/dispatch/stored.rs
@@ -24,9 +24,9 @@
 #[test]
 fn calm_jobs_run_once() {
     let mut world = world(1, 3, CALM);
-    world.load(40, Span::millis(150));
+    world.submit_jobs(40, Span::millis(150));
     world.run(Span::seconds(12));
-    assert_eq!(world.settle_stored(), 40);
+    assert_eq!(world.finish_and_check_stored(), 40);
     let runs: usize = world.workers.iter().map(|w| w.history.len()).sum();
     let tasks: usize = world.tasks();
     assert_eq!(runs, tasks, "no task was started twice");
@@ -38,11 +38,11 @@
 fn coordinator_dies() {
     for seed in 0..10 {
         let mut world = world(seed, 3, CALM);
-        world.load(40, Span::millis(150));
+        world.submit_jobs(40, Span::millis(150));
         world.kill_at(Span::millis(2_000), seed as usize % 3, Span::seconds(1));
         world.kill_at(Span::millis(5_500), 1 + seed as usize % 2, Span::seconds(1));
         world.run(Span::seconds(12));
-        assert!(world.settle_stored() > 30);
+        assert!(world.finish_and_check_stored() > 30);
     }
 }
 
@@ -51,12 +51,12 @@
 fn all_instances_die() {
     for seed in 0..5 {
         let mut world = world(seed, 3, CALM);
-        world.load(40, Span::millis(150));
+        world.submit_jobs(40, Span::millis(150));
         for i in 0..3 {
             world.kill_at(Span::millis(3_000), i, Span::seconds(2));
         }
         world.run(Span::seconds(14));
-        assert!(world.settle_stored() > 20);
+        assert!(world.finish_and_check_stored() > 20);
     }
 }
 
@@ -65,10 +65,10 @@
 fn coordinator_wakes() {
     for seed in 0..10 {
         let mut world = world(seed, 3, CALM);
-        world.load(40, Span::millis(150));
+        world.submit_jobs(40, Span::millis(150));
         world.freeze_at(Span::millis(2_000), seed as usize % 3, Span::millis(3_500));
         world.run(Span::seconds(12));
-        assert!(world.settle_stored() > 30);
+        assert!(world.finish_and_check_stored() > 30);
     }
 }
 
@@ -87,22 +87,22 @@
         ..CALM
     };
     let mut world = world(seed, 4, faults);
-    world.load(40, Span::millis(120));
+    world.submit_jobs(40, Span::millis(120));
     for (n, kind) in kinds.iter().take(5).enumerate() {
         let at = Span::millis(600 + n as u64 * 900);
         let (instance, worker) = (*kind as usize / 8 % 4, *kind as usize / 8 % 16);
         match kind % 7 {
             0 => world.kill_at(at, instance, Span::millis(800)),
             1 => world.freeze_at(at, instance, Span::millis(2_500)),
-            2 => world.cut_at(at, &[instance], Span::millis(2_500)),
-            3 => world.silence_at(at, worker, Span::millis(2_000)),
+            2 => world.partition_at(at, &[instance], Span::millis(2_500)),
+            3 => world.mute_endpoint_at(at, worker, Span::millis(2_000)),
             4 => world.crash_at(at, worker),
-            5 => world.store_away_at(at, Span::millis(1_500)),
+            5 => world.store_outage_at(at, Span::millis(1_500)),
             _ => world.drain_at(at, instance),
         }
     }
     world.run(Span::seconds(14));
-    world.settle_stored();
+    world.finish_and_check_stored();
     true
 }
 
@@ -143,14 +143,14 @@
     for seed in [0, 5, 10, 15, 20] {
         let mut world = World::new(seed, 6, 4, CALM);
         world.store_jobs();
-        world.load(80, Span::millis(30));
-        world.part_at(Span::millis(200), 0, 1, Span::seconds(200));
+        world.submit_jobs(80, Span::millis(30));
+        world.disconnect_at(Span::millis(200), 0, 1, Span::seconds(200));
         for (n, instance) in [2, 3, 4].into_iter().enumerate() {
             let at = 1_000 + 450 * n as u64 + 7 * seed % 400;
             world.drain_at(Span::millis(at), instance);
         }
         world.run(Span::seconds(9));
-        world.settle_stored();
+        world.finish_and_check_stored();
     }
 }
 
@@ -165,10 +165,10 @@
             ..CALM
         };
         let mut world = world(seed, 3, faults);
-        world.load(40, Span::millis(150));
+        world.submit_jobs(40, Span::millis(150));
         world.kill_at(Span::millis(3_000), 1, Span::seconds(1));
         world.run(Span::seconds(14));
-        assert!(world.settle_stored() > 25);
+        assert!(world.finish_and_check_stored() > 25);
     }
 }
 
@@ -177,10 +177,10 @@
 fn store_away() {
     for seed in 0..5 {
         let mut world = world(seed, 3, CALM);
-        world.load(40, Span::millis(150));
-        world.store_away_at(Span::millis(2_500), Span::seconds(4));
+        world.submit_jobs(40, Span::millis(150));
+        world.store_outage_at(Span::millis(2_500), Span::seconds(4));
         world.run(Span::seconds(14));
-        assert!(world.settle_stored() > 15);
+        assert!(world.finish_and_check_stored() > 15);
     }
 }
 
@@ -190,9 +190,9 @@
 fn instances_cut_apart() {
     for seed in 0..10 {
         let mut world = world(seed, 4, CALM);
-        world.load(40, Span::millis(150));
-        world.cut_at(Span::millis(2_000), &[0, 1], Span::seconds(4));
+        world.submit_jobs(40, Span::millis(150));
+        world.partition_at(Span::millis(2_000), &[0, 1], Span::seconds(4));
         world.run(Span::seconds(14));
-        assert!(world.settle_stored() > 20);
+        assert!(world.finish_and_check_stored() > 20);
     }
 }
--- a/tests/dispatch/world.rs
+++ b/tests/dispatch/world.rs
@@ -146,7 +146,7 @@
 
 /// What became of a job, as its caller sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Seen {
+pub(crate) struct CallerView {
     pub answer: Option<Answer>,
     /// When its caller handed it in first.
     pub since: Time,
@@ -159,7 +159,7 @@
 pub(crate) struct World {
     pub now: Time,
     pub hosts_up: usize,
-    pub jobs: HashMap<JobId, Seen>,
+    pub jobs: HashMap<JobId, CallerView>,
     pub workers: Vec<Worker>,
     pub stopped: usize,
     hosts: Vec<Host>,
@@ -620,7 +620,7 @@
             Event::Store(i, life, call, request, answered) => {
                 let reply = match self.away {
                     true => StoreReply::Refused,
-                    false => self.rows.obey(&request),
+                    false => self.rows.execute(&request),
                 };
                 if answered {
                     let reply = Box::new(reply);
@@ -783,7 +783,7 @@
     }
 
     fn submit(&mut self, i: usize, job: JobId, tasks: u32, cpu: u64, takes: Span) {
-        let seen = Seen {
+        let seen = CallerView {
             answer: None,
             since: self.now,
             at: self.now,
@@ -920,15 +920,15 @@
         self.stored = true;
     }
 
-    pub(crate) fn store_away_at(&mut self, after: Span, span: Span) {
+    pub(crate) fn store_outage_at(&mut self, after: Span, span: Span) {
         self.at(after, Event::StoreAway(true));
         self.at(after + span, Event::StoreAway(false));
     }
 
     /// Checks stored jobs at the end: each one that was accepted has run whole, and nothing was started after an end as
     /// done that its endpoint was told to forget. Returns how many were accepted.
-    pub(crate) fn settle_stored(&mut self) -> usize {
-        self.settle();
+    pub(crate) fn finish_and_check_stored(&mut self) -> usize {
+        self.finish_and_check();
         self.run(Span::seconds(20));
         let mut done: HashSet<TaskId> = HashSet::new();
         let all = || self.workers.iter().flat_map(|w| &w.history);
@@ -942,7 +942,7 @@
                 );
             }
         }
-        let accepted = |(_, seen): &(&JobId, &Seen)| seen.answer == Some(Answer::Accepted);
+        let accepted = |(_, seen): &(&JobId, &CallerView)| seen.answer == Some(Answer::Accepted);
         let accepted: Vec<JobId> = self
             .jobs
             .iter()
@@ -968,7 +968,7 @@
     }
 
     /// Checks that a stored job that crashes endpoints was accepted, and has failed: who asks now is told so.
-    pub(crate) fn settle_crashed(&mut self, job: JobId) {
+    pub(crate) fn check_crashing_job_failed(&mut self, job: JobId) {
         let accepted = self.jobs[&job].answer == Some(Answer::Accepted);
         assert!(accepted, "{:?}", self.jobs[&job]);
         self.tickets += 1;
@@ -1003,7 +1003,7 @@
     }
 
     /// Checks what must hold at the end: a job that was refused each time was never started.
-    pub(crate) fn settle(&mut self) {
+    pub(crate) fn finish_and_check(&mut self) {
         self.run(Span::seconds(12));
         for worker in &self.workers {
             for begun in &worker.history {
@@ -1015,7 +1015,7 @@
     }
 
     /// Submits jobs at a rate, at all instances in turn.
-    pub(crate) fn load(&mut self, jobs: u64, every: Span) {
+    pub(crate) fn submit_jobs(&mut self, jobs: u64, every: Span) {
         for n in 0..jobs {
             let i = self.random.random_range(0..self.hosts.len());
             let tasks = self.random.random_range(1..6);
@@ -1031,7 +1031,7 @@
     }
 
     /// Lets nothing reach an endpoint for a while.
-    pub(crate) fn sever_at(&mut self, after: Span, w: usize, span: Span) {
+    pub(crate) fn isolate_endpoint_at(&mut self, after: Span, w: usize, span: Span) {
         self.at(after, Event::Sever(w, true));
         self.at(after + span, Event::Sever(w, false));
     }
@@ -1040,31 +1040,31 @@
         self.at(after, Event::Freeze(i, span));
     }
 
-    pub(crate) fn cut_at(&mut self, after: Span, side: &[usize], span: Span) {
+    pub(crate) fn partition_at(&mut self, after: Span, side: &[usize], span: Span) {
         let side: HashSet<usize> = side.iter().copied().collect();
         self.at(after, Event::Cut(side, true));
         self.at(after + span, Event::Cut(HashSet::new(), false));
     }
 
     /// Keeps two instances from reaching each other; the first has the lower number.
-    pub(crate) fn part_at(&mut self, after: Span, one: usize, other: usize, span: Span) {
+    pub(crate) fn disconnect_at(&mut self, after: Span, one: usize, other: usize, span: Span) {
         self.at(after, Event::Part(one, other, true));
         self.at(after + span, Event::Part(one, other, false));
     }
 
-    pub(crate) fn silence_at(&mut self, after: Span, w: usize, span: Span) {
+    pub(crate) fn mute_endpoint_at(&mut self, after: Span, w: usize, span: Span) {
         self.at(after, Event::Silence(w, true));
         self.at(after + span, Event::Silence(w, false));
     }
 
     /// Lets the tasks of an endpoint come along at a share of their speed; it answers all calls as before.
-    pub(crate) fn pace_at(&mut self, after: Span, w: usize, pace: f64, span: Span) {
+    pub(crate) fn slow_endpoint_at(&mut self, after: Span, w: usize, pace: f64, span: Span) {
         self.at(after, Event::Pace(w, pace));
         self.at(after + span, Event::Pace(w, 1.0));
     }
 
     /// Lets an endpoint fail whatever it starts, at once.
-    pub(crate) fn fail_at(&mut self, after: Span, w: usize, span: Span) {
+    pub(crate) fn fail_runs_at(&mut self, after: Span, w: usize, span: Span) {
         self.at(after, Event::Fail(w, true));
         self.at(after + span, Event::Fail(w, false));
     }
@@ -1078,12 +1078,12 @@
     }
 
     /// Lets an endpoint crash, and start again after a while under the name that it had.
-    pub(crate) fn down_at(&mut self, after: Span, w: usize, down: Span, ahead: u64) {
+    pub(crate) fn crash_and_restart_at(&mut self, after: Span, w: usize, down: Span, ahead: u64) {
         self.at(after, Event::Down(w, down, ahead));
     }
 
     /// Lets rows tell of new lives so late, or so early that it is before anything else does.
-    pub(crate) fn rows_lag(&mut self, lag: Span) {
+    pub(crate) fn set_row_lag(&mut self, lag: Span) {
         self.row_lag = lag;
     }
 
@@ -1093,7 +1093,7 @@
     }
 
     /// Hands in a job whose first task crashes each endpoint that starts it.
-    pub(crate) fn crash_with(&mut self, after: Span, job: JobId, tasks: u32) {
+    pub(crate) fn submit_crashing_job(&mut self, after: Span, job: JobId, tasks: u32) {
         self.crashing.insert(job);
         let i = self.random.random_range(0..self.hosts.len());
         let takes = Span::millis(200);
@@ -1113,7 +1113,7 @@
     }
 
     /// Lets the store turn an instance away for a while.
-    pub(crate) fn turn_away_at(&mut self, after: Span, i: usize, span: Span) {
+    pub(crate) fn deny_store_at(&mut self, after: Span, i: usize, span: Span) {
         self.at(after, Event::TurnAway(i, true));
         self.at(after + span, Event::TurnAway(i, false));
     }
