--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -17,7 +17,7 @@
 mod ownership;
 pub mod progress;
 pub mod queue;
-mod reading;
+mod reader;
 mod requests;
 pub mod roster;
 pub mod route;
@@ -36,7 +36,7 @@
 
 use self::{
     documents::Documents,
-    durable::Durable,
+    durable::Coordinator,
     entry::Entry,
     evacuation::Evacuation,
     id::{
@@ -46,7 +46,7 @@
     },
     member::{
         Members,
-        Reception, //
+        SenderCheck, //
     },
     message::{
         Answer,
@@ -67,23 +67,23 @@
         Owner, //
     },
     ownership::{
-        Former,
+        FormerOwner,
         Startup, //
     },
-    reading::Reading,
+    reader::Reader,
     requests::Requests,
     route::Configuration,
 };
 use crate::prelude::*;
 
 /// After which a batch of a member that isn't a neighbour comes too late: half of what a member may be silent.
-const BELATED: Span = Span(member::SILENCE.0 / 2);
+const BELATED: Span = Span(member::HEARTBEAT_TIMEOUT.0 / 2);
 
 /// Between audits of batches that have been out for long.
 const AUDITS: Span = Span::millis(250);
 
 /// A pause between two steps after which an instance takes all that it holds as lapsed: it ticks every few
-/// milliseconds, and its peers take over what it had after [`member::SILENCE`].
+/// milliseconds, and its peers take over what it had after [`member::HEARTBEAT_TIMEOUT`].
 const PAUSE: Span = Span::millis(450);
 
 /// Between searches for members that have been silent too long: a tenth of what a heartbeat takes to come again.
@@ -100,7 +100,7 @@
 pub const PARTING: Span = Span::millis(200);
 
 /// Between decisions on which shards to coordinate: what others say of theirs comes as often.
-const COORDINATE: Span = member::HEARTBEAT;
+const COORDINATE: Span = member::HEARTBEAT_INTERVAL;
 
 /// How long a question about a stored job may take: a few takeovers of its shard.
 const ASKED: Span = Span::millis(2_500);
@@ -160,7 +160,7 @@
     entry: Entry,
     owner: Owner,
     /// The shards of stored jobs that it coordinates.
-    durable: Durable,
+    durable: Coordinator,
     /// Requests about stored jobs that wait for an answer.
     requests: Requests,
     documents: Documents,
@@ -168,13 +168,13 @@
     evacuation: Evacuation,
     roster: Roster,
     listed: bool,
-    reading: Reading,
+    reading: Reader,
     /// The owner of each rack that another instance has, with its token.
     owners: Rc<HashMap<RackId, (Instance, Token)>>,
     /// The counts of changes, of members' claims and of its own, up to which `owners` is known.
     claims: Option<(u64, u64)>,
     /// Racks that nobody is heard to own, and that may still be somebody's.
-    former: BTreeMap<RackId, Former>,
+    former: BTreeMap<RackId, FormerOwner>,
     epoch: Epoch,
     /// Racks that were handed over, with the time of that.
     ceded: Vec<(Claim, Time)>,
@@ -206,7 +206,7 @@
                 identity.centre.as_str(),
             ),
             owner: Owner::new(&identity.contact.name),
-            durable: Durable::new(format!(
+            durable: Coordinator::new(format!(
                 "{} {}",
                 identity.contact.name, identity.incarnation
             )),
@@ -218,7 +218,7 @@
             evacuation: Evacuation::default(),
             roster: Roster::default(),
             listed: false,
-            reading: Reading::default(),
+            reading: Reader::default(),
             owners: Rc::default(),
             claims: None,
             former: BTreeMap::new(),
@@ -336,7 +336,7 @@
             let messages = std::mem::take(&mut out.messages);
             if messages.is_empty() {
                 self.owner.process_due(now, out);
-                self.report_ends(now, out);
+                self.report_run_ends(now, out);
                 if out.messages.is_empty() {
                     return;
                 }
@@ -370,28 +370,28 @@
                 self.ask_again(now, out);
             }
             Input::Stored { call, reply } => {
-                let acts = self.durable.stored(call, reply, now, out);
-                self.act(acts, now, out);
+                let acts = self.durable.on_store_reply(call, reply, now, out);
+                self.apply_actions(acts, now, out);
                 self.call_store(now, out);
             }
             Input::Cancelled(job) => {
                 if !self.entry.cancel(job, now, out) {
-                    self.tell_all(Message::CancelJob(job), out);
+                    self.broadcast(Message::CancelJob(job), out);
                 }
             }
             Input::Configured(configuration) => self.configure(*configuration, "store", out),
             Input::Evacuated(evacuation) => self.evacuate(evacuation, "store", now, out),
             Input::EvacuationChanged(change) => {
-                if let Some(evacuation) = self.evacuation.with(&change) {
+                if let Some(evacuation) = self.evacuation.with_change(&change) {
                     self.evacuate(evacuation, "store", now, out);
                 }
             }
             Input::Listed(roster) => {
                 let earlier = self.roster.clone();
                 self.list(roster, now, out);
-                self.tell_change(&earlier, out);
+                self.send_roster_change(&earlier, out);
             }
-            Input::Read(done) => self.reading.note(done, now),
+            Input::Read(done) => self.reading.on_read(done, now),
             Input::Found(contacts) => {
                 for contact in contacts {
                     self.find(&contact, now, out);
@@ -399,7 +399,8 @@
             }
             Input::Received { from, messages } => {
                 if self.meet(&from, now, out) {
-                    self.members.hear(&from.contact.name, from.sent, now);
+                    self.members
+                        .update_last_heard(&from.contact.name, from.sent, now);
                     for message in messages {
                         self.message(&from.contact, message, now, out);
                     }
@@ -505,17 +506,17 @@
         self.owner.update_endpoints(&roster.endpoints, now, out);
         self.roster = roster;
         self.list_racks();
-        self.deal(now, out);
+        self.update_ownership(now, out);
     }
 
     fn find(&mut self, contact: &Contact, now: Time, out: &mut Effects) {
         if contact.name == self.identity.contact.name {
             return;
         }
-        if self.members.find(contact, now) {
+        if self.members.add(contact, now) {
             let record = Record::new("member_found").with("member", contact.name.as_str());
             out.outputs.push(Output::Log(record));
-            self.heartbeat(slice::from_ref(&contact.name), &[], now, out);
+            self.send_heartbeats(slice::from_ref(&contact.name), &[], now, out);
         }
     }
 
@@ -525,7 +526,7 @@
         now: Time,
         out: &mut Effects,
     ) {
-        let claims = self.members.claims();
+        let claims = self.members.claim_changes();
         let movable = |(_, heartbeat): &(Sender, Heartbeat)| {
             heartbeat.rooms.iter().any(|vacancy| vacancy.movable > 0)
         };
@@ -541,9 +542,9 @@
             let evacuation = heartbeat.status.evacuation.clone();
             self.evacuate(evacuation, from.contact.name.as_str(), now, out);
             self.members
-                .heartbeat(name, heartbeat.status, from.sent, now);
+                .on_heartbeat(name, heartbeat.status, from.sent, now);
             if heartbeat.watching {
-                self.members.asked(name, now);
+                self.members.on_watched_by(name, now);
             }
             let lives = self.members.get(name).is_some_and(|m| m.live);
             // Room counts only from a rack's owner.
@@ -553,17 +554,17 @@
                 self.entry.rooms(name, heartbeat.rooms);
             }
             if lives && !lived {
-                self.startup.heard(self.members.get(name), now);
-                self.durable.doubt_empty();
-                self.greet(&from.contact, now, out);
+                self.startup.on_member_heard(self.members.get(name), now);
+                self.durable.recheck_empty();
+                self.introduce(&from.contact, now, out);
             }
         }
         // What changes with time alone is found at the next tick.
-        if self.members.claims() != claims {
-            self.deal(now, out);
+        if self.members.claim_changes() != claims {
+            self.update_ownership(now, out);
         }
         if movable {
-            self.want(now, out);
+            self.request_waiting_tasks(now, out);
         }
     }
 
@@ -574,13 +575,16 @@
             .members
             .get(name)
             .map(|m| (m.live, m.incarnation, m.session));
-        match self.members.receive(from, self.identity.incarnation, now) {
-            Reception::Stale => {
+        match self
+            .members
+            .check_sender(from, self.identity.incarnation, now)
+        {
+            SenderCheck::Stale => {
                 let record = Record::new("messages_stale").with("member", name.as_str());
                 out.outputs.push(Output::Log(record));
                 return false;
             }
-            Reception::Anew => {
+            SenderCheck::NewSession => {
                 if was.is_some_and(|(_, life, _)| life != from.incarnation) {
                     // Its former life has ended for certain, and its racks can be claimed at once.
                     self.former
@@ -592,7 +596,7 @@
                 self.owner.drop_entry(name, out);
                 self.entry.lost(name, now, out);
             }
-            Reception::Valid => {}
+            SenderCheck::Current => {}
         }
         let member = self.members.get(name);
         let is = member.map(|m| (m.live, m.incarnation, m.session));
@@ -611,8 +615,8 @@
     /// Of one that isn't a neighbour nothing else may have come lately. Its batch would be run until its silence is found, and
     /// its caller, whose connection broke when it died, may have come again elsewhere by then.
     fn is_belated(&self, name: &Instance, now: Time) -> bool {
-        let member = self.members.get(name).filter(|m| !m.watch.is_near());
-        let heard = member.and_then(|member| member.heard);
+        let member = self.members.get(name).filter(|m| !m.watch.is_neighbour());
+        let heard = member.and_then(|member| member.last_heard);
         heard.is_some_and(|at| now.since(at) > BELATED)
     }
 
@@ -635,8 +639,8 @@
                 started,
             } => {
                 let job = self.entry.report(serial, outcome, done, started, now, out);
-                if let Some(act) = job.and_then(|job| self.durable.fail(job)) {
-                    self.act(vec![act], now, out);
+                if let Some(act) = job.and_then(|job| self.durable.fail_job(job)) {
+                    self.apply_actions(vec![act], now, out);
                     self.call_store(now, out);
                 }
             }
@@ -656,7 +660,7 @@
                 to,
                 rooms,
             } => self.owner.reassign_waiting(rack, to, rooms, out),
-            Message::Handover(handover) => self.take_over(*handover, now, out),
+            Message::Handover(handover) => self.accept_handover(*handover, now, out),
             Message::Moved { serial, to, moves } => {
                 let lost = to != self.identity.contact.name
                     && self.members.get(&to).is_none_or(|member| !member.live);
@@ -667,7 +671,7 @@
                 }
             }
             Message::RosterChange(change) => {
-                if let Some(roster) = self.roster.with(&change).filter(|_| self.listed) {
+                if let Some(roster) = self.roster.with_change(&change).filter(|_| self.listed) {
                     self.list(roster, now, out);
                 }
             }
@@ -693,8 +697,8 @@
                 let batch = end.batch.as_ref().filter(|(entry, _)| entry == own);
                 let batch = batch.map(|(_, serial)| *serial);
                 let batch = batch.filter(|serial| self.entry.has_out(*serial));
-                let act = self.durable.ended(from, &end, batch, out);
-                self.act(act.into_iter().collect(), now, out);
+                let act = self.durable.on_run_end(from, &end, batch, out);
+                self.apply_actions(act.into_iter().collect(), now, out);
                 self.call_store(now, out);
             }
             Message::Noted {
@@ -709,10 +713,10 @@
     /// Takes all that it holds as lapsed, after the process stood still for longer than its peers wait.
     fn awake(&mut self, now: Time, out: &mut Effects) {
         out.outputs.push(Output::Log(Record::new("awoke")));
-        let acts = self.durable.void(out);
-        self.act(acts, now, out);
+        let acts = self.durable.release_all(out);
+        self.apply_actions(acts, now, out);
         self.owner.reset(&self.identity.contact.name);
-        for member in self.members.void(now) {
+        for member in self.members.expire_all(now) {
             out.outputs.push(Output::Session {
                 to: member.contact,
                 incarnation: member.incarnation,
@@ -734,7 +738,7 @@
         for member in self.members.expire(now) {
             let name = member.contact.name.clone();
             let record = Record::new("member_lost").with("member", name.as_str());
-            let heard = member.heard.unwrap_or(now);
+            let heard = member.last_heard.unwrap_or(now);
             out.outputs
                 .push(Output::Log(record.with("silent_ms", now.since(heard))));
             out.outputs.push(Output::Session {
@@ -743,21 +747,21 @@
                 session: member.session,
             });
             let claims = member.status.map_or_else(Vec::new, |status| status.racks);
-            self.remember(&name, &claims, now);
+            self.add_former_owner(&name, &claims, now);
             self.owner.drop_entry(&name, out);
             self.entry.lost(&name, now, out);
-            self.durable.suspect(now);
+            self.durable.require_lock_checks(now);
         }
     }
 
     fn tick(&mut self, now: Time, out: &mut Effects) {
         self.ceded.retain(|(_, at)| now.since(*at) < CEDED);
-        self.deal(now, out);
-        self.rebalance(now, out);
-        self.choose_readers(now, out);
+        self.update_ownership(now, out);
+        self.rebalance_racks(now, out);
+        self.decide_reading(now, out);
         if now.since(self.coordinated) >= COORDINATE {
             self.coordinated = now;
-            self.coordinate(now, out);
+            self.update_coordination(now, out);
         }
         self.call_store(now, out);
         self.ask_again(now, out);
@@ -767,7 +771,7 @@
             self.audit = now;
             self.entry.audit(now, out);
         }
-        self.tell(now, out);
+        self.send_due_heartbeats(now, out);
         if self.closed(now) && !self.shut {
             self.shut = true;
             out.outputs.push(Output::Closed);
--- a/src/dispatch/coordination.rs
+++ b/src/dispatch/coordination.rs
@@ -3,11 +3,11 @@
 use std::collections::HashMap;
 
 use super::{
-    durable::Act,
+    durable::Action,
     id::ShardId,
     member::{
         Member,
-        SETTLE, //
+        STARTUP_DELAY, //
     },
     message::{
         Contact,
@@ -22,22 +22,22 @@
 impl Dispatcher {
     /// Lets the shards do what is due, with the calls to the store that it takes.
     pub(super) fn call_store(&mut self, now: Time, out: &mut Effects) {
-        let acts = self.durable.work(now, out);
-        self.act(acts, now, out);
+        let acts = self.durable.run_due(now, out);
+        self.apply_actions(acts, now, out);
     }
 
     /// Does what a shard's rows ask for.
-    pub(super) fn act(&mut self, acts: Vec<Act>, now: Time, out: &mut Effects) {
+    pub(super) fn apply_actions(&mut self, acts: Vec<Action>, now: Time, out: &mut Effects) {
         for act in acts {
             match act {
-                Act::Run(job, at) => {
-                    if let Some((record, progress)) = self.durable.job(job) {
+                Action::Run(job, at) => {
+                    if let Some((record, progress)) = self.durable.open_job(job) {
                         self.entry.run(job, record, progress, at, now);
                     }
                 }
-                Act::Done(task) => self.entry.task_done(task, now, out),
-                Act::Failed(task, batch) => self.entry.task_failed(task, batch, now),
-                Act::Release(job) => self.entry.release(job, out),
+                Action::TaskDone(task) => self.entry.task_done(task, now, out),
+                Action::TaskFailed(task, batch) => self.entry.task_failed(task, batch, now),
+                Action::Release(job) => self.entry.release(job, out),
             }
         }
         self.entry.begin(now, out);
@@ -65,8 +65,8 @@
     }
 
     /// Decides which shards it coordinates: those of nobody else, by their weight, until it ends.
-    pub(super) fn coordinate(&mut self, now: Time, out: &mut Effects) {
-        if now.since(self.began) < SETTLE {
+    pub(super) fn update_coordination(&mut self, now: Time, out: &mut Effects) {
+        if now.since(self.began) < STARTUP_DELAY {
             return;
         }
         let own = self.identity.contact.name.clone();
@@ -74,7 +74,7 @@
         let mut acts = Vec::new();
         let candidates: Vec<Instance> = self
             .members
-            .takers()
+            .available()
             .map(|m| m.contact.name.clone())
             .collect();
         for shard in ShardId::all() {
@@ -85,7 +85,7 @@
             } else if mine && known.is_some_and(|name| *name != own) {
                 acts.extend(self.durable.release(shard, "another holds it", out));
             } else if mine && self.contested(shard) {
-                self.durable.suspect(now);
+                self.durable.require_lock_checks(now);
                 let heavier =
                     |name: &Instance| shard.weight(name.as_str()) > shard.weight(own.as_str());
                 let held = self.durable.knowledge(shard) == Some(Knowledge::Held);
@@ -103,7 +103,7 @@
                 }
             }
         }
-        self.act(acts, now, out);
+        self.apply_actions(acts, now, out);
     }
 
     /// Returns the live members that claim a shard.
@@ -123,7 +123,7 @@
     }
 
     /// Reports ends that must be stored to the coordinators of their shards.
-    pub(super) fn report_ends(&mut self, now: Time, out: &mut Effects) {
+    pub(super) fn report_run_ends(&mut self, now: Time, out: &mut Effects) {
         let ends = self.owner.take_ends_to_report(now);
         if ends.is_empty() {
             return;
--- a/src/dispatch/ownership.rs
+++ b/src/dispatch/ownership.rs
@@ -13,11 +13,11 @@
         Token, //
     },
     member::{
-        deal,
+        assign_racks,
         Candidate,
         Member,
-        QUIET,
-        SETTLE, //
+        STARTUP_DELAY, //
+        STARTUP_QUIET,
     },
     message::{
         Claim,
@@ -51,7 +51,7 @@
 
 /// A rack whose owner has fallen silent, or has fenced this instance off.
 #[derive(Debug, Clone)]
-pub(super) struct Former {
+pub(super) struct FormerOwner {
     /// Who owned it, as far as is known.
     pub(super) owner: Option<Instance>,
     /// The highest token known there.
@@ -74,7 +74,7 @@
 
 impl Startup {
     /// Takes note of a member that is heard for the first time, or again.
-    pub(super) fn heard(&mut self, member: Option<&Member>, now: Time) {
+    pub(super) fn on_member_heard(&mut self, member: Option<&Member>, now: Time) {
         self.last = Some(now);
         let status = member.and_then(|member| member.status.as_ref());
         match status.is_some_and(|status| !status.racks.is_empty()) {
@@ -89,7 +89,7 @@
     /// After a loss of all instances callers wait for the first claims: 0.35 s less of that is as much work of all endpoints. One
     /// that starts among others waits longer: a rack whose owner it hasn't heard yet is none of its business.
     fn is_common(&self, known: usize, now: Time) -> bool {
-        let quiet = self.last.is_some_and(|at| now.since(at) >= QUIET);
+        let quiet = self.last.is_some_and(|at| now.since(at) >= STARTUP_QUIET);
         quiet && self.established == 0 && self.fresh * 2 >= known
     }
 }
@@ -98,11 +98,11 @@
     /// Tells whether it has listened long enough to claim racks that nobody seems to own.
     fn settled(&self, now: Time) -> bool {
         let known = self.members.all().count();
-        now.since(self.began) >= SETTLE || self.startup.is_common(known, now)
+        now.since(self.began) >= STARTUP_DELAY || self.startup.is_common(known, now)
     }
 
     /// Decides who owns what: gives up what another owns with a higher token, claims what nobody owns.
-    pub(super) fn deal(&mut self, now: Time, out: &mut Effects) {
+    pub(super) fn update_ownership(&mut self, now: Time, out: &mut Effects) {
         self.update_owners();
         let owners = self.owners.clone();
         let lost: Vec<RackId> = self
@@ -116,7 +116,7 @@
         }
         for (rack, token) in self.owner.take_fenced() {
             self.epoch = Epoch(self.epoch.0 + LEAP);
-            let former = Former {
+            let former = FormerOwner {
                 owner: None,
                 token,
                 since: now,
@@ -126,35 +126,35 @@
         }
         self.former.retain(|rack, _| !owners.contains_key(rack));
         if self.draining() {
-            self.hand_over(now, out);
+            self.hand_over_all(now, out);
         } else if self.settled(now) {
             self.update_owners();
-            self.claim(now, out);
+            self.claim_orphans(now, out);
         }
         self.update_owners();
     }
 
-    fn claim(&mut self, now: Time, out: &mut Effects) {
+    fn claim_orphans(&mut self, now: Time, out: &mut Effects) {
         let orphans = self.entry.orphans();
         if orphans.is_empty() {
             return;
         }
         let own = &self.identity.contact.name;
-        let mut candidates = self.candidates();
+        let mut candidates = self.rack_candidates();
         candidates.push(Candidate {
             name: own.clone(),
             centre: self.identity.centre.clone(),
             share: self.identity.share,
             racks: self.owner.racks().count(),
         });
-        let mine: Vec<RackId> = deal(&orphans, &mut candidates)
+        let mine: Vec<RackId> = assign_racks(&orphans, &mut candidates)
             .into_iter()
             .filter(|(_, owner)| owner == own)
             .map(|(rack, _)| rack)
             .collect();
         let mine: Vec<RackId> = mine
             .into_iter()
-            .filter(|rack| self.is_free(*rack, now, out))
+            .filter(|rack| self.is_claimable(*rack, now, out))
             .collect();
         if mine.is_empty() {
             return;
@@ -170,7 +170,7 @@
     }
 
     /// Tells whether a rack that nobody is heard to own can be claimed.
-    pub(super) fn is_free(&mut self, rack: RackId, now: Time, out: &mut Effects) -> bool {
+    pub(super) fn is_claimable(&mut self, rack: RackId, now: Time, out: &mut Effects) -> bool {
         let Some(former) = self.former.get(&rack).cloned() else {
             return true;
         };
@@ -189,9 +189,9 @@
     }
 
     /// Takes note of racks whose owner isn't heard any more.
-    pub(super) fn remember(&mut self, owner: &Instance, claims: &[Claim], now: Time) {
+    pub(super) fn add_former_owner(&mut self, owner: &Instance, claims: &[Claim], now: Time) {
         for claim in claims {
-            let former = Former {
+            let former = FormerOwner {
                 owner: Some(owner.clone()),
                 token: claim.token,
                 since: now,
@@ -201,8 +201,8 @@
         }
     }
 
-    pub(super) fn candidates(&self) -> Vec<Candidate> {
-        let members = self.members.takers();
+    pub(super) fn rack_candidates(&self) -> Vec<Candidate> {
+        let members = self.members.available();
         let candidate = |m: &Member| {
             let status = m.status.as_ref()?;
             Some(Candidate {
@@ -216,7 +216,7 @@
     }
 
     pub(super) fn next_token(&mut self) -> Token {
-        self.epoch = Epoch(self.epoch.max(self.members.epoch()).0 + 1);
+        self.epoch = Epoch(self.epoch.max(self.members.highest_epoch()).0 + 1);
         let name = self.identity.contact.name.as_str().as_bytes();
         Token::new(self.epoch, fnv(self.identity.incarnation, name))
     }
@@ -225,12 +225,12 @@
     ///
     /// Done for each message, this took nine tenths of the processor time of 42 instances with 44 racks.
     pub(super) fn update_owners(&mut self) {
-        let claims = (self.members.claims(), self.owner.rack_changes());
+        let claims = (self.members.claim_changes(), self.owner.rack_changes());
         if self.claims == Some(claims) {
             return;
         }
         self.claims = Some(claims);
-        let owners = self.members.owners();
+        let owners = self.members.rack_owners();
         let mut contacts: HashMap<RackId, Contact> = HashMap::new();
         for (rack, (name, _)) in &owners {
             if let Some(member) = self.members.get(name) {
@@ -249,16 +249,17 @@
     /// Racks of an instance that was restarted stay with those that took them over. Without a way back, a data
     /// centre whose only instance had been restarted owned none of its racks, and when it was cut off they could be
     /// used by neither side.
-    pub(super) fn rebalance(&mut self, now: Time, out: &mut Effects) {
+    pub(super) fn rebalance_racks(&mut self, now: Time, out: &mut Effects) {
         if self.draining() || now.since(self.rebalanced) < REBALANCE {
             return;
         }
         self.rebalanced = now;
         let steady = |c: &Candidate| {
             let member = self.members.get(&c.name);
-            member.is_some_and(|m| m.live && now.since(m.since) >= STEADY)
+            member.is_some_and(|m| m.live && now.since(m.state_since) >= STEADY)
         };
-        let candidates: Vec<Candidate> = self.candidates().into_iter().filter(steady).collect();
+        let candidates: Vec<Candidate> =
+            self.rack_candidates().into_iter().filter(steady).collect();
         let centres: HashMap<RackId, String> = self.entry.racks().into_iter().collect();
         let own: Vec<RackId> = self.owner.racks().map(|(rack, _)| rack).collect();
         let burden = |racks: usize, share: u32| racks as u64 * 1_000_000 / u64::from(share.max(1));
@@ -274,12 +275,12 @@
             };
             if centre != home || burden(next.racks + 1, next.share) < mine {
                 let next = next.name.clone();
-                return self.give(rack, &next, now, out);
+                return self.hand_over_rack(rack, &next, now, out);
             }
         }
     }
 
-    fn give(&mut self, rack: RackId, to: &Instance, now: Time, out: &mut Effects) {
+    fn hand_over_rack(&mut self, rack: RackId, to: &Instance, now: Time, out: &mut Effects) {
         let Some(member) = self.members.get(to) else {
             return;
         };
@@ -294,7 +295,7 @@
     }
 
     /// Gives all racks to members that stay.
-    pub(super) fn hand_over(&mut self, now: Time, out: &mut Effects) {
+    pub(super) fn hand_over_all(&mut self, now: Time, out: &mut Effects) {
         let racks: Vec<RackId> = self.owner.racks().map(|(rack, _)| rack).collect();
         if racks.is_empty() {
             return;
@@ -302,12 +303,12 @@
         let centres: HashMap<RackId, String> = self.entry.racks().into_iter().collect();
         let with_centre = |rack: &RackId| (*rack, centres.get(rack).cloned().unwrap_or_default());
         let racks: Vec<(RackId, String)> = racks.iter().map(with_centre).collect();
-        for (rack, name) in deal(&racks, &mut self.candidates()) {
-            self.give(rack, &name, now, out);
+        for (rack, name) in assign_racks(&racks, &mut self.rack_candidates()) {
+            self.hand_over_rack(rack, &name, now, out);
         }
     }
 
-    pub(super) fn take_over(&mut self, handover: Handover, now: Time, out: &mut Effects) {
+    pub(super) fn accept_handover(&mut self, handover: Handover, now: Time, out: &mut Effects) {
         self.epoch = self.epoch.max(handover.token.epoch());
         let token = self.next_token();
         self.owner
@@ -315,7 +316,7 @@
         self.update_owners();
         self.announced = Time::default();
         if self.draining() {
-            self.hand_over(now, out);
+            self.hand_over_all(now, out);
         }
     }
 }
