--- a/src/core.rs
+++ b/src/core.rs
@@ -223,16 +223,16 @@
                 };
                 self.submit(arrival);
             }
-            Input::Cancel { request, team, key } => self.cancel(request, &team, &key),
-            Input::Find { request, team, key } => self.find(request, &team, &key),
-            Input::Hangup(request) => self.hang_up(request),
+            Input::Cancel { request, team, key } => self.cancel_job(request, &team, &key),
+            Input::Find { request, team, key } => self.find_job(request, &team, &key),
+            Input::Hangup(request) => self.on_hangup(request),
             Input::Operate { request, ask } => self.configure(config::Input::Ask(request, ask)),
             Input::Operated(Ticket::Claim(ticket), result) => self.operated(ticket, result),
             Input::Operated(Ticket::Config(ticket), result) => {
                 self.configure(config::Input::Operated(ticket, result));
             }
-            Input::Ended(attempt, end) => self.ended(attempt, end),
-            Input::Looked(attempt, status) => self.looked(attempt, status),
+            Input::Ended(attempt, end) => self.on_attempt_end(attempt, end),
+            Input::Looked(attempt, status) => self.on_status(attempt, status),
             Input::Called(caller, call) => self.called(caller, call),
             Input::Returned(id, result) => self.returned(id, result),
             Input::Listed(list) => self.take_list(&list),
@@ -297,10 +297,10 @@
     fn run_timers(&mut self) {
         while let Some(timer) = self.timers.pop(self.now) {
             match timer {
-                Timer::Deadline(job) => self.deadline(job),
-                Timer::Look(attempt) => self.look(attempt),
+                Timer::Deadline(job) => self.on_deadline(job),
+                Timer::Look(attempt) => self.check_overdue_attempt(attempt),
                 Timer::Retry(item) => self.enqueue(item),
-                Timer::Settle(job) => self.settle(job),
+                Timer::Settle(job) => self.read_back_claim(job),
                 Timer::Orphan(attempt) => self.drop_orphan(attempt),
             }
         }
--- a/src/core/claiming.rs
+++ b/src/core/claiming.rs
@@ -39,38 +39,42 @@
 const SETTLE: Span = Span::millis(100);
 
 impl Core {
-    pub(super) fn answered_by_store(&mut self, number: u64, result: message::Result) {
+    pub(super) fn on_store_result(&mut self, number: u64, result: message::Result) {
         let Some(Any::Received(job)) = self.take_received(number) else {
             return;
         };
         match (job.stage.wait.clone(), result) {
             (Wait::Claim(nonce), message::Result::Verdict(verdict)) => {
                 if verdict.applied {
-                    self.claimed(job, nonce);
+                    self.run_claimed(job, nonce);
                 } else {
-                    self.owned(job, verdict.current.first(), Some(nonce));
+                    self.resolve_claim(job, verdict.current.first(), Some(nonce));
                 }
             }
             (Wait::Claim(_), message::Result::Refused) => self.fail_claim(job),
             (Wait::Claim(nonce) | Wait::Settle(nonce), message::Result::Unknown) => {
-                self.unsettled(job, nonce);
+                self.schedule_claim_read(job, nonce);
             }
             (Wait::Settle(nonce), message::Result::Row(Some(row))) => {
-                self.owned(job, Some(&row), Some(nonce));
+                self.resolve_claim(job, Some(&row), Some(nonce));
             }
             // The write may still be on its way. Inserting the same claim again settles it either way: what
             // lands second finds the first, with the same nonce.
-            (Wait::Settle(nonce), message::Result::Row(None)) => self.insert_again(job, nonce),
+            (Wait::Settle(nonce), message::Result::Row(None)) => {
+                self.retry_claim_insert(job, nonce)
+            }
             // A table that hangs answers no read either, and would hold the caller until its deadline. The
             // nonce is kept, so a later submission still settles the claim, and nothing runs before that.
             (Wait::Settle(_), _) if self.store_down() => self.fail_claim(job),
-            (Wait::Settle(nonce), _) => self.unsettled(job, nonce),
+            (Wait::Settle(nonce), _) => self.schedule_claim_read(job, nonce),
             (Wait::Verify(refusal), message::Result::Row(None)) => {
                 self.finish_received(job, refusal);
             }
-            (Wait::Verify(_), message::Result::Row(Some(row))) => self.owned(job, Some(&row), None),
+            (Wait::Verify(_), message::Result::Row(Some(row))) => {
+                self.resolve_claim(job, Some(&row), None)
+            }
             (Wait::Verify(refusal), _) => self.finish_received(job, doubtful(&refusal)),
-            (Wait::Record, message::Result::Row(row)) => self.recorded(job, row),
+            (Wait::Record, message::Result::Row(row)) => self.on_outcome_row(job, row),
             (Wait::Object, message::Result::Object(bytes)) => {
                 let answer = bytes.and_then(|bytes| serde_json::from_slice(&bytes).ok());
                 let answer = answer.unwrap_or_else(owner_gone);
@@ -87,7 +91,7 @@
         }
     }
 
-    fn insert_again(&mut self, mut job: Job<Received>, nonce: Nonce) {
+    fn retry_claim_insert(&mut self, mut job: Job<Received>, nonce: Nonce) {
         let Some(key) = job.submission.key.clone() else {
             return self.fail_claim(job);
         };
@@ -97,7 +101,7 @@
     }
 
     /// Reads a claim back whose answer was lost, after a moment.
-    fn unsettled(&mut self, mut job: Job<Received>, nonce: Nonce) {
+    fn schedule_claim_read(&mut self, mut job: Job<Received>, nonce: Nonce) {
         if !matches!(job.stage.wait, Wait::Settle(_)) {
             let name = job.submission.key.as_ref().map(ToString::to_string);
             self.event(Code::ClaimUnsettled, name.unwrap_or_default());
@@ -108,7 +112,7 @@
         self.jobs.insert(job.number, Any::Received(job));
     }
 
-    pub(super) fn settle(&mut self, number: u64) {
+    pub(super) fn read_back_claim(&mut self, number: u64) {
         let Some(Any::Received(job)) = self.jobs.get(&number) else {
             return;
         };
@@ -119,12 +123,12 @@
         self.operate(number, Operate::Read(place));
     }
 
-    fn claimed(&mut self, job: Job<Received>, nonce: Nonce) {
-        self.run(job.permit(Permit::by_table(), Some(nonce)));
+    fn run_claimed(&mut self, job: Job<Received>, nonce: Nonce) {
+        self.run_job(job.permit(Permit::by_table(), Some(nonce)));
     }
 
     /// Goes on with a job whose key has a claim in the table.
-    pub(super) fn owned(
+    pub(super) fn resolve_claim(
         &mut self,
         job: Job<Received>,
         row: Option<&wire::Row>,
@@ -144,32 +148,32 @@
             return self.finish_received(job, answer.unwrap_or_else(owner_gone));
         }
         if row.owner != self.identity.incarnation {
-            return self.ask_owner(job, row.owner, Some(&row.name));
+            return self.forward_to_owner(job, row.owner, Some(&row.name));
         }
         match nonce {
-            Some(nonce) if nonce == row.nonce => self.claimed(job, nonce),
+            Some(nonce) if nonce == row.nonce => self.run_claimed(job, nonce),
             // An earlier job of this incarnation, dropped from memory since.
-            _ => self.read_record(job),
+            _ => self.read_outcome(job),
         }
     }
 
     /// Asks the owner of a key for the answer; where it is gone, the recorded outcome is read.
-    pub(super) fn ask_owner(
+    pub(super) fn forward_to_owner(
         &mut self,
         mut job: Job<Received>,
         owner: Incarnation,
         name: Option<&Instance>,
     ) {
-        self.release(&mut job);
+        self.release_admission(&mut job);
         // An instance that has just started may not have heard of the incarnation; its name will do, since the
         // peer that is asked says whether it is the one.
         let named = name.filter(|_| !self.membership.gone(owner)).cloned();
         let known = self.membership.owner(owner).map(|(peer, _)| peer);
         let Some(peer) = known.or(named) else {
-            return self.read_record(job);
+            return self.read_outcome(job);
         };
         if !self.membership.alive(self.now, &peer) {
-            return self.read_record(job);
+            return self.read_outcome(job);
         }
         let forward = Forward {
             owner,
@@ -186,8 +190,8 @@
     }
 
     /// Reads the recorded outcome of a key whose owner can't be asked.
-    pub(super) fn read_record(&mut self, mut job: Job<Received>) {
-        self.release(&mut job);
+    pub(super) fn read_outcome(&mut self, mut job: Job<Received>) {
+        self.release_admission(&mut job);
         let Some(key) = job.submission.key.clone() else {
             return self.finish_received(job, owner_gone());
         };
@@ -202,7 +206,7 @@
         self.operate(number, Operate::Read(place));
     }
 
-    fn recorded(&mut self, mut job: Job<Received>, row: Option<wire::Row>) {
+    fn on_outcome_row(&mut self, mut job: Job<Received>, row: Option<wire::Row>) {
         let record = row.and_then(|row| serde_json::from_str::<claim::Record>(&row.value).ok());
         let Some(record) = record else {
             return self.finish_received(job, owner_gone());
@@ -221,13 +225,13 @@
     }
 
     /// Goes on with a job whose owner was asked.
-    pub(super) fn owner_returned(&mut self, number: u64, result: Return) {
+    pub(super) fn on_owner_return(&mut self, number: u64, result: Return) {
         let Some(Any::Received(job)) = self.take_received(number) else {
             return;
         };
         match result {
             Return::Answer(answer) => self.finish_received(job, answer),
-            _ => self.read_record(job),
+            _ => self.read_outcome(job),
         }
     }
 }
--- a/src/core/ending.rs
+++ b/src/core/ending.rs
@@ -33,7 +33,7 @@
 };
 
 impl Core {
-    pub(super) fn release(&mut self, job: &mut Job<Received>) {
+    pub(super) fn release_admission(&mut self, job: &mut Job<Received>) {
         if let Some(admitted) = job.stage.admitted.take() {
             let tasks = job.submission.tasks.len() as u32;
             let team = &job.submission.team;
@@ -45,7 +45,7 @@
     /// Answers a job that never ran here.
     pub(super) fn finish_received(&mut self, mut job: Job<Received>, answer: Answer) {
         self.timers.cancel(job.timer);
-        self.release(&mut job);
+        self.release_admission(&mut job);
         if let Some(key) = &job.submission.key {
             let team = &job.submission.team;
             match job.stage.wait {
@@ -57,17 +57,17 @@
                 _ => self.registry.forget(team, key),
             }
         }
-        self.note_outcome(
+        self.report_outcome(
             &answer,
             job.number,
             job.submission.class.unwrap_or_default(),
         );
         let answer = with_key(answer, &job.submission);
-        self.tell_all(&job.waiters, &answer);
+        self.send_answers(&job.waiters, &answer);
     }
 
     /// Answers a job that had the right to run.
-    pub(super) fn finish(&mut self, job: Job<stage::Running>, answer: Answer) {
+    pub(super) fn finish_running(&mut self, job: Job<stage::Running>, answer: Answer) {
         let submission = &job.submission;
         let admitted = &job.stage.admitted;
         // What has ended is counted out already.
@@ -83,17 +83,17 @@
         if let Some(queue) = self.queues.get_mut(&admitted.route.service) {
             queue.remove_job(&submission.team, job.number);
         }
-        self.stop_rest(&job);
-        self.note_outcome(&answer, job.number, job.stage.admitted.class);
+        self.stop_attempts(&job);
+        self.report_outcome(&answer, job.number, job.stage.admitted.class);
         let answer = with_key(answer, submission);
         if let Some(key) = &submission.key {
-            self.keep(&job, key, &answer);
+            self.keep_answer(&job, key, &answer);
         }
-        self.tell_all(&job.waiters, &answer);
+        self.send_answers(&job.waiters, &answer);
     }
 
     /// Keeps the answer of a job under its key, and records it where the claim is in the table.
-    fn keep(&mut self, job: &Job<stage::Running>, key: &Key, answer: &Answer) {
+    fn keep_answer(&mut self, job: &Job<stage::Running>, key: &Key, answer: &Answer) {
         let team = &job.submission.team;
         if job.stage.admitted.class.repeatable() {
             return self.registry.forget(team, key);
@@ -110,7 +110,7 @@
         self.note_dropped(dropped);
     }
 
-    pub(super) fn count(&mut self, answer: &Answer, class: Class) {
+    pub(super) fn count_answer(&mut self, answer: &Answer, class: Class) {
         self.outputs.push(Output::Measure(Sample::Answered {
             outcome: answer.outcome,
             reason: answer.reason,
@@ -118,15 +118,15 @@
         }));
     }
 
-    fn note_outcome(&mut self, answer: &Answer, job: u64, class: Class) {
-        self.count(answer, class);
+    fn report_outcome(&mut self, answer: &Answer, job: u64, class: Class) {
+        self.count_answer(answer, class);
         if answer.outcome == Outcome::Unknown {
             let detail = format!("job {job}: {}", answer.detail);
             self.event(Code::OutcomeUnknown, detail);
         }
     }
 
-    pub(super) fn deadline(&mut self, number: u64) {
+    pub(super) fn on_deadline(&mut self, number: u64) {
         match self.jobs.remove(&number) {
             None => {}
             Some(Any::Running(job)) => self.finish_early(job, Reason::Deadline),
@@ -145,19 +145,19 @@
         }
     }
 
-    pub(super) fn cancel(&mut self, request: Request, team: &Team, key: &Key) {
+    pub(super) fn cancel_job(&mut self, request: Request, team: &Team, key: &Key) {
         let waiter = Waiter::Request(request);
         match self.registry.peek(team, key).cloned() {
-            Some(Entry::Kept(kept)) => self.tell(waiter, &kept.answer()),
+            Some(Entry::Kept(kept)) => self.send_answer(waiter, &kept.answer()),
             Some(Entry::Open(number)) => {
-                self.join(number, waiter);
+                self.join_job(number, waiter);
                 self.end_job(number, Reason::Cancelled);
             }
-            Some(Entry::Abandoned(_)) => self.tell(
+            Some(Entry::Abandoned(_)) => self.send_answer(
                 waiter,
                 &Answer::refusal(Reason::Cancelled, "no task of this job was started"),
             ),
-            None => self.tell(waiter, &not_known(key)),
+            None => self.send_answer(waiter, &not_known(key)),
         }
     }
 
@@ -175,26 +175,26 @@
         }
     }
 
-    pub(super) fn find(&mut self, request: Request, team: &Team, key: &Key) {
+    pub(super) fn find_job(&mut self, request: Request, team: &Team, key: &Key) {
         let waiter = Waiter::Request(request);
         match self.registry.peek(team, key).cloned() {
-            Some(Entry::Kept(kept)) => self.tell(waiter, &kept.answer()),
-            Some(Entry::Open(_)) => self.tell(
+            Some(Entry::Kept(kept)) => self.send_answer(waiter, &kept.answer()),
+            Some(Entry::Open(_)) => self.send_answer(
                 waiter,
                 &Answer::new(Outcome::Unknown, Reason::Running, "the job is in progress")
                     .with_key(key.clone()),
             ),
-            Some(Entry::Abandoned(_)) => self.tell(
+            Some(Entry::Abandoned(_)) => self.send_answer(
                 waiter,
                 &Answer::refusal(Reason::Store, "no task of this job was started")
                     .with_key(key.clone()),
             ),
-            None => self.tell(waiter, &not_known(key)),
+            None => self.send_answer(waiter, &not_known(key)),
         }
     }
 
     /// Forgets a caller whose connection is gone; its job goes on, and its answer is kept.
-    pub(super) fn hang_up(&mut self, request: Request) {
+    pub(super) fn on_hangup(&mut self, request: Request) {
         let Some(number) = self.requests.remove(&request) else {
             return;
         };
@@ -213,7 +213,7 @@
         }
     }
 
-    pub(super) fn tell(&mut self, waiter: Waiter, answer: &Answer) {
+    pub(super) fn send_answer(&mut self, waiter: Waiter, answer: &Answer) {
         let output = match waiter {
             Waiter::Request(request) => {
                 self.requests.remove(&request);
@@ -224,9 +224,9 @@
         self.outputs.push(output);
     }
 
-    pub(super) fn tell_all(&mut self, waiters: &[Waiter], answer: &Answer) {
+    pub(super) fn send_answers(&mut self, waiters: &[Waiter], answer: &Answer) {
         for waiter in waiters {
-            self.tell(*waiter, answer);
+            self.send_answer(*waiter, answer);
         }
     }
 }
--- a/src/core/execution.rs
+++ b/src/core/execution.rs
@@ -63,7 +63,7 @@
 
 impl Core {
     /// Queues the tasks of a job that may run.
-    pub(super) fn run(&mut self, job: Job<Running>) {
+    pub(super) fn run_job(&mut self, job: Job<Running>) {
         if self.now >= job.deadline {
             return self.finish_early(job, Reason::Deadline);
         }
@@ -71,9 +71,9 @@
         let tasks = job.stage.tasks.len() as u32;
         self.jobs.insert(number, Any::Running(job));
         for task in 0..tasks {
-            if !self.push(Item { job: number, task }) {
+            if !self.push_task(Item { job: number, task }) {
                 let detail = "the queue of tasks is full";
-                return self.give_up(number, Reason::Busy, detail);
+                return self.fail_job(number, Reason::Busy, detail);
             }
         }
         self.dispatch();
@@ -81,14 +81,14 @@
 
     /// Queues a task and starts what can be started.
     pub(super) fn enqueue(&mut self, item: Item) {
-        if self.push(item) {
+        if self.push_task(item) {
             self.dispatch();
         } else {
-            self.give_up(item.job, Reason::Busy, "the queue of tasks is full");
+            self.fail_job(item.job, Reason::Busy, "the queue of tasks is full");
         }
     }
 
-    fn push(&mut self, item: Item) -> bool {
+    fn push_task(&mut self, item: Item) -> bool {
         let Some(Any::Running(job)) = self.jobs.get(&item.job) else {
             return true;
         };
@@ -135,7 +135,7 @@
         else {
             return false;
         };
-        let placed = self.place(item);
+        let placed = self.place_task(item);
         if matches!(placed, Some(Err(Obstacle::Full | Obstacle::Gone))) {
             return false;
         }
@@ -143,10 +143,10 @@
             queue.pop();
         }
         match placed {
-            Some(Ok(slot)) => self.start(item, slot),
+            Some(Ok(slot)) => self.start_task(item, slot),
             Some(Err(_)) => {
                 let detail = "no endpoint of the service can run the task any more";
-                self.give_up(item.job, Reason::Impossible, detail);
+                self.fail_job(item.job, Reason::Impossible, detail);
             }
             None => {}
         }
@@ -154,7 +154,7 @@
     }
 
     /// Picks an endpoint for a task; none where its job has ended.
-    fn place(&mut self, item: Item) -> Option<Result<Slot, Obstacle>> {
+    fn place_task(&mut self, item: Item) -> Option<Result<Slot, Obstacle>> {
         let Some(Any::Running(job)) = self.jobs.get(&item.job) else {
             return None;
         };
@@ -171,7 +171,7 @@
         Some(self.placement.place(&requirement))
     }
 
-    fn start(&mut self, item: Item, slot: Slot) {
+    fn start_task(&mut self, item: Item, slot: Slot) {
         let Some(worker) = self.placement.endpoint(slot) else {
             return;
         };
@@ -222,44 +222,44 @@
         });
     }
 
-    pub(super) fn ended(&mut self, attempt: Attempt, end: End) {
+    pub(super) fn on_attempt_end(&mut self, attempt: Attempt, end: End) {
         let Some(pending) = self.find_pending(attempt) else {
-            return self.orphan_ended(attempt);
+            return self.on_orphan_end(attempt);
         };
         match end {
-            End::Replied(reply) => self.replied(attempt, reply),
+            End::Replied(reply) => self.on_reply(attempt, reply),
             End::Unsent => {
-                self.note_failure(pending.slot, attempt.job);
+                self.record_failure(pending.slot, attempt.job);
                 self.conclude(attempt, None, Conclusion::NotStarted);
             }
             End::Withheld => self.conclude(attempt, None, Conclusion::NotStarted),
             End::Broken => {
-                self.note_failure(pending.slot, attempt.job);
-                if self.repeatable(attempt.job) {
+                self.record_failure(pending.slot, attempt.job);
+                if self.is_repeatable(attempt.job) {
                     self.conclude(attempt, None, Conclusion::Lost);
                 } else {
                     // It may run on behind a broken connection; the endpoint itself knows.
                     self.event(Code::StartLost, attempt.to_string());
-                    self.send_look(&pending, false);
+                    self.request_status(&pending, false);
                 }
             }
         }
     }
 
-    pub(super) fn replied(&mut self, attempt: Attempt, reply: Reply) {
+    pub(super) fn on_reply(&mut self, attempt: Attempt, reply: Reply) {
         let Some(pending) = self.find_pending(attempt) else {
             return;
         };
-        self.note_incarnation(pending.slot, &reply);
+        self.record_incarnation(pending.slot, &reply);
         match reply {
             Reply::Done { result, load } => {
                 self.retries.success();
                 let change = self.health.succeeded(self.now, pending.slot);
-                self.apply_health(change);
+                self.apply_health_change(change);
                 self.conclude(attempt, Some(load), Conclusion::Done(result));
             }
             Reply::Failed { error, load } => {
-                self.note_failure(pending.slot, attempt.job);
+                self.record_failure(pending.slot, attempt.job);
                 self.conclude(attempt, Some(load), Conclusion::Failed(error));
             }
             Reply::NotStarted { leaving, load, .. } => {
@@ -300,7 +300,7 @@
         let took = self.now.since(pending.at);
         let done = matches!(conclusion, Conclusion::Done(_));
         if let Some(load) = load {
-            self.learn_share(pending.slot, load);
+            self.update_share(pending.slot, load);
         }
         self.placement
             .ended(pending.slot, done.then_some(took), load);
@@ -308,22 +308,22 @@
             Conclusion::Done(result) => {
                 self.admission.learned(expected, took);
                 self.hedges.success(&service, took);
-                self.done(attempt, took, result);
+                self.finish_task(attempt, took, result);
             }
             Conclusion::NotStarted => self.requeue(attempt),
             Conclusion::Failed(error) => {
-                if !class.repeatable() || !self.retry(attempt) {
+                if !class.repeatable() || !self.retry_task(attempt) {
                     let detail = format!("tasks[{}]: {error}", attempt.task);
-                    self.give_up(attempt.job, Reason::TaskFailed, &detail);
+                    self.fail_job(attempt.job, Reason::TaskFailed, &detail);
                 }
             }
             Conclusion::Lost => {
-                if !class.repeatable() || !self.retry(attempt) {
+                if !class.repeatable() || !self.retry_task(attempt) {
                     let detail = format!(
                         "tasks[{}]: the endpoint can't be reached after the start was sent",
                         attempt.task
                     );
-                    self.give_up(attempt.job, Reason::Lost, &detail);
+                    self.fail_job(attempt.job, Reason::Lost, &detail);
                 }
             }
         }
@@ -334,14 +334,14 @@
     ///
     /// Each instance sees its own work only. Under even load on six of them it would take the wait for a sixth of
     /// what it is, and admit jobs that miss their deadlines.
-    fn learn_share(&mut self, slot: Slot, load: Load) {
+    fn update_share(&mut self, slot: Slot, load: Load) {
         let own = self.placement.outstanding(slot).max(1);
         let all = load.running.saturating_add(load.queued).saturating_add(1);
         let sample = f64::from(own) / f64::from(all.max(own));
         self.share += (sample - self.share) * SHARE_GAIN;
     }
 
-    fn done(&mut self, attempt: Attempt, took: Span, result: Arc<RawValue>) {
+    fn finish_task(&mut self, attempt: Attempt, took: Span, result: Arc<RawValue>) {
         let Some(Any::Running(job)) = self.jobs.get_mut(&attempt.job) else {
             return;
         };
@@ -359,14 +359,14 @@
         job.stage.left -= 1;
         let spare: Vec<_> = progress.pending.drain(..).collect();
         if job.stage.left == 0 {
-            self.complete(attempt.job);
+            self.complete_job(attempt.job);
         }
         for pending in spare {
-            self.stop(pending);
+            self.stop_attempt(pending);
         }
     }
 
-    fn complete(&mut self, number: u64) {
+    fn complete_job(&mut self, number: u64) {
         let Some(Any::Running(mut job)) = self.jobs.remove(&number) else {
             return;
         };
@@ -381,14 +381,14 @@
             took: self.now.since(job.arrived),
             ideal: job.stage.longest,
         }));
-        self.finish(job, answer);
+        self.finish_running(job, answer);
     }
 
     /// Queues a task again that is proved not to have started.
     fn requeue(&mut self, attempt: Attempt) {
         if attempt.number + 1 >= REFUSALS {
             let detail = format!("tasks[{}]: refused by every endpoint tried", attempt.task);
-            return self.give_up(attempt.job, Reason::NoEndpoint, &detail);
+            return self.fail_job(attempt.job, Reason::NoEndpoint, &detail);
         }
         let item = Item {
             job: attempt.job,
@@ -403,7 +403,7 @@
     }
 
     /// Queues an idempotent task again that may have run, if the budget allows it.
-    fn retry(&mut self, attempt: Attempt) -> bool {
+    fn retry_task(&mut self, attempt: Attempt) -> bool {
         let Some(Any::Running(job)) = self.jobs.get(&attempt.job) else {
             return true;
         };
@@ -426,7 +426,7 @@
     }
 
     /// Ends a job that can't be completed.
-    fn give_up(&mut self, number: u64, reason: Reason, detail: &str) {
+    fn fail_job(&mut self, number: u64, reason: Reason, detail: &str) {
         let Some(Any::Running(job)) = self.jobs.remove(&number) else {
             return;
         };
@@ -436,7 +436,7 @@
             let span = self.jitter(Span::millis(500));
             answer = answer.with_retry(span);
         }
-        self.finish(job, answer);
+        self.finish_running(job, answer);
     }
 
     /// Ends a job whose deadline passed or that was cancelled, with the truth about what may have run.
@@ -452,19 +452,19 @@
             Outcome::Unknown => format!("{why} while tasks were out; they were told to stop"),
             _ => format!("{why} before every task had run"),
         };
-        self.finish(job, Answer::new(outcome, reason, detail));
+        self.finish_running(job, Answer::new(outcome, reason, detail));
     }
 
     /// Stops the attempts of a job that has its answer.
-    pub(super) fn stop_rest(&mut self, job: &Job<Running>) {
+    pub(super) fn stop_attempts(&mut self, job: &Job<Running>) {
         for progress in &job.stage.tasks {
             for pending in &progress.pending {
-                self.stop(pending.clone());
+                self.stop_attempt(pending.clone());
             }
         }
     }
 
-    pub(super) fn repeatable(&self, job: u64) -> bool {
+    pub(super) fn is_repeatable(&self, job: u64) -> bool {
         match self.jobs.get(&job) {
             Some(Any::Running(job)) => job.stage.admitted.class.repeatable(),
             _ => false,
--- a/src/core/look.rs
+++ b/src/core/look.rs
@@ -42,14 +42,14 @@
 
 impl Core {
     /// Looks at an attempt that has drawn no answer for longer than it should.
-    pub(super) fn look(&mut self, attempt: Attempt) {
+    pub(super) fn check_overdue_attempt(&mut self, attempt: Attempt) {
         let Some(pending) = self.find_pending(attempt) else {
             return;
         };
-        if pending.looks == 0 && self.repeatable(attempt.job) && self.hedge(attempt) {
+        if pending.looks == 0 && self.is_repeatable(attempt.job) && self.hedge(attempt) {
             return;
         }
-        self.send_look(&pending, false);
+        self.request_status(&pending, false);
     }
 
     /// Starts a second copy of an idempotent task that is late, within the budget.
@@ -71,7 +71,7 @@
             .collect();
         slots.into_iter().for_each(|slot| progress.avoid(slot));
         self.outputs.push(Output::Measure(Sample::Hedged));
-        self.set_look(attempt, LONGEST_LOOK);
+        self.schedule_status_check(attempt, LONGEST_LOOK);
         self.enqueue(Item {
             job: attempt.job,
             task: attempt.task,
@@ -79,7 +79,7 @@
         true
     }
 
-    pub(super) fn send_look(&mut self, pending: &Pending, stop: bool) {
+    pub(super) fn request_status(&mut self, pending: &Pending, stop: bool) {
         if let Some(worker) = self.placement.endpoint(pending.slot) {
             self.outputs.push(Output::Look {
                 endpoint: worker.name.clone(),
@@ -90,7 +90,7 @@
         }
     }
 
-    pub(super) fn looked(&mut self, attempt: Attempt, status: Option<Status>) {
+    pub(super) fn on_status(&mut self, attempt: Attempt, status: Option<Status>) {
         let Some(pending) = self.with_pending(attempt, |pending| {
             pending.looks += 1;
             pending.missed = if status.is_none() {
@@ -107,24 +107,24 @@
         };
         match status {
             None if pending.missed >= MISSES => {
-                self.note_failure(pending.slot, attempt.job);
-                self.abandon(attempt);
+                self.record_failure(pending.slot, attempt.job);
+                self.abandon_connection(attempt);
                 self.conclude(attempt, None, Conclusion::Lost);
             }
-            None => self.set_look(attempt, LOOK_AGAIN),
+            None => self.schedule_status_check(attempt, LOOK_AGAIN),
             Some(Status::Running) => {
                 let wait = LOOK_RUNNING.times(1 << pending.looks.min(4));
-                self.set_look(attempt, wait.min(LONGEST_LOOK));
+                self.schedule_status_check(attempt, wait.min(LONGEST_LOOK));
             }
             Some(Status::Ended { reply }) => {
-                self.abandon(attempt);
-                self.replied(attempt, reply);
+                self.abandon_connection(attempt);
+                self.on_reply(attempt, reply);
             }
             // The start may still be on its way: only once the endpoint has barred it may another be tried.
-            Some(Status::Unseen) => self.send_look(&pending, true),
+            Some(Status::Unseen) => self.request_status(&pending, true),
             Some(Status::Barred { incarnation }) => {
-                self.note_failure(pending.slot, attempt.job);
-                self.abandon(attempt);
+                self.record_failure(pending.slot, attempt.job);
+                self.abandon_connection(attempt);
                 // An endpoint that has started again knows nothing of what its last incarnation started. By its
                 // report the task would run twice. An incarnation that was heard before the start left and still
                 // answers is the only one that can have got it.
@@ -139,7 +139,7 @@
         }
     }
 
-    pub(super) fn set_look(&mut self, attempt: Attempt, wait: Span) {
+    pub(super) fn schedule_status_check(&mut self, attempt: Attempt, wait: Span) {
         let look = self.timers.set(self.now + wait, Timer::Look(attempt));
         let known = self.with_pending(attempt, |pending| {
             std::mem::replace(&mut pending.look, look)
@@ -147,20 +147,20 @@
         self.timers.cancel(known.unwrap_or(look));
     }
 
-    pub(super) fn abandon(&mut self, attempt: Attempt) {
+    pub(super) fn abandon_connection(&mut self, attempt: Attempt) {
         self.outputs.push(Output::Abandon(attempt));
     }
 
     /// Stops an attempt whose end nobody waits for; its endpoint stays counted as busy until it has ended.
-    pub(super) fn stop(&mut self, pending: Pending) {
+    pub(super) fn stop_attempt(&mut self, pending: Pending) {
         self.timers.cancel(pending.look);
-        self.send_look(&pending, true);
+        self.request_status(&pending, true);
         self.orphans.insert(pending.attempt, pending.slot);
         self.timers
             .set(self.now + LONGEST_LOOK, Timer::Orphan(pending.attempt));
     }
 
-    pub(super) fn orphan_ended(&mut self, attempt: Attempt) {
+    pub(super) fn on_orphan_end(&mut self, attempt: Attempt) {
         if let Some(slot) = self.orphans.remove(&attempt) {
             self.placement.ended(slot, None, None);
             self.dispatch();
@@ -170,13 +170,13 @@
     /// Gives up an attempt of a job that has ended, with its connection.
     pub(super) fn drop_orphan(&mut self, attempt: Attempt) {
         if self.orphans.contains_key(&attempt) {
-            self.abandon(attempt);
-            self.orphan_ended(attempt);
+            self.abandon_connection(attempt);
+            self.on_orphan_end(attempt);
         }
     }
 
     /// Remembers which incarnation of an endpoint answered last.
-    pub(super) fn note_incarnation(&mut self, slot: Slot, reply: &Reply) {
+    pub(super) fn record_incarnation(&mut self, slot: Slot, reply: &Reply) {
         let (Reply::Done { load, .. }
         | Reply::Failed { load, .. }
         | Reply::NotStarted { load, .. }) = reply;
@@ -186,18 +186,18 @@
         };
     }
 
-    pub(super) fn note_failure(&mut self, slot: Slot, job: u64) {
+    pub(super) fn record_failure(&mut self, slot: Slot, job: u64) {
         let change = self.health.failed(self.now, slot, job);
-        self.apply_health(change);
+        self.apply_health_change(change);
     }
 
     pub(super) fn tick_health(&mut self) {
         for change in self.health.tick(self.now) {
-            self.apply_health(Some(change));
+            self.apply_health_change(Some(change));
         }
     }
 
-    pub(super) fn apply_health(&mut self, change: Option<health::Change>) {
+    pub(super) fn apply_health_change(&mut self, change: Option<health::Change>) {
         let Some(change) = change else {
             return;
         };
--- a/src/core/peering.rs
+++ b/src/core/peering.rs
@@ -80,7 +80,7 @@
             CallId::Submit(id) => {
                 let pending = self.calls.remove(&id);
                 if let Some(job) = pending.and_then(|pending| pending.job) {
-                    self.owner_returned(job, result);
+                    self.on_owner_return(job, result);
                 }
             }
             CallId::Heartbeat(id) => {
--- a/src/core/store.rs
+++ b/src/core/store.rs
@@ -161,7 +161,7 @@
         };
         self.note_store(&result);
         match purpose {
-            Purpose::Job(job) => self.answered_by_store(job, result),
+            Purpose::Job(job) => self.on_store_result(job, result),
             // A record that is lost costs a survivor's answer, never a run: the key stays claimed.
             Purpose::Record => {}
             Purpose::Object(group) => {
--- a/src/core/submission.rs
+++ b/src/core/submission.rs
@@ -57,26 +57,26 @@
     pub(super) fn submit(&mut self, arrival: Arrival) {
         if let Some(fault) = fault(&arrival.submission) {
             let answer = Answer::refusal(Reason::Invalid, fault);
-            return self.tell(arrival.waiter, &answer);
+            return self.send_answer(arrival.waiter, &answer);
         }
         let Some(key) = arrival.submission.key.clone() else {
             return self.submit_new(arrival, None, Origin::Range);
         };
         let team = &arrival.submission.team;
         match self.registry.find(team, &key, &arrival.digest) {
-            Found::Conflict => self.tell(arrival.waiter, &conflict(&key)),
+            Found::Conflict => self.send_answer(arrival.waiter, &conflict(&key)),
             Found::Entry(Entry::Kept(kept)) => {
                 let answer = kept.answer();
-                self.count(&answer, arrival.submission.class.unwrap_or_default());
-                self.tell(arrival.waiter, &answer);
+                self.count_answer(&answer, arrival.submission.class.unwrap_or_default());
+                self.send_answer(arrival.waiter, &answer);
             }
-            Found::Entry(Entry::Open(job)) => self.join(job, arrival.waiter),
+            Found::Entry(Entry::Open(job)) => self.join_job(job, arrival.waiter),
             Found::Entry(Entry::Abandoned(nonce)) => {
                 self.submit_new(arrival, Some(nonce), Origin::Known);
             }
             Found::Nothing => match Range::of(&key) {
                 Some(range) if range.incarnation != self.identity.incarnation => {
-                    self.submit_elsewhere(arrival, range.incarnation);
+                    self.submit_to_owner(arrival, range.incarnation);
                 }
                 Some(range) => self.submit_range(arrival, &key, range),
                 None => self.submit_new(arrival, None, Origin::Table),
@@ -84,14 +84,14 @@
         }
     }
 
-    pub(super) fn join(&mut self, number: u64, waiter: Waiter) {
+    pub(super) fn join_job(&mut self, number: u64, waiter: Waiter) {
         if let Some(job) = self.jobs.get_mut(&number) {
             job.waiters().push(waiter);
-            self.note_waiter(number, waiter);
+            self.track_request(number, waiter);
         }
     }
 
-    fn note_waiter(&mut self, number: u64, waiter: Waiter) {
+    fn track_request(&mut self, number: u64, waiter: Waiter) {
         if let Waiter::Request(request) = waiter {
             self.requests.insert(request, number);
         }
@@ -110,17 +110,17 @@
                 format!("key {key} is older than the kept window"),
             ),
         };
-        self.tell(arrival.waiter, &answer.with_key(key.clone()));
+        self.send_answer(arrival.waiter, &answer.with_key(key.clone()));
     }
 
     /// Hands a key of another incarnation's range to its owner, which alone may admit it.
-    fn submit_elsewhere(&mut self, arrival: Arrival, owner: Incarnation) {
+    fn submit_to_owner(&mut self, arrival: Arrival, owner: Incarnation) {
         let stage = Received {
             admitted: None,
             wait: Wait::Record,
         };
-        let job = self.receive(arrival, DEADLINE, stage);
-        self.ask_owner(job, owner, None);
+        let job = self.create_job(arrival, DEADLINE, stage);
+        self.forward_to_owner(job, owner, None);
     }
 
     /// Admits a submission whose key is not known here, and claims it or refuses it.
@@ -132,8 +132,8 @@
                     admitted: Some(admitted),
                     wait: Wait::Claim(nonce.unwrap_or_else(|| Nonce::random(&mut self.random))),
                 };
-                let job = self.receive(arrival, deadline, stage);
-                self.claim(job, origin);
+                let job = self.create_job(arrival, deadline, stage);
+                self.claim_key(job, origin);
             }
             Err(refusal) => self.refuse(arrival, deadline.unwrap_or(DEADLINE), refusal, origin),
         }
@@ -148,21 +148,21 @@
     fn refuse(&mut self, arrival: Arrival, deadline: Span, refusal: Answer, origin: Origin) {
         let repeatable = arrival.submission.class.is_some_and(Class::repeatable);
         if origin != Origin::Table || arrival.first || repeatable {
-            self.count(&refusal, arrival.submission.class.unwrap_or_default());
-            return self.tell(arrival.waiter, &refusal);
+            self.count_answer(&refusal, arrival.submission.class.unwrap_or_default());
+            return self.send_answer(arrival.waiter, &refusal);
         }
         let Some(name) = arrival.submission.key.clone() else {
-            return self.tell(arrival.waiter, &refusal);
+            return self.send_answer(arrival.waiter, &refusal);
         };
         if !self.store_open() {
-            return self.tell(arrival.waiter, &doubtful(&refusal).with_key(name));
+            return self.send_answer(arrival.waiter, &doubtful(&refusal).with_key(name));
         }
         let place = claim::claim_row(&arrival.submission.team, &name);
         let stage = Received {
             admitted: None,
             wait: Wait::Verify(refusal),
         };
-        let job = self.receive(arrival, deadline, stage);
+        let job = self.create_job(arrival, deadline, stage);
         let number = job.number;
         self.jobs.insert(number, Any::Received(job));
         self.operate(number, Operate::Read(place));
@@ -181,7 +181,7 @@
                 Answer::refusal(Reason::NotReady, "this instance has no configuration yet");
             return Err(refusal.with_retry(RETRY_AFTER));
         }
-        let route = self.route(&submission.service)?;
+        let route = self.find_route(&submission.service)?;
         if submission.tasks.len() > route.tasks as usize {
             let detail = format!(
                 "tasks: {} tasks, the service allows {}",
@@ -231,7 +231,7 @@
         own.clamp(slots.min(1), slots)
     }
 
-    fn route(&self, service: &Service) -> Result<Arc<Route>, Answer> {
+    fn find_route(&self, service: &Service) -> Result<Arc<Route>, Answer> {
         self.config.route(service).map_err(|missing| match missing {
             Missing::Schema => Answer::refusal(
                 Reason::Schema,
@@ -263,7 +263,7 @@
     }
 
     /// Makes a job of a submission, notes its key and sets its deadline.
-    fn receive(&mut self, arrival: Arrival, deadline: Span, stage: Received) -> Job<Received> {
+    fn create_job(&mut self, arrival: Arrival, deadline: Span, stage: Received) -> Job<Received> {
         let number = self.next();
         let deadline = self.now + arrival.left.unwrap_or(deadline).min(deadline);
         if let Some(key) = &arrival.submission.key {
@@ -271,7 +271,7 @@
             self.registry.open(team, key, arrival.digest, number);
         }
         let timer = self.timers.set(deadline, Timer::Deadline(number));
-        self.note_waiter(number, arrival.waiter);
+        self.track_request(number, arrival.waiter);
         Job {
             number,
             submission: arrival.submission,
@@ -287,16 +287,16 @@
     }
 
     /// Claims the key of a job that was admitted; where no claim is needed, it runs at once.
-    fn claim(&mut self, job: Job<Received>, origin: Origin) {
+    fn claim_key(&mut self, job: Job<Received>, origin: Origin) {
         let class = job.stage.admitted.as_ref().map(|admitted| admitted.class);
         if class.is_some_and(Class::repeatable) {
-            return self.run(job.permit(Permit::without_claim(), None));
+            return self.run_job(job.permit(Permit::without_claim(), None));
         }
         let Some(name) = job.submission.key.clone() else {
-            return self.run(job.permit(Permit::without_claim(), None));
+            return self.run_job(job.permit(Permit::without_claim(), None));
         };
         if origin == Origin::Range || Range::of(&name).is_some() {
-            return self.run(job.permit(Permit::by_range(), None));
+            return self.run_job(job.permit(Permit::by_range(), None));
         }
         if !self.store_open() {
             return self.fail_claim(job);
