--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -135,9 +135,9 @@
     for count in ENDPOINTS {
         let list = workers(count, 1);
         let mut placement = Placement::new(name("centre-0"), 16, 1);
-        placement.listed(&list, 7);
+        placement.apply_list(&list, 7);
         group.bench_function(BenchmarkId::new("unchanged list", count), |bench| {
-            bench.iter(|| placement.listed(black_box(&list), 7));
+            bench.iter(|| placement.apply_list(black_box(&list), 7));
         });
         group.bench_function(BenchmarkId::new("place and end", count), |bench| {
             place_and_end(bench, &mut placement, count);
@@ -145,7 +145,7 @@
     }
     let count = ENDPOINTS[2];
     let mut placement = Placement::new(name("elsewhere"), 16, 1);
-    placement.listed(&workers(count, CENTRES), 7);
+    placement.apply_list(&workers(count, CENTRES), 7);
     group.bench_function("place and end, all spilt to 17 data centres", |bench| {
         place_and_end(bench, &mut placement, count);
     });
@@ -172,11 +172,11 @@
             incarnation: None,
         };
         let took = Span::millis(100 + next as u64 % 400);
-        placement.ended(old, Some(took), Some(load));
+        placement.on_task_end(old, Some(took), Some(load));
         next = (next + 1) % placed.len();
     });
     for slot in placed {
-        placement.ended(slot, None, None);
+        placement.on_task_end(slot, None, None);
     }
 }
 
--- a/examples/measure/policy.rs
+++ b/examples/measure/policy.rs
@@ -93,7 +93,7 @@
                 placement,
                 queue: VecDeque::new(),
             };
-            instance.placement.listed(&entries, INSTANCES);
+            instance.placement.apply_list(&entries, INSTANCES);
             Ok(instance)
         };
         Ok(Self {
@@ -191,7 +191,7 @@
         self.fill(now, number);
         let took = Span(now - placed.at);
         let placement = &mut self.instances[placed.instance].placement;
-        placement.ended(Slot(number as u32), Some(took), Some(load));
+        placement.on_task_end(Slot(number as u32), Some(took), Some(load));
         self.left[placed.job] -= 1;
         if self.left[placed.job] == 0 {
             let job = &self.jobs[placed.job];
@@ -246,7 +246,12 @@
                 centres.to_string(),
                 outstanding.to_string(),
             ];
-            for policy in [Policy::Random, Policy::Own, Policy::Ties, Policy::Sum] {
+            for policy in [
+                Policy::Random,
+                Policy::Outstanding,
+                Policy::OutstandingThenLoad,
+                Policy::OutstandingPlusLoad,
+            ] {
                 let ratios = Model::new(&jobs, policy, centres, outstanding)?.run();
                 cells.push(three(ratios.mean()));
             }
--- a/src/core.rs
+++ b/src/core.rs
@@ -311,7 +311,7 @@
         self.membership.listed(self.now, &list.instances);
         // Instances that never use these endpoints take no part of their connections.
         let sharing = self.membership.live_in(&self.identity.reach);
-        let changes = self.placement.listed(&list.endpoints, sharing);
+        let changes = self.placement.apply_list(&list.endpoints, sharing);
         for change in changes {
             self.apply_listed(change);
         }
--- a/src/core/execution.rs
+++ b/src/core/execution.rs
@@ -136,7 +136,7 @@
             return false;
         };
         let placed = self.place_task(item);
-        if matches!(placed, Some(Err(Obstacle::Full | Obstacle::Gone))) {
+        if matches!(placed, Some(Err(Obstacle::Full | Obstacle::NoneEligible))) {
             return false;
         }
         if let Some(queue) = self.queues.get_mut(service) {
@@ -264,7 +264,7 @@
             }
             Reply::NotStarted { leaving, load, .. } => {
                 if leaving {
-                    self.placement.leaving(pending.slot);
+                    self.placement.mark_leaving(pending.slot);
                 }
                 self.conclude(attempt, Some(load), Conclusion::NotStarted);
             }
@@ -303,7 +303,7 @@
             self.update_share(pending.slot, load);
         }
         self.placement
-            .ended(pending.slot, done.then_some(took), load);
+            .on_task_end(pending.slot, done.then_some(took), load);
         match conclusion {
             Conclusion::Done(result) => {
                 self.admission.learned(expected, took);
--- a/src/core/look.rs
+++ b/src/core/look.rs
@@ -162,7 +162,7 @@
 
     pub(super) fn on_orphan_end(&mut self, attempt: Attempt) {
         if let Some(slot) = self.orphans.remove(&attempt) {
-            self.placement.ended(slot, None, None);
+            self.placement.on_task_end(slot, None, None);
             self.dispatch();
         }
     }
--- a/src/core/peering.rs
+++ b/src/core/peering.rs
@@ -169,7 +169,7 @@
     pub(super) fn share(&mut self) {
         let live = self.membership.live();
         let sharing = self.membership.live_in(&self.identity.reach);
-        self.placement.share(sharing);
+        self.placement.set_instances(sharing);
         self.outputs.push(Output::Share(live));
     }
 
--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -53,12 +53,12 @@
     /// At random.
     Random,
     /// Fewest own outstanding tasks, ties at random.
-    Own,
+    Outstanding,
     /// Fewest own outstanding tasks, ties by the load last reported, then at random.
     #[default]
-    Ties,
+    OutstandingThenLoad,
     /// Own outstanding tasks and the load last reported added up.
-    Sum,
+    OutstandingPlusLoad,
 }
 
 /// What a task asks of its endpoint.
@@ -80,7 +80,7 @@
     /// No endpoint that was ever listed could run it.
     Impossible,
     /// None that could run it is eligible now.
-    Gone,
+    NoneEligible,
     /// All that could run it are at their bound.
     Full,
 }
@@ -185,7 +185,7 @@
     /// Frees a place at an endpoint, and learns from the load that it reported and from how long the task took.
     ///
     /// A task that failed is to give no time: an endpoint that fails at once would look fast.
-    pub fn ended(&mut self, slot: Slot, took: Option<Span>, load: Option<Load>) {
+    pub fn on_task_end(&mut self, slot: Slot, took: Option<Span>, load: Option<Load>) {
         let Some(group) = self.entry(slot).map(|entry| entry.group) else {
             return;
         };
@@ -209,13 +209,13 @@
     }
 
     /// Marks an endpoint that reported that it is leaving.
-    pub fn leaving(&mut self, slot: Slot) {
+    pub fn mark_leaving(&mut self, slot: Slot) {
         let list = self.list;
         self.change(slot, |entry| entry.leaving_since = Some(list));
     }
 
     /// Ejects an endpoint, or returns it.
-    pub fn eligible(&mut self, slot: Slot, yes: bool) {
+    pub fn set_eligible(&mut self, slot: Slot, yes: bool) {
         self.set_eligibility(
             slot,
             if yes {
@@ -255,13 +255,13 @@
     }
 
     /// Tells whether an endpoint that the route may use could ever run a task, as far as the lists so far have shown.
-    pub fn possible(&self, route: &Route, need: Need) -> bool {
+    pub fn is_possible(&self, route: &Route, need: Need) -> bool {
         let mut groups = self.reach(route).peekable();
         groups.peek().is_none() || groups.any(|group| fits(&need, &group.has))
     }
 
     /// Returns how many places below the bound the route has now.
-    pub fn free(&self, route: &Route) -> u32 {
+    pub fn free_places(&self, route: &Route) -> u32 {
         self.reach(route).map(|group| group.count.free).sum()
     }
 
@@ -358,7 +358,7 @@
             return Err(Obstacle::Impossible);
         }
         if eligible == 0 {
-            return Err(Obstacle::Gone);
+            return Err(Obstacle::NoneEligible);
         }
         let avoided = requirement.avoid.iter().filter(|slot| {
             self.entry(**slot).is_some_and(|entry| {
--- a/src/core/placement/entry.rs
+++ b/src/core/placement/entry.rs
@@ -104,9 +104,9 @@
     let work = |tasks: u64| tasks * entry.factor * STEPS / (UNIT * u64::from(entry.worker.slots));
     let (work, load) = match policy {
         Policy::Random => (0, 0),
-        Policy::Own => (work(next), 0),
-        Policy::Ties => (work(next), entry.load),
-        Policy::Sum => (work(next + u64::from(entry.load)), 0),
+        Policy::Outstanding => (work(next), 0),
+        Policy::OutstandingThenLoad => (work(next), entry.load),
+        Policy::OutstandingPlusLoad => (work(next + u64::from(entry.load)), 0),
     };
     let penalty = match entry.eligibility {
         Eligibility::Suspect => SUSPECT_PENALTY,
--- a/src/core/placement/table.rs
+++ b/src/core/placement/table.rs
@@ -30,7 +30,7 @@
     /// Takes over a list of endpoints that are shared by `instances` live instances.
     ///
     /// An endpoint that the list leaves out gets nothing new, and is dropped once nothing is outstanding there.
-    pub fn listed(&mut self, workers: &[Worker], instances: usize) -> Vec<Change> {
+    pub fn apply_list(&mut self, workers: &[Worker], instances: usize) -> Vec<Change> {
         self.list += 1;
         let instances = u32::try_from(instances).unwrap_or(u32::MAX).max(1);
         let shares_changed = mem::replace(&mut self.instances, instances) != instances;
@@ -46,7 +46,7 @@
     }
 
     /// Divides the endpoints' connections among `instances` live instances from now on.
-    pub fn share(&mut self, instances: usize) {
+    pub fn set_instances(&mut self, instances: usize) {
         let instances = u32::try_from(instances).unwrap_or(u32::MAX).max(1);
         if mem::replace(&mut self.instances, instances) != instances {
             for place in 0..self.entries.len() {
--- a/src/core/submission.rs
+++ b/src/core/submission.rs
@@ -254,7 +254,7 @@
                 continue;
             }
             checked = Some(task.need);
-            if !self.placement.possible(route, task.need) {
+            if !self.placement.is_possible(route, task.need) {
                 let detail = format!("tasks[{i}].need: no endpoint of the service has so much");
                 return Err(Answer::refusal(Reason::Impossible, detail));
             }
--- a/tests/policy/placement.rs
+++ b/tests/policy/placement.rs
@@ -4,7 +4,7 @@
 
 pub(crate) fn placement(list: &[Worker]) -> Placement {
     let mut placement = Placement::new(name(OWN), BOUND, 7);
-    placement.listed(list, 7);
+    placement.apply_list(list, 7);
     placement
 }
 
@@ -75,7 +75,7 @@
             list.push(worker);
         }
         self.instances = 1 + u32::from(value % 16);
-        self.placement.listed(&list, self.instances as usize);
+        self.placement.apply_list(&list, self.instances as usize);
         let absent = |(slot, model): (&Slot, &Model)| (!model.listed).then_some(*slot);
         let absent: Vec<Slot> = self.models.iter().filter_map(absent).collect();
         for model in self.models.values_mut() {
@@ -152,12 +152,12 @@
         match (kind % 16, slot) {
             (0, _) | (_, None) => self.list(mask, value),
             (1, Some(slot)) => {
-                self.placement.leaving(slot);
+                self.placement.mark_leaving(slot);
                 self.model(slot).reported_leaving = true;
             }
             (2, Some(slot)) => {
                 let yes = mask % 2 == 0;
-                self.placement.eligible(slot, yes);
+                self.placement.set_eligible(slot, yes);
                 self.model(slot).ejected = !yes;
             }
             (3..=6, Some(slot)) if self.model(slot).outstanding > 0 => {
@@ -167,7 +167,7 @@
                     queued: 0,
                     incarnation: None,
                 };
-                self.placement.ended(slot, None, Some(load));
+                self.placement.on_task_end(slot, None, Some(load));
                 self.model(slot).outstanding -= 1;
                 self.model(slot).load = running;
             }
@@ -190,7 +190,7 @@
         };
         let free: u32 = eligible().map(free).sum();
         let route = route();
-        self.placement.slots(&route) == slots && self.placement.free(&route) == free
+        self.placement.slots(&route) == slots && self.placement.free_places(&route) == free
     }
 }
 
@@ -219,9 +219,9 @@
         for slot in placed {
             given[usize::from(slot == slow)] += u32::from(round >= 20);
             let took = if slot == slow { 1_600 } else { 200 };
-            placement.ended(slot, Some(Span::millis(took)), None);
+            placement.on_task_end(slot, Some(Span::millis(took)), None);
         }
-        placement.listed(&workers(8), 7);
+        placement.apply_list(&workers(8), 7);
     }
     let (others, slow) = (given[0] / 7, given[1]);
     assert!(
@@ -241,7 +241,7 @@
     for _ in 0..10_000 {
         let slot = placement.place(&requirement(&route, &[])).expect("room");
         *given.entry(slot).or_default() += 1;
-        placement.ended(slot, None, None);
+        placement.on_task_end(slot, None, None);
     }
     assert!(given.len() == 10 && given.values().all(|count| (850..1_150).contains(count)));
 }
@@ -271,10 +271,10 @@
         placement.place(&requirement(&route, &[])),
         Err(Obstacle::Full)
     );
-    placement.eligible(own, false);
+    placement.set_eligible(own, false);
     assert_eq!(
         placement.place(&requirement(&route, &[])),
-        Err(Obstacle::Gone)
+        Err(Obstacle::NoneEligible)
     );
     route.spill = true;
     assert_eq!(placement.place(&requirement(&route, &[])), Ok(other));
@@ -295,7 +295,7 @@
         placement.place(&requirement(&route, &avoid)),
         Err(Obstacle::Full)
     );
-    placement.leaving(Slot(1));
+    placement.mark_leaving(Slot(1));
     assert_eq!(placement.place(&requirement(&route, &avoid)), Ok(Slot(0)));
 }
 
@@ -310,10 +310,10 @@
         ..requirement(&route, &[])
     };
     assert_eq!(placement.place(&large), Err(Obstacle::Impossible));
-    placement.listed(&[], 7);
+    placement.apply_list(&[], 7);
     assert_eq!(
         placement.place(&requirement(&route, &[])),
-        Err(Obstacle::Gone)
+        Err(Obstacle::NoneEligible)
     );
     assert_eq!(placement.place(&large), Err(Obstacle::Impossible));
 }
@@ -332,7 +332,7 @@
     assert_eq!(placement.place(&requirement(&route, &[])), Ok(Slot(1)));
     assert_eq!(placement.place(&idempotent), Ok(Slot(0)));
     assert_eq!(placement.place(&idempotent), Ok(Slot(1)));
-    placement.ended(Slot(0), None, None);
+    placement.on_task_end(Slot(0), None, None);
     placement.set_eligibility(Slot(0), Eligibility::Trial);
     assert_eq!(placement.place(&requirement(&route, &[])), Ok(Slot(0)));
 }
@@ -345,22 +345,22 @@
     let list = workers(1);
     let mut placement = placement(&list);
     let route = route();
-    placement.leaving(Slot(0));
-    placement.listed(&list, 7);
+    placement.mark_leaving(Slot(0));
+    placement.apply_list(&list, 7);
     let mut changed = list.clone();
     changed[0].slots = 9;
-    placement.listed(&changed, 7);
+    placement.apply_list(&changed, 7);
     assert_eq!(
         placement.place(&requirement(&route, &[])),
-        Err(Obstacle::Gone)
+        Err(Obstacle::NoneEligible)
     );
     let mut moved = list.clone();
     moved[0].address = "10.0.0.2:1".to_owned();
-    placement.listed(&moved, 7);
+    placement.apply_list(&moved, 7);
     assert_eq!(placement.place(&requirement(&route, &[])), Ok(Slot(0)));
-    placement.leaving(Slot(0));
+    placement.mark_leaving(Slot(0));
     for _ in 0..60 {
-        placement.listed(&moved, 7);
+        placement.apply_list(&moved, 7);
     }
     assert_eq!(placement.place(&requirement(&route, &[])), Ok(Slot(0)));
 }
