--- a/src/core.rs
+++ b/src/core.rs
@@ -33,12 +33,11 @@
 pub mod admission;
 mod answer;
 pub mod claim;
-mod claiming;
+mod claim_resolution;
+mod completion;
 pub mod config;
-mod ending;
 mod execution;
 pub mod health;
-mod look;
 pub mod membership;
 pub mod message;
 mod peering;
@@ -46,6 +45,7 @@
 pub mod queue;
 pub mod retry;
 pub mod stage;
+mod status_check;
 mod store;
 mod submission;
 mod timer;
@@ -120,7 +120,7 @@
     turn: usize,
     /// The list that was taken over last.
     list: Option<Arc<List>>,
-    jobs: HashMap<u64, stage::Any>,
+    jobs: HashMap<u64, stage::Stage>,
     requests: HashMap<message::Request, u64>,
     registry: claim::Registry,
     queues: BTreeMap<Service, queue::Queue<queue::Item>>,
@@ -170,7 +170,7 @@
             endpoint_incarnations: HashMap::new(),
             placement: placement::Placement::new(centre.clone(), limits.outstanding, seed),
             admission: admission::Admission::new(&limits, seed),
-            retries: retry::Budget::retries(),
+            retries: retry::Budget::for_retries(),
             hedges: retry::Hedge::new(),
             health: health::Health::new(seed),
             membership: membership::Membership::new(
@@ -219,7 +219,7 @@
                     digest,
                     bytes,
                     first,
-                    left: None,
+                    time_left: None,
                 };
                 self.submit(arrival);
             }
@@ -253,7 +253,7 @@
 
     /// Returns the range that callers may take keys from now.
     pub fn range(&self) -> claim::Range {
-        self.registry.range()
+        self.registry.current_range()
     }
 
     /// Tells whether the instance can serve: it has the list and a configuration, knows its peers, and isn't draining.
@@ -348,7 +348,7 @@
     }
 
     fn tick(&mut self) {
-        let dropped = self.registry.trim(self.now);
+        let dropped = self.registry.evict(self.now);
         self.note_dropped(dropped);
         self.tick_health();
         self.tick_membership();
@@ -358,7 +358,7 @@
 
     fn note_dropped(&mut self, dropped: usize) {
         // Age alone drops keys all the time; only a full registry is worth a line.
-        if dropped > 0 && self.registry.full() {
+        if dropped > 0 && self.registry.is_full() {
             self.event(Code::Forgotten, format!("{dropped} keys"));
         }
     }
--- a/src/core/claim.rs
+++ b/src/core/claim.rs
@@ -35,12 +35,12 @@
 const EPOCHS: u64 = 4;
 
 /// The row of the table that holds the claim of a key.
-pub fn claim_row(team: &Team, key: &Key) -> String {
+pub fn claim_row_key(team: &Team, key: &Key) -> String {
     format!("claim/{team}/{key}")
 }
 
 /// The row of the table that holds the recorded outcome of a key.
-pub fn outcome_row(team: &Team, key: &Key) -> String {
+pub fn outcome_row_key(team: &Team, key: &Key) -> String {
     format!("outcome/{team}/{key}")
 }
 
@@ -156,9 +156,9 @@
 
 /// What a lookup of a key gives.
 #[derive(Debug, Clone)]
-pub enum Found {
+pub enum Lookup {
     /// Nothing is known of it.
-    Nothing,
+    Missing,
     /// It is known with another body.
     Conflict,
     /// It is known.
@@ -212,7 +212,7 @@
     }
 
     /// Returns the range that callers may take keys from now.
-    pub fn range(&self) -> Range {
+    pub fn current_range(&self) -> Range {
         Range {
             incarnation: self.incarnation,
             epoch: self.current,
@@ -235,22 +235,22 @@
     }
 
     /// Tells whether the bytes are used up by what can't be dropped.
-    pub fn full(&self) -> bool {
+    pub fn is_full(&self) -> bool {
         self.bytes >= self.bound
     }
 
     /// Looks a key up.
-    pub fn find(&self, team: &Team, key: &Key, digest: &Digest) -> Found {
+    pub fn find(&self, team: &Team, key: &Key, digest: &Digest) -> Lookup {
         // The pair is cloned for the look-up, which costs less than a second level of maps.
         match self.holders.get(&(team.clone(), key.clone())) {
-            None => Found::Nothing,
-            Some(holder) if holder.digest != *digest => Found::Conflict,
-            Some(holder) => Found::Entry(holder.entry.clone()),
+            None => Lookup::Missing,
+            Some(holder) if holder.digest != *digest => Lookup::Conflict,
+            Some(holder) => Lookup::Entry(holder.entry.clone()),
         }
     }
 
     /// Looks up a key whatever its body.
-    pub fn peek(&self, team: &Team, key: &Key) -> Option<&Entry> {
+    pub fn get(&self, team: &Team, key: &Key) -> Option<&Entry> {
         self.holders
             .get(&(team.clone(), key.clone()))
             .map(|holder| &holder.entry)
@@ -272,7 +272,7 @@
     }
 
     /// Notes that the job of a key is in progress.
-    pub fn open(&mut self, team: &Team, key: &Key, digest: Digest, job: u64) {
+    pub fn insert(&mut self, team: &Team, key: &Key, digest: Digest, job: u64) {
         let bytes = ENTRY + 2 * (team.as_str().len() + key.as_str().len());
         let holder = Holder {
             digest,
@@ -296,7 +296,7 @@
     /// Notes how the job of a key ended, and drops the oldest of what is kept beyond the bounds.
     ///
     /// Returns how many keys were dropped.
-    pub fn end(&mut self, now: Time, team: &Team, key: &Key, entry: Entry) -> usize {
+    pub fn finish(&mut self, now: Time, team: &Team, key: &Key, entry: Entry) -> usize {
         let Some(holder) = self.holders.get_mut(&(team.clone(), key.clone())) else {
             return 0;
         };
@@ -312,11 +312,11 @@
         } else {
             self.ended.push_back((now, team.clone(), key.clone()));
         }
-        self.trim(now)
+        self.evict(now)
     }
 
     /// Removes a key that nothing has to be known of any more.
-    pub fn forget(&mut self, team: &Team, key: &Key) {
+    pub fn remove(&mut self, team: &Team, key: &Key) {
         if let Some(holder) = self.holders.remove(&(team.clone(), key.clone())) {
             self.bytes -= holder.bytes;
         }
@@ -325,7 +325,7 @@
     /// Opens the next range when it is time, and drops what is too old or too much.
     ///
     /// Returns how many keys were dropped.
-    pub fn trim(&mut self, now: Time) -> usize {
+    pub fn evict(&mut self, now: Time) -> usize {
         self.turn(now);
         let mut dropped = 0;
         while let Some((at, team, key)) = self.ended.front() {
@@ -334,9 +334,9 @@
             }
             let (team, key) = (team.clone(), key.clone());
             self.ended.pop_front();
-            let open = matches!(self.peek(&team, &key), None | Some(Entry::Open(_)));
+            let open = matches!(self.get(&team, &key), None | Some(Entry::Open(_)));
             if !open {
-                self.forget(&team, &key);
+                self.remove(&team, &key);
                 dropped += 1;
             }
         }
@@ -387,7 +387,7 @@
             };
             dropped += epoch.keys.len();
             for (team, key) in &epoch.keys {
-                self.forget(team, key);
+                self.remove(team, key);
             }
         }
         dropped
--- a/src/core/claiming.rs
+++ b/src/core/claim_resolution.rs
@@ -20,10 +20,10 @@
     },
     peering::Pending,
     stage::{
-        Any,
         Job,
         Permit,
         Received,
+        Stage,
         Wait, //
     },
     timer::Timer,
@@ -40,7 +40,7 @@
 
 impl Core {
     pub(super) fn on_store_result(&mut self, number: u64, result: message::Result) {
-        let Some(Any::Received(job)) = self.take_received(number) else {
+        let Some(Stage::Received(job)) = self.take_received(number) else {
             return;
         };
         match (job.stage.wait.clone(), result) {
@@ -84,10 +84,10 @@
         }
     }
 
-    fn take_received(&mut self, number: u64) -> Option<Any> {
+    fn take_received(&mut self, number: u64) -> Option<Stage> {
         match self.jobs.get(&number)? {
-            Any::Received(_) => self.jobs.remove(&number),
-            Any::Running(_) => None,
+            Stage::Received(_) => self.jobs.remove(&number),
+            Stage::Running(_) => None,
         }
     }
 
@@ -97,7 +97,7 @@
         };
         job.stage.wait = Wait::Claim(nonce);
         self.insert_claim(&job, &key, nonce);
-        self.jobs.insert(job.number, Any::Received(job));
+        self.jobs.insert(job.number, Stage::Received(job));
     }
 
     /// Reads a claim back whose answer was lost, after a moment.
@@ -109,17 +109,17 @@
         job.stage.wait = Wait::Settle(nonce);
         let at = self.now + SETTLE;
         self.timers.set(at, Timer::Settle(job.number));
-        self.jobs.insert(job.number, Any::Received(job));
+        self.jobs.insert(job.number, Stage::Received(job));
     }
 
     pub(super) fn read_back_claim(&mut self, number: u64) {
-        let Some(Any::Received(job)) = self.jobs.get(&number) else {
+        let Some(Stage::Received(job)) = self.jobs.get(&number) else {
             return;
         };
         let (Wait::Settle(_), Some(key)) = (&job.stage.wait, &job.submission.key) else {
             return;
         };
-        let place = claim::claim_row(&job.submission.team, key);
+        let place = claim::claim_row_key(&job.submission.team, key);
         self.operate(number, Operate::Read(place));
     }
 
@@ -185,7 +185,7 @@
         let id = self.next();
         self.calls.insert(id, Pending::of(peer.clone(), job.number));
         let wait = forward.left;
-        self.jobs.insert(job.number, Any::Received(job));
+        self.jobs.insert(job.number, Stage::Received(job));
         self.call(peer, CallId::Submit(id), Call::Submit(forward), Some(wait));
     }
 
@@ -200,9 +200,9 @@
             return self.finish_received(job, owner_gone());
         }
         job.stage.wait = Wait::Record;
-        let place = claim::outcome_row(&job.submission.team, &key);
+        let place = claim::outcome_row_key(&job.submission.team, &key);
         let number = job.number;
-        self.jobs.insert(number, Any::Received(job));
+        self.jobs.insert(number, Stage::Received(job));
         self.operate(number, Operate::Read(place));
     }
 
@@ -217,16 +217,16 @@
         let Some(key) = &job.submission.key else {
             return self.finish_received(job, owner_gone());
         };
-        let name = claim::outcome_row(&job.submission.team, key);
+        let name = claim::outcome_row_key(&job.submission.team, key);
         job.stage.wait = Wait::Object;
         let number = job.number;
-        self.jobs.insert(number, Any::Received(job));
+        self.jobs.insert(number, Stage::Received(job));
         self.operate(number, Operate::Get(name));
     }
 
     /// Goes on with a job whose owner was asked.
     pub(super) fn on_owner_return(&mut self, number: u64, result: Return) {
-        let Some(Any::Received(job)) = self.take_received(number) else {
+        let Some(Stage::Received(job)) = self.take_received(number) else {
             return;
         };
         match result {
--- a/src/core/ending.rs
+++ b/src/core/completion.rs
@@ -19,9 +19,9 @@
     },
     stage::{
         self,
-        Any,
         Job,
         Received,
+        Stage,
         Wait,
         Waiter, //
     },
@@ -52,9 +52,9 @@
                 // The insert may have landed or may land yet: the claim is kept for the next submission.
                 Wait::Claim(nonce) | Wait::Settle(nonce) if answer.reason != Reason::Conflict => {
                     let entry = Entry::Abandoned(nonce);
-                    self.registry.end(self.now, team, key, entry);
+                    self.registry.finish(self.now, team, key, entry);
                 }
-                _ => self.registry.forget(team, key),
+                _ => self.registry.remove(team, key),
             }
         }
         self.report_outcome(
@@ -96,7 +96,7 @@
     fn keep_answer(&mut self, job: &Job<stage::Running>, key: &Key, answer: &Answer) {
         let team = &job.submission.team;
         if job.stage.admitted.class.repeatable() {
-            return self.registry.forget(team, key);
+            return self.registry.remove(team, key);
         }
         let entry = if answer.outcome == Outcome::NotRun {
             Entry::Abandoned(job.stage.nonce.unwrap_or(Nonce(0)))
@@ -106,7 +106,7 @@
             }
             Entry::Kept(Kept::new(answer))
         };
-        let dropped = self.registry.end(self.now, team, key, entry);
+        let dropped = self.registry.finish(self.now, team, key, entry);
         self.note_dropped(dropped);
     }
 
@@ -129,8 +129,8 @@
     pub(super) fn on_deadline(&mut self, number: u64) {
         match self.jobs.remove(&number) {
             None => {}
-            Some(Any::Running(job)) => self.finish_early(job, Reason::Deadline),
-            Some(Any::Received(job)) => {
+            Some(Stage::Running(job)) => self.finish_early(job, Reason::Deadline),
+            Some(Stage::Received(job)) => {
                 let answer = match &job.stage.wait {
                     Wait::Claim(_) | Wait::Settle(_) => return self.fail_claim(job),
                     Wait::Verify(refusal) => doubtful(refusal),
@@ -147,7 +147,7 @@
 
     pub(super) fn cancel_job(&mut self, request: Request, team: &Team, key: &Key) {
         let waiter = Waiter::Request(request);
-        match self.registry.peek(team, key).cloned() {
+        match self.registry.get(team, key).cloned() {
             Some(Entry::Kept(kept)) => self.send_answer(waiter, &kept.answer()),
             Some(Entry::Open(number)) => {
                 self.join_job(number, waiter);
@@ -165,8 +165,8 @@
     pub(super) fn end_job(&mut self, number: u64, reason: Reason) {
         match self.jobs.remove(&number) {
             None => {}
-            Some(Any::Running(job)) => self.finish_early(job, reason),
-            Some(Any::Received(job)) => {
+            Some(Stage::Running(job)) => self.finish_early(job, reason),
+            Some(Stage::Received(job)) => {
                 let claiming = matches!(job.stage.wait, Wait::Claim(_) | Wait::Settle(_));
                 let refusal = Answer::refusal(reason, "ended before it was claimed");
                 let answer = refused(&refusal, claiming && job.first);
@@ -177,7 +177,7 @@
 
     pub(super) fn find_job(&mut self, request: Request, team: &Team, key: &Key) {
         let waiter = Waiter::Request(request);
-        match self.registry.peek(team, key).cloned() {
+        match self.registry.get(team, key).cloned() {
             Some(Entry::Kept(kept)) => self.send_answer(waiter, &kept.answer()),
             Some(Entry::Open(_)) => self.send_answer(
                 waiter,
@@ -204,7 +204,7 @@
         job.waiters()
             .retain(|waiter| *waiter != Waiter::Request(request));
         // Nobody can ask again for an idempotent job without a key: its rest would be work for no one.
-        if let Any::Running(job) = job {
+        if let Stage::Running(job) = job {
             let keyless = job.submission.key.is_none();
             let alone = job.waiters.is_empty();
             if alone && keyless && job.stage.admitted.class.repeatable() {
--- a/src/core/execution.rs
+++ b/src/core/execution.rs
@@ -18,11 +18,11 @@
     queue::Item,
     retry,
     stage::{
-        Any,
         Job,
         Pending,
         Progress,
         Running, //
+        Stage,
     },
     timer::Timer,
     Core,
@@ -69,7 +69,7 @@
         }
         let number = job.number;
         let tasks = job.stage.tasks.len() as u32;
-        self.jobs.insert(number, Any::Running(job));
+        self.jobs.insert(number, Stage::Running(job));
         for task in 0..tasks {
             if !self.push_task(Item { job: number, task }) {
                 let detail = "the queue of tasks is full";
@@ -89,7 +89,7 @@
     }
 
     fn push_task(&mut self, item: Item) -> bool {
-        let Some(Any::Running(job)) = self.jobs.get(&item.job) else {
+        let Some(Stage::Running(job)) = self.jobs.get(&item.job) else {
             return true;
         };
         let route = &job.stage.admitted.route;
@@ -155,7 +155,7 @@
 
     /// Picks an endpoint for a task; none where its job has ended.
     fn place_task(&mut self, item: Item) -> Option<Result<Slot, Obstacle>> {
-        let Some(Any::Running(job)) = self.jobs.get(&item.job) else {
+        let Some(Stage::Running(job)) = self.jobs.get(&item.job) else {
             return None;
         };
         let progress = &job.stage.tasks[item.task as usize];
@@ -176,7 +176,7 @@
             return;
         };
         let (endpoint, address) = (worker.name.clone(), worker.address.clone());
-        let Some(Any::Running(job)) = self.jobs.get_mut(&item.job) else {
+        let Some(Stage::Running(job)) = self.jobs.get_mut(&item.job) else {
             return;
         };
         let task = &job.submission.tasks[item.task as usize];
@@ -193,7 +193,7 @@
         let class = job.stage.admitted.class;
         let hedge = class
             .repeatable()
-            .then(|| self.hedges.wait(&job.stage.admitted.route.service))
+            .then(|| self.hedges.delay(&job.stage.admitted.route.service))
             .flatten();
         let wait = hedge.unwrap_or(usual);
         let look = self.timers.set(self.now + wait, Timer::Look(attempt));
@@ -253,7 +253,7 @@
         self.record_incarnation(pending.slot, &reply);
         match reply {
             Reply::Done { result, load } => {
-                self.retries.success();
+                self.retries.on_success();
                 let change = self.health.succeeded(self.now, pending.slot);
                 self.apply_health_change(change);
                 self.conclude(attempt, Some(load), Conclusion::Done(result));
@@ -278,7 +278,7 @@
         load: Option<Load>,
         conclusion: Conclusion,
     ) {
-        let Some(Any::Running(job)) = self.jobs.get_mut(&attempt.job) else {
+        let Some(Stage::Running(job)) = self.jobs.get_mut(&attempt.job) else {
             return;
         };
         let class = job.stage.admitted.class;
@@ -307,7 +307,7 @@
         match conclusion {
             Conclusion::Done(result) => {
                 self.admission.learned(expected, took);
-                self.hedges.success(&service, took);
+                self.hedges.on_success(&service, took);
                 self.finish_task(attempt, took, result);
             }
             Conclusion::NotStarted => self.requeue(attempt),
@@ -342,14 +342,14 @@
     }
 
     fn finish_task(&mut self, attempt: Attempt, took: Span, result: Arc<RawValue>) {
-        let Some(Any::Running(job)) = self.jobs.get_mut(&attempt.job) else {
+        let Some(Stage::Running(job)) = self.jobs.get_mut(&attempt.job) else {
             return;
         };
         let expected = job.submission.tasks[attempt.task as usize].expected;
         let team = &job.submission.team;
         self.admission.finished(team, 1, expected);
         if let Some(queue) = self.queues.get_mut(&job.stage.admitted.route.service) {
-            queue.settle(team, expected, took);
+            queue.charge_run_time(team, expected, took);
         }
         let progress = &mut job.stage.tasks[attempt.task as usize];
         // The other copies leave the task with the first result, so that no second one is counted.
@@ -367,7 +367,7 @@
     }
 
     fn complete_job(&mut self, number: u64) {
-        let Some(Any::Running(mut job)) = self.jobs.remove(&number) else {
+        let Some(Stage::Running(mut job)) = self.jobs.remove(&number) else {
             return;
         };
         let tasks = &mut job.stage.tasks;
@@ -404,7 +404,7 @@
 
     /// Queues an idempotent task again that may have run, if the budget allows it.
     fn retry_task(&mut self, attempt: Attempt) -> bool {
-        let Some(Any::Running(job)) = self.jobs.get(&attempt.job) else {
+        let Some(Stage::Running(job)) = self.jobs.get(&attempt.job) else {
             return true;
         };
         let progress = &job.stage.tasks[attempt.task as usize];
@@ -412,7 +412,7 @@
         if !progress.pending.is_empty() {
             return true;
         }
-        if progress.attempts >= ATTEMPTS || !self.retries.take(self.now) {
+        if progress.attempts >= ATTEMPTS || !self.retries.try_take(self.now) {
             return false;
         }
         let wait = retry::backoff(progress.attempts - 1, &mut self.random);
@@ -427,7 +427,7 @@
 
     /// Ends a job that can't be completed.
     fn fail_job(&mut self, number: u64, reason: Reason, detail: &str) {
-        let Some(Any::Running(job)) = self.jobs.remove(&number) else {
+        let Some(Stage::Running(job)) = self.jobs.remove(&number) else {
             return;
         };
         let outcome = job.outcome(reason);
@@ -466,7 +466,7 @@
 
     pub(super) fn is_repeatable(&self, job: u64) -> bool {
         match self.jobs.get(&job) {
-            Some(Any::Running(job)) => job.stage.admitted.class.repeatable(),
+            Some(Stage::Running(job)) => job.stage.admitted.class.repeatable(),
             _ => false,
         }
     }
@@ -485,7 +485,7 @@
         if attempt.incarnation != self.identity.incarnation {
             return None;
         }
-        let Any::Running(job) = self.jobs.get_mut(&attempt.job)? else {
+        let Stage::Running(job) = self.jobs.get_mut(&attempt.job)? else {
             return None;
         };
         let progress = job.stage.tasks.get_mut(attempt.task as usize)?;
--- a/src/core/peering.rs
+++ b/src/core/peering.rs
@@ -63,7 +63,7 @@
                 submission: forward.submission,
                 digest: forward.digest,
                 first: false,
-                left: Some(forward.left),
+                time_left: Some(forward.left),
             }),
             Call::Heartbeat(heartbeat) => {
                 self.heard(&heartbeat);
--- a/src/core/queue.rs
+++ b/src/core/queue.rs
@@ -134,7 +134,7 @@
 
     /// Charges a team for the time that a task took beyond what was expected; a declaration that is too short buys
     /// nothing that way.
-    pub fn settle(&mut self, team: &Team, expected: Span, took: Span) {
+    pub fn charge_run_time(&mut self, team: &Team, expected: Span, took: Span) {
         let Some(flow) = self.flows.get_mut(team) else {
             return;
         };
--- a/src/core/retry.rs
+++ b/src/core/retry.rs
@@ -35,12 +35,12 @@
 
 impl Budget {
     /// Makes the budget of retries: a tenth of the successes, and one a second at least.
-    pub fn retries() -> Self {
+    pub fn for_retries() -> Self {
         Self::new(Permille(100), 1, 100)
     }
 
     /// Makes the budget of hedges: a twentieth of the successes.
-    pub fn hedges() -> Self {
+    pub fn for_hedges() -> Self {
         Self::new(Permille(50), 0, 50)
     }
 
@@ -56,12 +56,12 @@
     }
 
     /// Earns the share of one success.
-    pub fn success(&mut self) {
+    pub fn on_success(&mut self) {
         self.tokens = self.most.min(self.tokens + self.share.0);
     }
 
     /// Takes a token, where there is one.
-    pub fn take(&mut self, now: Time) -> bool {
+    pub fn try_take(&mut self, now: Time) -> bool {
         let earned = now
             .since(self.filled)
             .as_millis()
@@ -123,14 +123,14 @@
     /// Makes a decision that knows no durations yet.
     pub fn new() -> Self {
         Self {
-            budget: Budget::hedges(),
+            budget: Budget::for_hedges(),
             kinds: HashMap::new(),
         }
     }
 
     /// Learns how long a task of a service took, and earns a share of a copy.
-    pub fn success(&mut self, service: &Service, took: Span) {
-        self.budget.success();
+    pub fn on_success(&mut self, service: &Service, took: Span) {
+        self.budget.on_success();
         let Some(kind) = self.kind(service) else {
             return;
         };
@@ -142,15 +142,15 @@
     }
 
     /// Returns how long after its start a task of a service may get a second copy; none while too little is known.
-    pub fn wait(&self, service: &Service) -> Option<Span> {
+    pub fn delay(&self, service: &Service) -> Option<Span> {
         let kind = self.kinds.get(service)?;
         kind.last
             .or_else(|| (kind.current.len() >= SAMPLES).then(|| quantile(&kind.current)))
     }
 
     /// Takes what a second copy costs, where there is enough.
-    pub fn take(&mut self, now: Time) -> bool {
-        self.budget.take(now)
+    pub fn try_take(&mut self, now: Time) -> bool {
+        self.budget.try_take(now)
     }
 
     fn kind(&mut self, service: &Service) -> Option<&mut Kind> {
--- a/src/core/stage.rs
+++ b/src/core/stage.rs
@@ -204,14 +204,14 @@
 
 /// A job at whichever stage it is.
 #[derive(Debug)]
-pub enum Any {
+pub enum Stage {
     /// Not claimed.
     Received(Job<Received>),
     /// Claimed.
     Running(Job<Running>),
 }
 
-impl Any {
+impl Stage {
     /// Returns who waits for the answer.
     pub fn waiters(&mut self) -> &mut Vec<Waiter> {
         match self {
--- a/src/core/look.rs
+++ b/src/core/status_check.rs
@@ -13,8 +13,8 @@
     placement::Slot,
     queue::Item,
     stage::{
-        Any,
         Pending, //
+        Stage,
     },
     timer::Timer,
     Core,
@@ -54,13 +54,13 @@
 
     /// Starts a second copy of an idempotent task that is late, within the budget.
     pub(super) fn hedge(&mut self, attempt: Attempt) -> bool {
-        let Some(Any::Running(job)) = self.jobs.get_mut(&attempt.job) else {
+        let Some(Stage::Running(job)) = self.jobs.get_mut(&attempt.job) else {
             return false;
         };
         let progress = &mut job.stage.tasks[attempt.task as usize];
         if progress.pending.len() > 1
             || progress.attempts >= ATTEMPTS
-            || !self.hedges.take(self.now)
+            || !self.hedges.try_take(self.now)
         {
             return false;
         }
--- a/src/core/store.rs
+++ b/src/core/store.rs
@@ -106,7 +106,7 @@
             nonce,
             digest: job.digest,
         };
-        let place = claim::claim_row(&job.submission.team, key);
+        let place = claim::claim_row_key(&job.submission.team, key);
         let group = Group {
             conditions: vec![Condition {
                 key: place.clone(),
@@ -127,7 +127,7 @@
             digest,
             answer: (!long).then(|| answer.clone()),
         };
-        let place = claim::outcome_row(team, key);
+        let place = claim::outcome_row_key(team, key);
         let group = Group {
             conditions: Vec::new(),
             writes: vec![Write {
--- a/src/core/submission.rs
+++ b/src/core/submission.rs
@@ -14,16 +14,16 @@
         self,
         Admittance,
         Entry,
-        Found,
+        Lookup,
         Range, //
     },
     message::Operate,
     stage::{
         Admitted,
-        Any,
         Job,
         Permit,
         Received,
+        Stage,
         Wait,
         Waiter, //
     },
@@ -50,7 +50,7 @@
     /// Whether the caller says that it never sent this key before.
     pub(super) first: bool,
     /// The time that is left, where another instance took it in.
-    pub(super) left: Option<Span>,
+    pub(super) time_left: Option<Span>,
 }
 
 impl Core {
@@ -64,17 +64,17 @@
         };
         let team = &arrival.submission.team;
         match self.registry.find(team, &key, &arrival.digest) {
-            Found::Conflict => self.send_answer(arrival.waiter, &conflict(&key)),
-            Found::Entry(Entry::Kept(kept)) => {
+            Lookup::Conflict => self.send_answer(arrival.waiter, &conflict(&key)),
+            Lookup::Entry(Entry::Kept(kept)) => {
                 let answer = kept.answer();
                 self.count_answer(&answer, arrival.submission.class.unwrap_or_default());
                 self.send_answer(arrival.waiter, &answer);
             }
-            Found::Entry(Entry::Open(job)) => self.join_job(job, arrival.waiter),
-            Found::Entry(Entry::Abandoned(nonce)) => {
+            Lookup::Entry(Entry::Open(job)) => self.join_job(job, arrival.waiter),
+            Lookup::Entry(Entry::Abandoned(nonce)) => {
                 self.submit_new(arrival, Some(nonce), Origin::Known);
             }
-            Found::Nothing => match Range::of(&key) {
+            Lookup::Missing => match Range::of(&key) {
                 Some(range) if range.incarnation != self.identity.incarnation => {
                     self.submit_to_owner(arrival, range.incarnation);
                 }
@@ -157,14 +157,14 @@
         if !self.store_open() {
             return self.send_answer(arrival.waiter, &doubtful(&refusal).with_key(name));
         }
-        let place = claim::claim_row(&arrival.submission.team, &name);
+        let place = claim::claim_row_key(&arrival.submission.team, &name);
         let stage = Received {
             admitted: None,
             wait: Wait::Verify(refusal),
         };
         let job = self.create_job(arrival, deadline, stage);
         let number = job.number;
-        self.jobs.insert(number, Any::Received(job));
+        self.jobs.insert(number, Stage::Received(job));
         self.operate(number, Operate::Read(place));
     }
 
@@ -191,12 +191,12 @@
             return Err(Answer::refusal(Reason::Invalid, detail));
         }
         self.check_needs(&route, submission)?;
-        if self.registry.full() {
+        if self.registry.is_full() {
             let refusal = Answer::refusal(Reason::Busy, "the memory for keys and answers is full");
             return Err(refusal.with_retry(RETRY_AFTER));
         }
         let deadline = submission.deadline.unwrap_or(route.deadline);
-        let deadline = arrival.left.unwrap_or(deadline).min(route.deadline);
+        let deadline = arrival.time_left.unwrap_or(deadline).min(route.deadline);
         let work: u64 = submission.tasks.iter().map(|task| task.expected.0).sum();
         let longest = submission.tasks.iter().map(|task| task.expected).max();
         let demand = admission::Demand {
@@ -265,10 +265,10 @@
     /// Makes a job of a submission, notes its key and sets its deadline.
     fn create_job(&mut self, arrival: Arrival, deadline: Span, stage: Received) -> Job<Received> {
         let number = self.next();
-        let deadline = self.now + arrival.left.unwrap_or(deadline).min(deadline);
+        let deadline = self.now + arrival.time_left.unwrap_or(deadline).min(deadline);
         if let Some(key) = &arrival.submission.key {
             let team = &arrival.submission.team;
-            self.registry.open(team, key, arrival.digest, number);
+            self.registry.insert(team, key, arrival.digest, number);
         }
         let timer = self.timers.set(deadline, Timer::Deadline(number));
         self.track_request(number, arrival.waiter);
@@ -305,7 +305,7 @@
             return self.fail_claim(job);
         };
         self.insert_claim(&job, &name, nonce);
-        self.jobs.insert(job.number, Any::Received(job));
+        self.jobs.insert(job.number, Stage::Received(job));
     }
 
     /// Ends a job that couldn't be claimed because the table doesn't answer.
--- a/tests/policy/queue.rs
+++ b/tests/policy/queue.rs
@@ -91,7 +91,7 @@
     for _ in 0..400 {
         if queue.pop() == Some(true) {
             lies += 1;
-            queue.settle(&liar, Span::millis(1), TASK);
+            queue.charge_run_time(&liar, Span::millis(1), TASK);
         }
     }
     assert!(
