--- a/src/core.rs
+++ b/src/core.rs
@@ -33,12 +33,11 @@
 pub mod admission;
 mod answer;
 pub mod claim;
-mod claiming;
+mod claim_resolution;
+mod completion;
 pub mod config;
-mod ending;
 mod execution;
 pub mod health;
-mod look;
 pub mod membership;
 pub mod message;
 mod peering;
@@ -46,6 +45,7 @@
 pub mod queue;
 pub mod retry;
 pub mod stage;
+mod status_check;
 mod store;
 mod submission;
 mod timer;
@@ -120,7 +120,7 @@
     turn: usize,
     /// The list that was taken over last.
     list: Option<Arc<List>>,
-    jobs: HashMap<u64, stage::Any>,
+    jobs: HashMap<u64, stage::Stage>,
     requests: HashMap<message::Request, u64>,
     registry: claim::Registry,
     queues: BTreeMap<Service, queue::Queue<queue::Item>>,
@@ -170,7 +170,7 @@
             endpoint_incarnations: HashMap::new(),
             placement: placement::Placement::new(centre.clone(), limits.outstanding, seed),
             admission: admission::Admission::new(&limits, seed),
-            retries: retry::Budget::retries(),
+            retries: retry::Budget::for_retries(),
             hedges: retry::Hedge::new(),
             health: health::Health::new(seed),
             membership: membership::Membership::new(
@@ -219,20 +219,20 @@
                     digest,
                     bytes,
                     first,
-                    left: None,
+                    time_left: None,
                 };
                 self.submit(arrival);
             }
-            Input::Cancel { request, team, key } => self.cancel(request, &team, &key),
-            Input::Find { request, team, key } => self.find(request, &team, &key),
-            Input::Hangup(request) => self.hang_up(request),
+            Input::Cancel { request, team, key } => self.cancel_job(request, &team, &key),
+            Input::Find { request, team, key } => self.find_job(request, &team, &key),
+            Input::Hangup(request) => self.on_hangup(request),
             Input::Operate { request, ask } => self.configure(config::Input::Ask(request, ask)),
             Input::Operated(Ticket::Claim(ticket), result) => self.operated(ticket, result),
             Input::Operated(Ticket::Config(ticket), result) => {
                 self.configure(config::Input::Operated(ticket, result));
             }
-            Input::Ended(attempt, end) => self.ended(attempt, end),
-            Input::Looked(attempt, status) => self.looked(attempt, status),
+            Input::Ended(attempt, end) => self.on_attempt_end(attempt, end),
+            Input::Looked(attempt, status) => self.on_status(attempt, status),
             Input::Called(caller, call) => self.called(caller, call),
             Input::Returned(id, result) => self.returned(id, result),
             Input::Listed(list) => self.take_list(&list),
@@ -253,7 +253,7 @@
 
     /// Returns the range that callers may take keys from now.
     pub fn range(&self) -> claim::Range {
-        self.registry.range()
+        self.registry.current_range()
     }
 
     /// Tells whether the instance can serve: it has the list and a configuration, knows its peers, and isn't draining.
@@ -297,10 +297,10 @@
     fn run_timers(&mut self) {
         while let Some(timer) = self.timers.pop(self.now) {
             match timer {
-                Timer::Deadline(job) => self.deadline(job),
-                Timer::Look(attempt) => self.look(attempt),
+                Timer::Deadline(job) => self.on_deadline(job),
+                Timer::Look(attempt) => self.check_overdue_attempt(attempt),
                 Timer::Retry(item) => self.enqueue(item),
-                Timer::Settle(job) => self.settle(job),
+                Timer::Settle(job) => self.read_back_claim(job),
                 Timer::Orphan(attempt) => self.drop_orphan(attempt),
             }
         }
@@ -311,7 +311,7 @@
         self.membership.listed(self.now, &list.instances);
         // Instances that never use these endpoints take no part of their connections.
         let sharing = self.membership.live_in(&self.identity.reach);
-        let changes = self.placement.listed(&list.endpoints, sharing);
+        let changes = self.placement.apply_list(&list.endpoints, sharing);
         for change in changes {
             self.apply_listed(change);
         }
@@ -348,7 +348,7 @@
     }
 
     fn tick(&mut self) {
-        let dropped = self.registry.trim(self.now);
+        let dropped = self.registry.evict(self.now);
         self.note_dropped(dropped);
         self.tick_health();
         self.tick_membership();
@@ -358,7 +358,7 @@
 
     fn note_dropped(&mut self, dropped: usize) {
         // Age alone drops keys all the time; only a full registry is worth a line.
-        if dropped > 0 && self.registry.full() {
+        if dropped > 0 && self.registry.is_full() {
             self.event(Code::Forgotten, format!("{dropped} keys"));
         }
     }
--- a/src/core/peering.rs
+++ b/src/core/peering.rs
@@ -63,7 +63,7 @@
                 submission: forward.submission,
                 digest: forward.digest,
                 first: false,
-                left: Some(forward.left),
+                time_left: Some(forward.left),
             }),
             Call::Heartbeat(heartbeat) => {
                 self.heard(&heartbeat);
@@ -80,7 +80,7 @@
             CallId::Submit(id) => {
                 let pending = self.calls.remove(&id);
                 if let Some(job) = pending.and_then(|pending| pending.job) {
-                    self.owner_returned(job, result);
+                    self.on_owner_return(job, result);
                 }
             }
             CallId::Heartbeat(id) => {
@@ -169,7 +169,7 @@
     pub(super) fn share(&mut self) {
         let live = self.membership.live();
         let sharing = self.membership.live_in(&self.identity.reach);
-        self.placement.share(sharing);
+        self.placement.set_instances(sharing);
         self.outputs.push(Output::Share(live));
     }
 
