--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -200,12 +200,12 @@
                 bytes: 2_000,
                 work: TASK.times(12),
                 longest: TASK,
-                deadline: Span::seconds(30),
+                time_left: Span::seconds(30),
                 quota: None,
                 slots: 384,
             };
             admission.admit(Time(job), &demand).expect("room");
-            admission.release(team, 12, 2_000, demand.work);
+            admission.release_job(team, 12, 2_000, demand.work);
         };
         group.bench_function(
             BenchmarkId::new("admit and release a job", count),
@@ -233,7 +233,7 @@
     for count in ENDPOINTS {
         let mut health = Health::new(1);
         for (slot, worker) in workers(count, 1).iter().enumerate() {
-            health.added(Slot(slot as u32), worker);
+            health.insert(Slot(slot as u32), worker);
         }
         let mut now = 0;
         group.bench_function(
@@ -242,8 +242,8 @@
                 bench.iter(|| {
                     now += 1_000;
                     let slot = Slot(now as u32 / 1_000 % count as u32);
-                    health.failed(Time(now), slot, now);
-                    health.succeeded(Time(now), slot);
+                    health.on_failure(Time(now), slot, now);
+                    health.on_success(Time(now), slot);
                     black_box(health.tick(Time(now)))
                 });
             },
@@ -265,7 +265,7 @@
         let timing = Timing::default();
         let (me, centre) = (list[0].name.clone(), list[0].centre.clone());
         let mut view = Membership::new(me, centre, Incarnation(0), &timing, 1);
-        view.listed(Time(0), &list);
+        view.apply_list(Time(0), &list);
         let heartbeat = |number: usize| Heartbeat {
             name: list[number].name.clone(),
             centre: list[number].centre.clone(),
@@ -282,17 +282,17 @@
                 now = now + Span::seconds(2);
                 for action in view.tick(now) {
                     if let Action::Heartbeat { to, .. } = action {
-                        black_box(view.observations(now));
+                        black_box(view.next_observations(now));
                         let number = heartbeats
                             .binary_search_by(|heartbeat| heartbeat.name.cmp(&to))
                             .expect("a peer");
-                        view.heard(now, &heartbeats[number]);
+                        view.on_heartbeat(now, &heartbeats[number]);
                     }
                 }
             });
         });
         group.bench_function(BenchmarkId::new("list", count), |bench| {
-            bench.iter(|| view.listed(now, black_box(&list)));
+            bench.iter(|| view.apply_list(now, black_box(&list)));
         });
     }
     group.finish();
--- a/src/core.rs
+++ b/src/core.rs
@@ -248,7 +248,7 @@
 
     /// Returns when the next step is due even without an input.
     pub fn due(&self) -> Option<Time> {
-        self.timers.due()
+        self.timers.next_due()
     }
 
     /// Returns the range that callers may take keys from now.
@@ -261,7 +261,7 @@
         let Some(listed) = self.listed else {
             return false;
         };
-        let converged = self.membership.converged(self.now, listed);
+        let converged = self.membership.has_converged(self.now, listed);
         converged && self.config.ready() && self.draining.is_none()
     }
 
@@ -274,8 +274,8 @@
             bytes: self.registry.bytes(),
             outstanding: self.placement.total().outstanding as usize,
             eligible: self.placement.total().eligible as usize,
-            ejected: self.health.ejected(),
-            instances: self.membership.live(),
+            ejected: self.health.ejected_count(),
+            instances: self.membership.live_count(),
             revision: self.config.revision(),
         }
     }
@@ -295,7 +295,7 @@
     }
 
     fn run_timers(&mut self) {
-        while let Some(timer) = self.timers.pop(self.now) {
+        while let Some(timer) = self.timers.pop_due(self.now) {
             match timer {
                 Timer::Deadline(job) => self.deadline(job),
                 Timer::Look(attempt) => self.look(attempt),
@@ -308,9 +308,9 @@
 
     fn take_list(&mut self, list: &Arc<List>) {
         self.listed.get_or_insert(self.now);
-        self.membership.listed(self.now, &list.instances);
+        self.membership.apply_list(self.now, &list.instances);
         // Instances that never use these endpoints take no part of their connections.
-        let sharing = self.membership.live_in(&self.identity.reach);
+        let sharing = self.membership.live_count_in(&self.identity.reach);
         let changes = self.placement.listed(&list.endpoints, sharing);
         for change in changes {
             self.apply_listed(change);
@@ -324,7 +324,8 @@
             self.list = Some(list.clone());
             self.configure(config::Input::Workers(list.endpoints.clone()));
         }
-        self.outputs.push(Output::Share(self.membership.live()));
+        self.outputs
+            .push(Output::Share(self.membership.live_count()));
         self.dispatch();
     }
 
@@ -333,7 +334,7 @@
         match change {
             Change::Added(slot) | Change::Updated(slot) => {
                 if let Some(worker) = self.placement.endpoint(slot) {
-                    self.health.added(slot, worker);
+                    self.health.insert(slot, worker);
                 }
             }
             Change::Leaving(slot) | Change::Absent(slot) => {
@@ -341,7 +342,7 @@
                 self.event(Code::EndpointLeaving, name.unwrap_or_default());
             }
             Change::Dropped(slot) => {
-                self.health.dropped(slot);
+                self.health.remove(slot);
                 self.endpoint_incarnations.remove(&slot);
             }
         }
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -49,7 +49,7 @@
     /// The longest of them.
     pub longest: Span,
     /// The time that is left until its deadline.
-    pub deadline: Span,
+    pub time_left: Span,
     /// What its team may use.
     pub quota: Option<Quota>,
     /// The slots that this instance may count on.
@@ -64,7 +64,7 @@
     /// The same in a sentence.
     pub detail: String,
     /// When to come back, where that helps.
-    pub retry: Option<Span>,
+    pub retry_after: Option<Span>,
 }
 
 /// What is admitted and not finished.
@@ -157,17 +157,17 @@
     }
 
     /// Counts tasks of a job as finished while the job goes on.
-    pub fn finished(&mut self, team: &Team, tasks: u32, work: Span) {
+    pub fn finish_tasks(&mut self, team: &Team, tasks: u32, work: Span) {
         self.subtract(team, 0, tasks, 0, work);
     }
 
     /// Counts a job out, with what was admitted of it and not yet counted as finished.
-    pub fn release(&mut self, team: &Team, tasks: u32, bytes: usize, work: Span) {
+    pub fn release_job(&mut self, team: &Team, tasks: u32, bytes: usize, work: Span) {
         self.subtract(team, 1, tasks, bytes, work);
     }
 
     /// Learns how long a task took that was declared to take `expected`.
-    pub fn learned(&mut self, expected: Span, took: Span) {
+    pub fn record_run_time(&mut self, expected: Span, took: Span) {
         self.declared += expected.0.max(1_000) as f64 - self.declared * FADING;
         self.real += took.0 as f64 - self.real * FADING;
     }
@@ -183,7 +183,7 @@
     }
 
     /// Returns what a team has admitted and not finished.
-    pub fn usage_of(&self, team: &Team) -> Usage {
+    pub fn team_usage(&self, team: &Team) -> Usage {
         self.teams
             .get(team)
             .map_or_else(Usage::default, |share| share.usage)
@@ -213,12 +213,12 @@
         Err(Refusal {
             reason: Reason::Invalid,
             detail,
-            retry: None,
+            retry_after: None,
         })
     }
 
     fn check_bounds(&self, demand: &Demand<'_>) -> Result<(), String> {
-        let own = self.usage_of(demand.team);
+        let own = self.team_usage(demand.team);
         let quota = demand.quota.map_or(0, |quota| quota.outstanding) as usize;
         let tasks = demand.tasks as usize;
         if quota > 0 && own.tasks + tasks > quota {
@@ -244,27 +244,27 @@
     fn check_deadline(&mut self, now: Time, demand: &Demand<'_>) -> Result<(), Refusal> {
         let alone = self.busy_span(demand.work - demand.longest, demand.slots)
             + self.scaled(demand.longest);
-        if alone > demand.deadline.times(INFEASIBLE) {
+        if alone > demand.time_left.times(INFEASIBLE) {
             let detail = format!(
                 "it would take about {alone} alone, far past its deadline in {}",
-                demand.deadline
+                demand.time_left
             );
             return Err(Refusal {
                 reason: Reason::Busy,
                 detail,
-                retry: None,
+                retry_after: None,
             });
         }
         let wait = self.wait(demand);
-        let finish = wait + alone.min(Span(demand.deadline.0 / 2));
-        if finish <= demand.deadline {
+        let finish = wait + alone.min(Span(demand.time_left.0 / 2));
+        if finish <= demand.time_left {
             return Ok(());
         }
         let detail = format!(
             "it would wait about {wait} for others, with a deadline in {}",
-            demand.deadline
+            demand.time_left
         );
-        Err(self.refuse(now, demand, Reason::Busy, detail, finish - demand.deadline))
+        Err(self.refuse(now, demand, Reason::Busy, detail, finish - demand.time_left))
     }
 
     /// Returns how long the work ahead of a job is expected to hold it up.
@@ -317,7 +317,7 @@
         Refusal {
             reason,
             detail,
-            retry: Some((wait + Span(jitter)).min(LATEST)),
+            retry_after: Some((wait + Span(jitter)).min(LATEST)),
         }
     }
 
--- a/src/core/claiming.rs
+++ b/src/core/claiming.rs
@@ -163,12 +163,12 @@
         self.release(&mut job);
         // An instance that has just started may not have heard of the incarnation; its name will do, since the
         // peer that is asked says whether it is the one.
-        let named = name.filter(|_| !self.membership.gone(owner)).cloned();
+        let named = name.filter(|_| !self.membership.has_ended(owner)).cloned();
         let known = self.membership.owner(owner).map(|(peer, _)| peer);
         let Some(peer) = known.or(named) else {
             return self.read_record(job);
         };
-        if !self.membership.alive(self.now, &peer) {
+        if !self.membership.is_alive(self.now, &peer) {
             return self.read_record(job);
         }
         let forward = Forward {
--- a/src/core/ending.rs
+++ b/src/core/ending.rs
@@ -38,7 +38,7 @@
             let tasks = job.submission.tasks.len() as u32;
             let team = &job.submission.team;
             self.admission
-                .release(team, tasks, job.bytes, admitted.work);
+                .release_job(team, tasks, job.bytes, admitted.work);
         }
     }
 
@@ -74,7 +74,7 @@
         let tasks = submission.tasks.iter().zip(&job.stage.tasks);
         let rest = tasks.filter(|(_, progress)| !progress.done);
         let work = rest.map(|(task, _)| task.expected.0).sum();
-        self.admission.release(
+        self.admission.release_job(
             &submission.team,
             job.stage.left as u32,
             job.bytes,
--- a/src/core/execution.rs
+++ b/src/core/execution.rs
@@ -254,7 +254,7 @@
         match reply {
             Reply::Done { result, load } => {
                 self.retries.success();
-                let change = self.health.succeeded(self.now, pending.slot);
+                let change = self.health.on_success(self.now, pending.slot);
                 self.apply_health(change);
                 self.conclude(attempt, Some(load), Conclusion::Done(result));
             }
@@ -306,7 +306,7 @@
             .ended(pending.slot, done.then_some(took), load);
         match conclusion {
             Conclusion::Done(result) => {
-                self.admission.learned(expected, took);
+                self.admission.record_run_time(expected, took);
                 self.hedges.success(&service, took);
                 self.done(attempt, took, result);
             }
@@ -347,7 +347,7 @@
         };
         let expected = job.submission.tasks[attempt.task as usize].expected;
         let team = &job.submission.team;
-        self.admission.finished(team, 1, expected);
+        self.admission.finish_tasks(team, 1, expected);
         if let Some(queue) = self.queues.get_mut(&job.stage.admitted.route.service) {
             queue.settle(team, expected, took);
         }
--- a/src/core/health.rs
+++ b/src/core/health.rs
@@ -140,14 +140,14 @@
     }
 
     /// Takes up an endpoint, or moves it to the group where the list has it now.
-    pub fn added(&mut self, slot: Slot, worker: &Worker) {
+    pub fn insert(&mut self, slot: Slot, worker: &Worker) {
         let group = Group {
             pool: worker.pool.clone(),
             centre: worker.centre.clone(),
         };
         match self.records.get(&slot) {
             Some(record) if record.group == group => return,
-            _ => self.dropped(slot),
+            _ => self.remove(slot),
         }
         self.groups.entry(group.clone()).or_default().members += 1;
         let record = Record {
@@ -164,7 +164,7 @@
     }
 
     /// Forgets an endpoint.
-    pub fn dropped(&mut self, slot: Slot) {
+    pub fn remove(&mut self, slot: Slot) {
         let Some(record) = self.records.remove(&slot) else {
             return;
         };
@@ -185,7 +185,7 @@
     ///
     /// Failures of one job alone never eject: the job may be what is wrong, and would take endpoint after endpoint
     /// out of the pool with its tasks. The cap holds where several jobs are wrong.
-    pub fn failed(&mut self, now: Time, slot: Slot, job: u64) -> Option<Change> {
+    pub fn on_failure(&mut self, now: Time, slot: Slot, job: u64) -> Option<Change> {
         let record = self.records.get_mut(&slot)?;
         match record.eligibility {
             Eligibility::Good | Eligibility::Suspect => {
@@ -206,7 +206,7 @@
     }
 
     /// Counts a task that an endpoint ran to its end.
-    pub fn succeeded(&mut self, now: Time, slot: Slot) -> Option<Change> {
+    pub fn on_success(&mut self, now: Time, slot: Slot) -> Option<Change> {
         let record = self.records.get_mut(&slot)?;
         record.failures = 0;
         match record.eligibility {
@@ -236,12 +236,12 @@
     }
 
     /// Returns how many endpoints are ejected or on probation.
-    pub fn ejected(&self) -> usize {
+    pub fn ejected_count(&self) -> usize {
         self.groups.values().map(|count| count.out as usize).sum()
     }
 
     /// Tells whether an endpoint may get a task of this class.
-    pub fn may(&self, slot: Slot, class: Class) -> bool {
+    pub fn allows(&self, slot: Slot, class: Class) -> bool {
         match self.records.get(&slot).map(|record| record.eligibility) {
             Some(Eligibility::Good | Eligibility::Suspect | Eligibility::Trial) => true,
             Some(Eligibility::Probation) => class.repeatable(),
--- a/src/core/look.rs
+++ b/src/core/look.rs
@@ -187,7 +187,7 @@
     }
 
     pub(super) fn note_failure(&mut self, slot: Slot, job: u64) {
-        let change = self.health.failed(self.now, slot, job);
+        let change = self.health.on_failure(self.now, slot, job);
         self.apply_health(change);
     }
 
--- a/src/core/membership.rs
+++ b/src/core/membership.rs
@@ -107,7 +107,7 @@
     }
 
     /// Takes over the platform's list. Peers that it leaves out count for as long as they are heard.
-    pub fn listed(&mut self, now: Time, members: &[Member]) {
+    pub fn apply_list(&mut self, now: Time, members: &[Member]) {
         for peer in self.peers.values_mut() {
             peer.listed = None;
         }
@@ -131,7 +131,7 @@
     /// Takes in a heartbeat, whichever side called.
     ///
     /// A new incarnation under a known name replaces the old one for good.
-    pub fn heard(&mut self, now: Time, heartbeat: &Heartbeat) {
+    pub fn on_heartbeat(&mut self, now: Time, heartbeat: &Heartbeat) {
         if heartbeat.name == self.me {
             return;
         }
@@ -157,7 +157,7 @@
     }
 
     /// Takes in that a call to a peer failed: it counts as gone until it is heard, or for a while.
-    pub fn lost(&mut self, now: Time, name: &Instance) {
+    pub fn on_call_failed(&mut self, now: Time, name: &Instance) {
         if let Some(peer) = self.peers.get_mut(name) {
             peer.lost = Some(now);
         }
@@ -165,7 +165,7 @@
     }
 
     /// Takes in the observations of a peer. They can't outweigh what this instance saw itself.
-    pub fn observed(&mut self, now: Time, observations: &[Observation]) {
+    pub fn on_observations(&mut self, now: Time, observations: &[Observation]) {
         for observation in observations {
             let Some(peer) = self.peers.get_mut(&observation.name) else {
                 continue;
@@ -187,7 +187,7 @@
     }
 
     /// Returns the observations that go with the next heartbeat or its return: new incarnations first, then others.
-    pub fn observations(&mut self, now: Time) -> Vec<Observation> {
+    pub fn next_observations(&mut self, now: Time) -> Vec<Observation> {
         let mut observations = Vec::new();
         let start = (Bound::Excluded(&self.cursor), Bound::Unbounded);
         let new = self.peers.range(start).chain(&self.peers);
@@ -253,7 +253,7 @@
     /// Tells whether this instance and the peers that it knows of have heard one another, or had the time to.
     ///
     /// Until then neither side knows the other's incarnation, and would call the owner of a key gone that is there.
-    pub fn converged(&self, now: Time, since: Time) -> bool {
+    pub fn has_converged(&self, now: Time, since: Time) -> bool {
         let known = |peer: &Peer| peer.heard.is_some() || !peer.is_alive(now, self.silence);
         now.since(since) >= self.silence || self.peers.values().all(known)
     }
@@ -265,12 +265,12 @@
     }
 
     /// Tells whether an incarnation is known to have ended: its name runs under another.
-    pub fn gone(&self, incarnation: Incarnation) -> bool {
+    pub fn has_ended(&self, incarnation: Incarnation) -> bool {
         self.gone.contains(&incarnation)
     }
 
     /// Tells whether a peer counts as alive.
-    pub fn alive(&self, now: Time, name: &Instance) -> bool {
+    pub fn is_alive(&self, now: Time, name: &Instance) -> bool {
         *name == self.me
             || self
                 .peers
@@ -279,12 +279,12 @@
     }
 
     /// Returns how many instances share the endpoints and the platform, this one included.
-    pub fn live(&self) -> usize {
+    pub fn live_count(&self) -> usize {
         self.live
     }
 
     /// Returns how many instances in these data centres are alive, this one included; in all where none is named.
-    pub fn live_in(&self, centres: &[Centre]) -> usize {
+    pub fn live_count_in(&self, centres: &[Centre]) -> usize {
         if centres.is_empty() {
             return self.live;
         }
--- a/src/core/peering.rs
+++ b/src/core/peering.rs
@@ -87,7 +87,7 @@
                 let pending = self.calls.remove(&id);
                 match (result, pending) {
                     (Return::Heartbeat(heartbeat), _) => self.heard(&heartbeat),
-                    (_, Some(pending)) => self.membership.lost(self.now, &pending.to),
+                    (_, Some(pending)) => self.membership.on_call_failed(self.now, &pending.to),
                     (_, None) => {}
                 }
             }
@@ -103,7 +103,7 @@
 
     fn heartbeat(&mut self) -> Heartbeat {
         Heartbeat {
-            observations: self.membership.observations(self.now),
+            observations: self.membership.next_observations(self.now),
             name: self.identity.name.clone(),
             centre: self.identity.centre.clone(),
             incarnation: self.identity.incarnation,
@@ -113,8 +113,9 @@
     }
 
     fn heard(&mut self, heartbeat: &Heartbeat) {
-        self.membership.heard(self.now, heartbeat);
-        self.membership.observed(self.now, &heartbeat.observations);
+        self.membership.on_heartbeat(self.now, heartbeat);
+        self.membership
+            .on_observations(self.now, &heartbeat.observations);
     }
 
     pub(super) fn tick_membership(&mut self) {
@@ -167,8 +168,8 @@
 
     /// Divides what all instances share by how many there are now.
     pub(super) fn share(&mut self) {
-        let live = self.membership.live();
-        let sharing = self.membership.live_in(&self.identity.reach);
+        let live = self.membership.live_count();
+        let sharing = self.membership.live_count_in(&self.identity.reach);
         self.placement.share(sharing);
         self.outputs.push(Output::Share(live));
     }
--- a/src/core/submission.rs
+++ b/src/core/submission.rs
@@ -205,13 +205,13 @@
             bytes: arrival.bytes,
             work: Span(work),
             longest: longest.unwrap_or_default(),
-            deadline,
+            time_left: deadline,
             quota: route.quotas.get(&submission.team).copied(),
             slots: self.own_slots(&route),
         };
         self.admission.admit(self.now, &demand).map_err(|refusal| {
             let answer = Answer::refusal(refusal.reason, refusal.detail);
-            match refusal.retry {
+            match refusal.retry_after {
                 Some(span) => answer.with_retry(span),
                 None => answer,
             }
--- a/src/core/timer.rs
+++ b/src/core/timer.rs
@@ -45,13 +45,13 @@
     }
 
     /// Returns when the first one is due.
-    pub(super) fn due(&self) -> Option<Time> {
+    pub(super) fn next_due(&self) -> Option<Time> {
         self.timers.first_key_value().map(|((at, _), _)| *at)
     }
 
     /// Takes the first one that is due.
-    pub(super) fn pop(&mut self, now: Time) -> Option<Timer> {
-        if self.due()? > now {
+    pub(super) fn pop_due(&mut self, now: Time) -> Option<Timer> {
+        if self.next_due()? > now {
             return None;
         }
         self.timers.pop_first().map(|(_, timer)| timer)
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -9,7 +9,7 @@
         bytes: 1_000,
         work: each.times(tasks.into()),
         longest: each,
-        deadline: Span::seconds(10),
+        time_left: Span::seconds(10),
         quota: None,
         slots: SLOTS,
     }
@@ -35,16 +35,16 @@
         for (team, tasks, millis, release) in steps {
             if release && !admitted.is_empty() {
                 let (team, tasks, work): (usize, u32, Span) = admitted.swap_remove(0);
-                admission.release(&teams[team], tasks, 1_000, work);
+                admission.release_job(&teams[team], tasks, 1_000, work);
                 continue;
             }
             let team = usize::from(team % 3);
             let mut demand = demand(&teams[team], tasks.into(), Span::millis(millis.into()));
             demand.quota = quota.filter(|_| team == 0);
-            let before = (admission.usage(), admission.usage_of(&teams[team]));
+            let before = (admission.usage(), admission.team_usage(&teams[team]));
             match admission.admit(Time(0), &demand) {
                 Ok(()) => admitted.push((team, demand.tasks, demand.work)),
-                Err(_) if before == (admission.usage(), admission.usage_of(&teams[team])) => (),
+                Err(_) if before == (admission.usage(), admission.team_usage(&teams[team])) => (),
                 Err(_) => return false,
             }
             let usage = admission.usage();
@@ -52,13 +52,13 @@
             let within = usage.jobs <= limits.jobs
                 && usage.bytes <= limits.bytes
                 && usage.tasks <= limits.waiting
-                && admission.usage_of(&teams[0]).tasks <= 100;
+                && admission.team_usage(&teams[0]).tasks <= 100;
             if !within || usage.tasks != held || usage.jobs != admitted.len() {
                 return false;
             }
         }
         for (team, tasks, work) in admitted {
-            admission.release(&teams[team], tasks, 1_000, work);
+            admission.release_job(&teams[team], tasks, 1_000, work);
         }
         admission.usage() == Usage::default()
     }
@@ -102,7 +102,7 @@
         .expect("a refusal");
     let work = admission.usage().work;
     assert_eq!(refusal.reason, Reason::Busy);
-    assert!(refusal.retry.is_some(), "{refusal:?}");
+    assert!(refusal.retry_after.is_some(), "{refusal:?}");
     assert!(
         (5..=10).contains(&(work.0 / 8_000_000)),
         "{work} was admitted"
@@ -119,7 +119,7 @@
     // work ahead looks like a tenth of what it is. After some hundred ends the real ratio must be applied.
     let mut admission = Admission::new(&Limits::default(), 3);
     for _ in 0..1_000 {
-        admission.learned(Span::millis(50), Span::millis(500));
+        admission.record_run_time(Span::millis(50), Span::millis(500));
     }
     assert!(
         (9.0..=10.5).contains(&admission.scale()),
@@ -155,7 +155,7 @@
         let refusal = admission
             .admit(Time(0), &demand(&team, 20, Span::millis(500)))
             .expect_err("no room");
-        let retry = refusal.retry.expect("a time to come back");
+        let retry = refusal.retry_after.expect("a time to come back");
         seconds[usize::try_from(retry.0 / 1_000_000).expect("a short time")] += 1;
     }
     let most = seconds.iter().max().expect("seconds");
@@ -172,11 +172,11 @@
     let large = admission
         .admit(Time(0), &demand(&team, 301, TINY))
         .expect_err("too many");
-    assert_eq!((large.reason, large.retry), (Reason::Invalid, None));
+    assert_eq!((large.reason, large.retry_after), (Reason::Invalid, None));
     let long = admission
         .admit(Time(0), &demand(&team, 200, Span::seconds(5)))
         .expect_err("too long");
-    assert_eq!((long.reason, long.retry), (Reason::Busy, None));
+    assert_eq!((long.reason, long.retry_after), (Reason::Busy, None));
     let quota = Demand {
         quota: Some(Quota {
             weight: 1,
@@ -188,14 +188,17 @@
     let over = admission
         .admit(Time(0), &quota)
         .expect_err("over the quota");
-    assert_eq!((over.reason, over.retry.is_some()), (Reason::Busy, true));
+    assert_eq!(
+        (over.reason, over.retry_after.is_some()),
+        (Reason::Busy, true)
+    );
     let none = Demand {
         slots: 0,
         ..demand(&team, 1, TINY)
     };
     let none = admission.admit(Time(0), &none).expect_err("no slots");
     assert_eq!(
-        (none.reason, none.retry.is_some()),
+        (none.reason, none.retry_after.is_some()),
         (Reason::NoEndpoint, true)
     );
 }
--- a/tests/policy/health.rs
+++ b/tests/policy/health.rs
@@ -3,7 +3,7 @@
 fn health(endpoints: usize) -> Health {
     let mut health = Health::new(11);
     for (number, worker) in workers(endpoints).iter().enumerate() {
-        health.added(Slot(number as u32), worker);
+        health.insert(Slot(number as u32), worker);
     }
     health
 }
@@ -11,7 +11,7 @@
 /// Ejects an endpoint by failures of different jobs; returns the last change.
 fn eject(health: &mut Health, now: Time, slot: Slot) -> Option<Change> {
     (0..3)
-        .filter_map(|job| health.failed(now, slot, job))
+        .filter_map(|job| health.on_failure(now, slot, job))
         .last()
 }
 
@@ -32,8 +32,8 @@
     fn one_bad_job_ejects_nothing(failures: Vec<u8>, successes: Vec<u8>) -> bool {
         let mut health = health(9);
         let slot = |number: u8| Slot(u32::from(number % 9));
-        successes.iter().for_each(|number| assert!(health.succeeded(Time(0), slot(*number)).is_none()));
-        failures.iter().all(|number| health.failed(Time(0), slot(*number), 1).is_none())
+        successes.iter().for_each(|number| assert!(health.on_success(Time(0), slot(*number)).is_none()));
+        failures.iter().all(|number| health.on_failure(Time(0), slot(*number), 1).is_none())
     }
 
     /// Over any ends, ticks and changes of the list, no more than the cap is out.
@@ -43,14 +43,14 @@
         steps.into_iter().all(|(kind, number, job)| {
             let slot = Slot(u32::from(number % 12));
             match kind % 16 {
-                0 if members.remove(&slot) => health.dropped(slot),
-                1 if members.insert(slot) => health.added(slot, &worker(slot.0 as usize, OWN)),
+                0 if members.remove(&slot) => health.remove(slot),
+                1 if members.insert(slot) => health.insert(slot, &worker(slot.0 as usize, OWN)),
                 2 => now = now + Span::seconds(u64::from(job % 8)),
-                3 => drop(health.succeeded(now, slot)),
-                _ => drop(health.failed(now, slot, job.into())),
+                3 => drop(health.on_success(now, slot)),
+                _ => drop(health.on_failure(now, slot, job.into())),
             }
             health.tick(now);
-            let out = |slot: &&Slot| !health.may(**slot, Class::NonIdempotent);
+            let out = |slot: &&Slot| !health.allows(**slot, Class::NonIdempotent);
             let cap = if members.len() < 2 { 0 } else { (members.len() / 3).max(1) };
             members.iter().filter(out).count() <= cap
         })
@@ -64,13 +64,16 @@
     // that it does not fail everything.
     let mut health = health(9);
     let slot = Slot(4);
-    assert_eq!(health.failed(Time(0), slot, 1), None);
-    assert_eq!(health.failed(Time(0), slot, 2), None);
-    assert_eq!(health.succeeded(Time(0), slot), None);
-    assert_eq!(health.failed(Time(0), slot, 3), None);
-    assert_eq!(health.failed(Time(0), slot, 3), None);
-    assert_eq!(health.failed(Time(0), slot, 4), Some(Change::Ejected(slot)));
-    assert!(!health.may(slot, Class::Idempotent));
+    assert_eq!(health.on_failure(Time(0), slot, 1), None);
+    assert_eq!(health.on_failure(Time(0), slot, 2), None);
+    assert_eq!(health.on_success(Time(0), slot), None);
+    assert_eq!(health.on_failure(Time(0), slot, 3), None);
+    assert_eq!(health.on_failure(Time(0), slot, 3), None);
+    assert_eq!(
+        health.on_failure(Time(0), slot, 4),
+        Some(Change::Ejected(slot))
+    );
+    assert!(!health.allows(slot, Class::Idempotent));
 }
 
 #[test]
@@ -83,10 +86,10 @@
         eject(&mut health, Time(0), Slot(number));
     }
     let slot = Slot(4);
-    assert_eq!(health.failed(Time(0), slot, 1), None);
-    assert_eq!(health.failed(Time(0), slot, 2), None);
+    assert_eq!(health.on_failure(Time(0), slot, 1), None);
+    assert_eq!(health.on_failure(Time(0), slot, 2), None);
     assert_eq!(
-        health.failed(Time(0), slot, 3),
+        health.on_failure(Time(0), slot, 3),
         Some(Change::Suspected(slot))
     );
     let mut placement = crate::placement::placement(&workers(9));
@@ -99,8 +102,11 @@
     assert_eq!(place(&mut placement), slot);
     let (again, changes) = until_change(&mut health, Time(0));
     assert!(changes.contains(&Change::Returned(slot)), "{changes:?}");
-    assert_eq!(health.failed(again, slot, 4), Some(Change::Suspected(slot)));
-    assert_eq!(health.succeeded(again, slot), Some(Change::Returned(slot)));
+    assert_eq!(
+        health.on_failure(again, slot, 4),
+        Some(Change::Suspected(slot))
+    );
+    assert_eq!(health.on_success(again, slot), Some(Change::Returned(slot)));
 }
 
 #[test]
@@ -113,16 +119,22 @@
     eject(&mut health, Time(0), slot);
     let (first, changes) = until_change(&mut health, Time(0));
     assert_eq!(changes, [Change::Probation(slot)]);
-    assert!(health.may(slot, Class::Idempotent) && !health.may(slot, Class::Once));
-    assert_eq!(health.failed(first, slot, 9), Some(Change::Ejected(slot)));
+    assert!(health.allows(slot, Class::Idempotent) && !health.allows(slot, Class::Once));
+    assert_eq!(
+        health.on_failure(first, slot, 9),
+        Some(Change::Ejected(slot))
+    );
     let (second, changes) = until_change(&mut health, first);
     assert_eq!(changes, [Change::Probation(slot)]);
     assert!(
         second.since(first).0 > first.0 * 3 / 2,
         "{first:?} {second:?}"
     );
-    assert_eq!(health.succeeded(second, slot), Some(Change::Returned(slot)));
-    assert!(health.may(slot, Class::NonIdempotent));
+    assert_eq!(
+        health.on_success(second, slot),
+        Some(Change::Returned(slot))
+    );
+    assert!(health.allows(slot, Class::NonIdempotent));
 }
 
 #[test]
@@ -138,10 +150,10 @@
         let (end, _) = until_change(&mut health, now);
         assert!(end.since(now) <= Span::seconds(384), "{}", end.since(now));
         now = end;
-        health.failed(now, slot, 9);
+        health.on_failure(now, slot, 9);
     }
     let (end, _) = until_change(&mut health, now);
-    health.succeeded(end, slot);
+    health.on_success(end, slot);
     let later = end + Span::seconds(3_600);
     eject(&mut health, later, slot);
     let (end, _) = until_change(&mut health, later);
@@ -162,8 +174,8 @@
     let (now, _) = until_change(&mut health, Time(0));
     let (now, changes) = until_change(&mut health, now);
     assert_eq!(changes, [Change::Trial(slot)]);
-    assert!(health.may(slot, Class::NonIdempotent));
-    assert_eq!(health.succeeded(now, slot), Some(Change::Returned(slot)));
+    assert!(health.allows(slot, Class::NonIdempotent));
+    assert_eq!(health.on_success(now, slot), Some(Change::Returned(slot)));
 }
 
 #[test]
@@ -179,8 +191,8 @@
     let suspected = |slot: u32| Some(Change::Suspected(Slot(slot)));
     let expected: Vec<_> = (0..4).map(ejected).chain((4..12).map(suspected)).collect();
     assert_eq!(changes, expected);
-    (6..12).for_each(|slot| health.dropped(Slot(slot)));
+    (6..12).for_each(|slot| health.remove(Slot(slot)));
     assert_eq!(health.tick(Time(0)).len(), 2);
-    let out = (0..6).filter(|slot| !health.may(Slot(*slot), Class::Once));
+    let out = (0..6).filter(|slot| !health.allows(Slot(*slot), Class::Once));
     assert_eq!(out.count(), 2);
 }
--- a/tests/policy/membership.rs
+++ b/tests/policy/membership.rs
@@ -57,7 +57,7 @@
         let list: Vec<Member> = (0..count).map(|number| member(number, centres)).collect();
         let start = |number| {
             let mut view = view(number, number as u128 + 1, centres);
-            view.listed(Time(0), &list);
+            view.apply_list(Time(0), &list);
             (view, number as u128 + 1, true)
         };
         Self {
@@ -74,7 +74,7 @@
             .collect();
         let incarnation = self.views[number].1 + 1_000;
         let mut fresh = view(number, incarnation, self.centres);
-        fresh.listed(self.now, &list);
+        fresh.apply_list(self.now, &list);
         self.views[number] = (fresh, incarnation, true);
     }
 
@@ -99,7 +99,7 @@
             let number = to.as_str().strip_prefix("entry-").map(str::parse);
             let number: usize = number.expect("an instance").expect("a number");
             if !self.views[number].2 {
-                self.views[from].0.lost(self.now, &to);
+                self.views[from].0.on_call_failed(self.now, &to);
                 continue;
             }
             self.tell(from, number);
@@ -108,11 +108,11 @@
     }
 
     fn tell(&mut self, from: usize, to: usize) {
-        let observations = self.views[from].0.observations(self.now);
+        let observations = self.views[from].0.next_observations(self.now);
         let mut heartbeat = heartbeat(from, self.views[from].1);
         heartbeat.centre = centre(from, self.centres);
-        self.views[to].0.heard(self.now, &heartbeat);
-        self.views[to].0.observed(self.now, &observations);
+        self.views[to].0.on_heartbeat(self.now, &heartbeat);
+        self.views[to].0.on_observations(self.now, &observations);
     }
 
     /// Returns the instance that this one takes for the one that polls for its data centre, as its configuration does.
@@ -143,13 +143,13 @@
     fn converged(&self) -> bool {
         let up = || self.views.iter().enumerate().filter(|(_, view)| view.2);
         up().all(|(own, (view, ..))| {
-            view.live() == up().count()
+            view.live_count() == up().count()
                 && up()
                     .filter(|(other, _)| *other != own)
                     .all(|(other, (_, incarnation, _))| {
                         let owner = view.owner(Incarnation(*incarnation));
                         owner.is_some_and(|(owner, _)| owner == instance(other))
-                            && view.alive(self.now, &instance(other))
+                            && view.is_alive(self.now, &instance(other))
                     })
         })
     }
@@ -191,9 +191,8 @@
     }
     assert!(group.converged());
     let (view, ..) = &group.views[0];
-    assert!(
-        (2..=7).all(|old| view.gone(Incarnation(old)) && view.owner(Incarnation(old)).is_none())
-    );
+    assert!((2..=7)
+        .all(|old| view.has_ended(Incarnation(old)) && view.owner(Incarnation(old)).is_none()));
 }
 
 #[test]
@@ -202,21 +201,21 @@
     // way, arrives after those of the new one; a peer that has not heard of the restart passes the old one on. The
     // new one must stay. Where the new one then falls silent and the other goes on, the view was wrong, and turns.
     let mut view = view(0, 1, TODAY);
-    view.listed(Time(0), &[member(1, TODAY)]);
+    view.apply_list(Time(0), &[member(1, TODAY)]);
     let (old, new) = (Incarnation(10), Incarnation(11));
-    view.heard(Time(0), &heartbeat(1, old.0));
-    view.heard(Time(1_000), &heartbeat(1, new.0));
-    view.heard(Time(2_000), &heartbeat(1, old.0));
+    view.on_heartbeat(Time(0), &heartbeat(1, old.0));
+    view.on_heartbeat(Time(1_000), &heartbeat(1, new.0));
+    view.on_heartbeat(Time(2_000), &heartbeat(1, old.0));
     let observation = Observation {
         name: instance(1),
         incarnation: old,
         age: Span(0),
     };
-    view.observed(Time(3_000), &[observation]);
-    assert_eq!((view.owner(old), view.gone(old)), (None, true));
+    view.on_observations(Time(3_000), &[observation]);
+    assert_eq!((view.owner(old), view.has_ended(old)), (None, true));
     assert!(view.owner(new).is_some());
-    view.heard(Time(0) + Span::seconds(5), &heartbeat(1, old.0));
-    assert_eq!((view.gone(old), view.gone(new)), (false, true));
+    view.on_heartbeat(Time(0) + Span::seconds(5), &heartbeat(1, old.0));
+    assert_eq!((view.has_ended(old), view.has_ended(new)), (false, true));
 }
 
 #[test]
@@ -226,21 +225,21 @@
     // the list goes on showing it; as there when it is heard again; and as gone at once when a call to it fails.
     let mut view = view(0, 1, TODAY);
     let peer = instance(3);
-    view.listed(Time(0), &[member(3, TODAY)]);
-    assert!(view.alive(Time(0), &peer));
+    view.apply_list(Time(0), &[member(3, TODAY)]);
+    assert!(view.is_alive(Time(0), &peer));
     let mut actions = Vec::new();
     for tick in 0..60 {
         let now = Time(0) + Span::millis(50 * tick);
-        view.listed(now, &[member(3, TODAY)]);
+        view.apply_list(now, &[member(3, TODAY)]);
         actions.extend(view.tick(now));
     }
     assert!(actions.contains(&Action::Lost(peer.clone())), "{actions:?}");
     let now = Time(0) + Span::seconds(3);
-    assert!(!view.alive(now, &peer) && view.live() == 1);
-    view.heard(now, &heartbeat(3, 10));
-    assert!(view.alive(now, &peer) && view.live() == 2);
-    view.lost(now, &peer);
-    assert!(!view.alive(now, &peer) && view.live() == 1);
+    assert!(!view.is_alive(now, &peer) && view.live_count() == 1);
+    view.on_heartbeat(now, &heartbeat(3, 10));
+    assert!(view.is_alive(now, &peer) && view.live_count() == 2);
+    view.on_call_failed(now, &peer);
+    assert!(!view.is_alive(now, &peer) && view.live_count() == 1);
 }
 
 #[test]
@@ -263,16 +262,16 @@
     // end. Peers and the incarnations that are gone must stay bounded.
     let mut view = view(0, 1, TODAY);
     for number in 1..10_000 {
-        view.heard(Time(number as u64), &heartbeat(number, number as u128));
+        view.on_heartbeat(Time(number as u64), &heartbeat(number, number as u128));
     }
     assert!(view.peers().count() <= 4_096);
     let late = Time(0) + Span::seconds(120);
     view.tick(late);
-    assert_eq!((view.peers().count(), view.live()), (0, 1));
+    assert_eq!((view.peers().count(), view.live_count()), (0, 1));
     for number in 0..10_000 {
-        view.heard(late, &heartbeat(1, number));
+        view.on_heartbeat(late, &heartbeat(1, number));
     }
-    assert!(view.gone(Incarnation(9_998)) && !view.gone(Incarnation(0)));
+    assert!(view.has_ended(Incarnation(9_998)) && !view.has_ended(Incarnation(0)));
 }
 
 #[test]
@@ -282,10 +281,10 @@
     // centres that this one uses may count; with none named, all use all.
     let mut view = view(0, 1, MANY);
     let members: Vec<_> = (1..102).map(|number| member(number, MANY)).collect();
-    view.listed(Time(0), &members);
-    assert_eq!(view.live_in(&[]), 102);
-    assert_eq!(view.live_in(&[centre(0, MANY)]), 6);
-    assert_eq!(view.live_in(&[centre(0, MANY), centre(1, MANY)]), 12);
+    view.apply_list(Time(0), &members);
+    assert_eq!(view.live_count_in(&[]), 102);
+    assert_eq!(view.live_count_in(&[centre(0, MANY)]), 6);
+    assert_eq!(view.live_count_in(&[centre(0, MANY), centre(1, MANY)]), 12);
 }
 
 #[test]
@@ -293,10 +292,10 @@
     // The caller is told that the owner of its key is gone, by an instance that has just started and has heard nobody.
     // It must wait for the peers that it knows of, but not for longer than a silent peer is waited for.
     let mut view = view(0, 1, TODAY);
-    view.listed(Time(0), &[member(3, TODAY)]);
-    assert!(!view.converged(Time(0), Time(0)));
+    view.apply_list(Time(0), &[member(3, TODAY)]);
+    assert!(!view.has_converged(Time(0), Time(0)));
     let silence = Timing::default().silence;
-    assert!(view.converged(Time(0) + silence, Time(0)));
-    view.heard(Time(1), &heartbeat(3, 10));
-    assert!(view.converged(Time(1), Time(0)));
+    assert!(view.has_converged(Time(0) + silence, Time(0)));
+    view.on_heartbeat(Time(1), &heartbeat(3, 10));
+    assert!(view.has_converged(Time(1), Time(0)));
 }
