--- a/src/caller/admin.rs
+++ b/src/caller/admin.rs
@@ -233,7 +233,7 @@
             }
             Err(fault) => return problem(StatusCode::BAD_REQUEST, &fault),
         };
-        match self.ask(|request| Input::Operate { request, ask }).await {
+        match self.ask(|request| Input::Ask { request, ask }).await {
             Some(Output::Report(_, answer)) => report(&answer),
             _ => problem(
                 StatusCode::SERVICE_UNAVAILABLE,
--- a/src/core.rs
+++ b/src/core.rs
@@ -226,10 +226,10 @@
             Input::Cancel { request, team, key } => self.cancel(request, &team, &key),
             Input::Find { request, team, key } => self.find(request, &team, &key),
             Input::Hangup(request) => self.hang_up(request),
-            Input::Operate { request, ask } => self.configure(config::Input::Ask(request, ask)),
-            Input::Operated(Ticket::Claim(ticket), result) => self.operated(ticket, result),
-            Input::Operated(Ticket::Config(ticket), result) => {
-                self.configure(config::Input::Operated(ticket, result));
+            Input::Ask { request, ask } => self.configure(config::Input::Ask(request, ask)),
+            Input::Completed(Ticket::Claim(ticket), result) => self.operated(ticket, result),
+            Input::Completed(Ticket::Config(ticket), result) => {
+                self.configure(config::Input::Completed(ticket, result));
             }
             Input::Ended(attempt, end) => self.ended(attempt, end),
             Input::Looked(attempt, status) => self.looked(attempt, status),
@@ -410,9 +410,9 @@
                 config::Output::Report(request, report) => {
                     self.outputs.push(Output::Report(request, report));
                 }
-                config::Output::Operate(ticket, operate) => {
+                config::Output::Command(ticket, operate) => {
                     self.outputs
-                        .push(Output::Operate(Ticket::Config(ticket), operate));
+                        .push(Output::Command(Ticket::Config(ticket), operate));
                 }
                 config::Output::Call(to, id, call) => {
                     self.call(to, CallId::Config(id), message::Call::Config(call), None);
--- a/src/core/claiming.rs
+++ b/src/core/claiming.rs
@@ -14,8 +14,8 @@
         self,
         Call,
         CallId,
+        Command,
         Forward,
-        Operate,
         Return, //
     },
     peering::Pending,
@@ -39,39 +39,41 @@
 const SETTLE: Span = Span::millis(100);
 
 impl Core {
-    pub(super) fn answered_by_store(&mut self, number: u64, result: message::Result) {
+    pub(super) fn answered_by_store(&mut self, number: u64, result: message::Completion) {
         let Some(Any::Received(job)) = self.take_received(number) else {
             return;
         };
         match (job.stage.wait.clone(), result) {
-            (Wait::Claim(nonce), message::Result::Verdict(verdict)) => {
+            (Wait::Claim(nonce), message::Completion::Verdict(verdict)) => {
                 if verdict.applied {
                     self.claimed(job, nonce);
                 } else {
                     self.owned(job, verdict.current.first(), Some(nonce));
                 }
             }
-            (Wait::Claim(_), message::Result::Refused) => self.fail_claim(job),
-            (Wait::Claim(nonce) | Wait::Settle(nonce), message::Result::Unknown) => {
+            (Wait::Claim(_), message::Completion::Refused) => self.fail_claim(job),
+            (Wait::Claim(nonce) | Wait::Settle(nonce), message::Completion::Unknown) => {
                 self.unsettled(job, nonce);
             }
-            (Wait::Settle(nonce), message::Result::Row(Some(row))) => {
+            (Wait::Settle(nonce), message::Completion::Row(Some(row))) => {
                 self.owned(job, Some(&row), Some(nonce));
             }
             // The write may still be on its way. Inserting the same claim again settles it either way: what
             // lands second finds the first, with the same nonce.
-            (Wait::Settle(nonce), message::Result::Row(None)) => self.insert_again(job, nonce),
+            (Wait::Settle(nonce), message::Completion::Row(None)) => self.insert_again(job, nonce),
             // A table that hangs answers no read either, and would hold the caller until its deadline. The
             // nonce is kept, so a later submission still settles the claim, and nothing runs before that.
             (Wait::Settle(_), _) if self.store_down() => self.fail_claim(job),
             (Wait::Settle(nonce), _) => self.unsettled(job, nonce),
-            (Wait::Verify(refusal), message::Result::Row(None)) => {
+            (Wait::Verify(refusal), message::Completion::Row(None)) => {
                 self.finish_received(job, refusal);
             }
-            (Wait::Verify(_), message::Result::Row(Some(row))) => self.owned(job, Some(&row), None),
+            (Wait::Verify(_), message::Completion::Row(Some(row))) => {
+                self.owned(job, Some(&row), None)
+            }
             (Wait::Verify(refusal), _) => self.finish_received(job, doubtful(&refusal)),
-            (Wait::Record, message::Result::Row(row)) => self.recorded(job, row),
-            (Wait::Object, message::Result::Object(bytes)) => {
+            (Wait::Record, message::Completion::Row(row)) => self.recorded(job, row),
+            (Wait::Object, message::Completion::Object(bytes)) => {
                 let answer = bytes.and_then(|bytes| serde_json::from_slice(&bytes).ok());
                 let answer = answer.unwrap_or_else(owner_gone);
                 self.finish_received(job, answer);
@@ -116,7 +118,7 @@
             return;
         };
         let place = claim::claim_row(&job.submission.team, key);
-        self.operate(number, Operate::Read(place));
+        self.operate(number, Command::Read(place));
     }
 
     fn claimed(&mut self, job: Job<Received>, nonce: Nonce) {
@@ -199,7 +201,7 @@
         let place = claim::outcome_row(&job.submission.team, &key);
         let number = job.number;
         self.jobs.insert(number, Any::Received(job));
-        self.operate(number, Operate::Read(place));
+        self.operate(number, Command::Read(place));
     }
 
     fn recorded(&mut self, mut job: Job<Received>, row: Option<wire::Row>) {
@@ -217,7 +219,7 @@
         job.stage.wait = Wait::Object;
         let number = job.number;
         self.jobs.insert(number, Any::Received(job));
-        self.operate(number, Operate::Get(name));
+        self.operate(number, Command::Get(name));
     }
 
     /// Goes on with a job whose owner was asked.
--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -52,7 +52,7 @@
     core::message::{
         self,
         Caller,
-        Operate,
+        Command,
         Request, //
     },
     event::{
@@ -96,7 +96,7 @@
     /// An operator asks something.
     Ask(Request, Ask),
     /// An operation on the platform ended.
-    Operated(u64, message::Result),
+    Completed(u64, message::Completion),
     /// A peer calls.
     Called(Caller, Call),
     /// A call to a peer ended; nothing is known of it where no return came.
@@ -115,7 +115,7 @@
     /// Answers an operator.
     Report(Request, Report),
     /// Operates on the platform.
-    Operate(u64, Operate),
+    Command(u64, Command),
     /// Calls a peer.
     Call(Instance, u64, Call),
     /// Returns a call of a peer.
@@ -203,7 +203,7 @@
         let before = self.revision();
         match input {
             Input::Ask(request, ask) => self.ask(request, ask),
-            Input::Operated(ticket, result) => self.operated(ticket, result),
+            Input::Completed(ticket, result) => self.operated(ticket, result),
             Input::Called(caller, call) => self.called(caller, call),
             Input::Returned(ticket, result) => self.returned(ticket, result.ok()),
             Input::Peers(peers) => self.update_peers(peers),
@@ -263,17 +263,17 @@
     }
 
     /// Operates on the platform; returns no ticket where too much is in progress.
-    fn operate(&mut self, purpose: Purpose, operate: Operate) -> Option<u64> {
+    fn operate(&mut self, purpose: Purpose, operate: Command) -> Option<u64> {
         let ticket = self.ticket(purpose)?;
         match &operate {
-            Operate::Commit(group) => {
+            Command::Commit(group) => {
                 self.count.commits += 1;
                 self.count.writes += group.writes.len() as u64;
             }
-            Operate::Scan { .. } => self.count.scans += 1,
+            Command::Scan { .. } => self.count.scans += 1,
             _ => self.count.reads += 1,
         }
-        self.outputs.push(Output::Operate(ticket, operate));
+        self.outputs.push(Output::Command(ticket, operate));
         Some(ticket)
     }
 
@@ -289,7 +289,7 @@
         Some(ticket)
     }
 
-    fn operated(&mut self, ticket: u64, result: message::Result) {
+    fn operated(&mut self, ticket: u64, result: message::Completion) {
         // A ticket that expired is not there any more: what comes late is not acted on.
         let Some(pending) = self.pending.remove(&ticket) else {
             return;
@@ -327,7 +327,7 @@
             let call = |p: &Pending| matches!(p.purpose, Purpose::Announce(_) | Purpose::Peer);
             match self.pending.get(&ticket).is_some_and(call) {
                 true => self.returned(ticket, None),
-                false => self.operated(ticket, message::Result::Unknown),
+                false => self.operated(ticket, message::Completion::Unknown),
             }
         }
     }
--- a/src/core/config/edit.rs
+++ b/src/core/config/edit.rs
@@ -22,9 +22,9 @@
 };
 use crate::{
     core::message::{
-        Operate,
+        Command,
+        Completion, //
         Request,
-        Result, //
     },
     event::Code,
     prelude::*,
@@ -178,7 +178,7 @@
     }
 
     fn confirm_head(&mut self) {
-        let read = Operate::Read(row::HEAD.to_owned());
+        let read = Command::Read(row::HEAD.to_owned());
         let Some(ticket) = self.operate(Purpose::Edit, read) else {
             return self.end(Report::Busy);
         };
@@ -202,7 +202,7 @@
     }
 
     fn commit(&mut self, plan: Plan) {
-        let group = Operate::Commit(plan.group.clone());
+        let group = Command::Commit(plan.group.clone());
         let stage = match self.operate(Purpose::Edit, group) {
             Some(ticket) => Stage::Commit(ticket, plan),
             None => Stage::Again(self.now + BACKOFF, plan),
@@ -213,7 +213,7 @@
     }
 
     /// Takes the end of an operation for the change in front; one for a change that was given up is left.
-    pub(super) fn edited(&mut self, ticket: u64, result: Result) {
+    pub(super) fn edited(&mut self, ticket: u64, result: Completion) {
         let Some(job) = self.edits.queue.front_mut() else {
             return;
         };
@@ -224,13 +224,13 @@
         }
     }
 
-    fn tried(&mut self, result: Result) {
+    fn tried(&mut self, result: Completion) {
         let Some(job) = self.edits.queue.front_mut() else {
             return;
         };
         let head = match &result {
-            Result::Row(Some(row)) => row::read::<Head>(row).map(|head| head.revision),
-            Result::Row(None) => Some(Revision::default()),
+            Completion::Row(Some(row)) => row::read::<Head>(row).map(|head| head.revision),
+            Completion::Row(None) => Some(Revision::default()),
             _ => None,
         };
         job.tries += 1;
@@ -255,21 +255,21 @@
         }
     }
 
-    fn committed(&mut self, plan: Plan, result: Result) {
+    fn committed(&mut self, plan: Plan, result: Completion) {
         match result {
-            Result::Verdict(verdict) if verdict.applied => self.applied_plan(plan),
-            Result::Verdict(verdict) => self.declined(&verdict),
+            Completion::Verdict(verdict) if verdict.applied => self.applied_plan(plan),
+            Completion::Verdict(verdict) => self.declined(&verdict),
             result => {
                 // The answer to the commit was lost, and it may take effect even now, after the operator was told
                 // something else. The same group goes out again: its conditions (the head's version, and that the
                 // operation is not settled) let just one copy take effect, and when it fails, the rows that come
                 // back tell whether an earlier copy did, or that the head has moved so that none ever can.
-                if result == Result::Unknown {
+                if result == Completion::Unknown {
                     self.event(Code::ChangeUnsettled, plan_name(&plan));
                 }
                 let now = self.now;
                 if let Some(job) = self.edits.queue.front_mut() {
-                    job.uncertain |= result == Result::Unknown;
+                    job.uncertain |= result == Completion::Unknown;
                     job.tries += 1;
                     let wait = BACKOFF.times(u64::from(job.tries));
                     job.stage = Stage::Again(now + wait, plan);
--- a/src/core/config/query.rs
+++ b/src/core/config/query.rs
@@ -20,9 +20,9 @@
 use crate::{
     audit,
     core::message::{
-        Operate,
+        Command,
+        Completion, //
         Request,
-        Result, //
     },
     prelude::*,
     record::{
@@ -102,7 +102,7 @@
         let prefix = audit::prefix(audit.record.as_ref());
         let first = || audit::mark(audit.from_ms, None);
         let after = prefix.clone() + &audit.after.clone().unwrap_or_else(first);
-        let scan = Operate::Scan {
+        let scan = Command::Scan {
             prefix,
             after,
             limit: PAGE,
@@ -112,8 +112,8 @@
         }
     }
 
-    pub(super) fn audited(&mut self, request: Request, audit: &ask::Audit, result: Result) {
-        let Result::Rows(rows) = result else {
+    pub(super) fn audited(&mut self, request: Request, audit: &ask::Audit, result: Completion) {
+        let Completion::Rows(rows) = result else {
             return self.report(request, Report::Unavailable);
         };
         let wanted = |entry: &audit::Entry| audit.to_ms.is_none_or(|to| entry.at_ms <= to);
--- a/src/core/config/sync.rs
+++ b/src/core/config/sync.rs
@@ -21,8 +21,8 @@
 };
 use crate::{
     core::message::{
-        Operate,
-        Result, //
+        Command,
+        Completion, //
     },
     event::Code,
     prelude::*,
@@ -121,12 +121,12 @@
     }
 
     pub(super) fn read_head(&mut self, purpose: Purpose) -> bool {
-        let read = Operate::Read(row::HEAD.to_owned());
+        let read = Command::Read(row::HEAD.to_owned());
         self.operate(purpose, read).is_some()
     }
 
     pub(super) fn scan(&mut self, prefix: &str, after: String) -> bool {
-        let scan = Operate::Scan {
+        let scan = Command::Scan {
             prefix: prefix.to_owned(),
             after,
             limit: PAGE,
@@ -185,9 +185,9 @@
         Some(peer.name.clone())
     }
 
-    pub(super) fn polled(&mut self, result: Result) {
+    pub(super) fn polled(&mut self, result: Completion) {
         self.sync.polling = false;
-        if let Result::Row(row) = result {
+        if let Completion::Row(row) = result {
             self.sync.notified = self.now;
             // A poll that was slow may carry an older head than what is applied: nothing is to be done then.
             match head(row.as_ref()) {
@@ -200,19 +200,19 @@
         }
     }
 
-    pub(super) fn synced(&mut self, result: Result) {
+    pub(super) fn synced(&mut self, result: Completion) {
         let stage = std::mem::replace(&mut self.sync.stage, Stage::Idle);
         match (stage, result) {
-            (Stage::Head, Result::Row(row)) => match head(row.as_ref()) {
+            (Stage::Head, Completion::Row(row)) => match head(row.as_ref()) {
                 Some(revision) => self.scan_records(Load::at(revision)),
                 None => self.failed(),
             },
-            (Stage::Records(load), Result::Rows(rows)) => self.loaded_rows(load, &rows),
-            (Stage::Again(load), Result::Row(row)) => match head(row.as_ref()) {
+            (Stage::Records(load), Completion::Rows(rows)) => self.loaded_rows(load, &rows),
+            (Stage::Again(load), Completion::Row(row)) => match head(row.as_ref()) {
                 Some(head) if head >= load.revision => self.replay_or_install(load, head),
                 _ => self.failed(),
             },
-            (Stage::Changes(mut load, head), Result::Rows(rows)) => {
+            (Stage::Changes(mut load, head), Completion::Rows(rows)) => {
                 let before = load.revision;
                 load.replay(rows.iter().filter_map(row::read));
                 match load.revision > before {
@@ -220,7 +220,7 @@
                     false => self.failed(),
                 }
             }
-            (Stage::Scan, Result::Rows(rows)) => {
+            (Stage::Scan, Completion::Rows(rows)) => {
                 let changes = rows.iter().filter_map(row::read).collect();
                 if !self.apply_all(changes) {
                     self.sync.gap = self.revision() < self.sync.target;
--- a/src/core/config/trail.rs
+++ b/src/core/config/trail.rs
@@ -16,9 +16,9 @@
 use crate::{
     audit,
     core::message::{
-        Operate,
+        Command,
+        Completion, //
         Request,
-        Result, //
     },
     event::Code,
     prelude::*,
@@ -91,17 +91,17 @@
         };
         let count = trail.entries.len();
         if self
-            .operate(Purpose::Trail, Operate::Commit(group))
+            .operate(Purpose::Trail, Command::Commit(group))
             .is_some()
         {
             self.trail.writing = count;
         }
     }
 
-    pub(super) fn trailed(&mut self, result: Result) {
+    pub(super) fn trailed(&mut self, result: Completion) {
         let written = std::mem::take(&mut self.trail.writing);
         match result {
-            Result::Verdict(_) => drop(self.trail.entries.drain(..written)),
+            Completion::Verdict(_) => drop(self.trail.entries.drain(..written)),
             _ => self.trail.retry = self.now + Span::seconds(1),
         }
     }
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -58,11 +58,11 @@
 
 /// An operation on the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Operate {
+pub enum Command {
     /// A group of writes; groups that wait are committed together.
     Commit(Group),
     /// A group of writes that may wait for the next commit, or a moment.
-    Later(Group),
+    CommitLater(Group),
     /// Reads a row.
     Read(String),
     /// Reads rows in the order of their keys.
@@ -87,7 +87,7 @@
 
 /// What an operation on the platform gave.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Result {
+pub enum Completion {
     /// A group was decided.
     Verdict(Verdict),
     /// A row was read.
@@ -251,14 +251,14 @@
     /// A caller's connection is gone.
     Hangup(Request),
     /// An operator asks something.
-    Operate {
+    Ask {
         /// The request.
         request: Request,
         /// What is asked.
         ask: Ask,
     },
     /// An operation on the platform ended.
-    Operated(Ticket, Result),
+    Completed(Ticket, Completion),
     /// A start ended, one way or the other.
     Ended(Attempt, End),
     /// A look at an attempt, or a stop, gave this; none where the endpoint can't be reached.
@@ -287,7 +287,7 @@
     /// Answers an operator.
     Report(Request, Report),
     /// Operates on the platform.
-    Operate(Ticket, Operate),
+    Command(Ticket, Command),
     /// Starts a task at an endpoint.
     Start {
         /// The endpoint.
--- a/src/core/store.rs
+++ b/src/core/store.rs
@@ -4,7 +4,7 @@
     claim,
     message::{
         self,
-        Operate,
+        Command,
         Output,
         Ticket, //
     },
@@ -68,8 +68,11 @@
         self.store.failures >= FAILURES
     }
 
-    pub(super) fn note_store(&mut self, result: &message::Result) {
-        let failed = matches!(result, message::Result::Refused | message::Result::Unknown);
+    pub(super) fn note_store(&mut self, result: &message::Completion) {
+        let failed = matches!(
+            result,
+            message::Completion::Refused | message::Completion::Unknown
+        );
         if failed {
             self.store.failures += 1;
             self.store.probed = self.now;
@@ -82,15 +85,15 @@
     }
 
     /// Starts an operation on behalf of a job.
-    pub(super) fn operate(&mut self, job: u64, operate: Operate) {
+    pub(super) fn operate(&mut self, job: u64, operate: Command) {
         self.operate_for(Purpose::Job(job), operate);
     }
 
-    fn operate_for(&mut self, purpose: Purpose, operate: Operate) {
+    fn operate_for(&mut self, purpose: Purpose, operate: Command) {
         let ticket = self.next();
         self.tickets.insert(ticket, purpose);
         self.outputs
-            .push(Output::Operate(Ticket::Claim(ticket), operate));
+            .push(Output::Command(Ticket::Claim(ticket), operate));
     }
 
     /// Inserts the claim of a job, if its key has none.
@@ -117,7 +120,7 @@
                 value: serde_json::to_string(&row).ok(),
             }],
         };
-        self.operate(job.number, Operate::Commit(group));
+        self.operate(job.number, Command::Commit(group));
     }
 
     /// Records the outcome of a claimed job, behind the answer.
@@ -138,13 +141,13 @@
         // A short answer is in the row already; only a long one is written a second time, as an object.
         match long.then(|| serde_json::to_vec(answer)) {
             Some(Ok(bytes)) => {
-                let put = Operate::Put {
+                let put = Command::Put {
                     name: place,
                     bytes: bytes.into(),
                 };
                 self.operate_for(Purpose::Object(group), put);
             }
-            _ => self.operate_for(Purpose::Record, Operate::Later(group)),
+            _ => self.operate_for(Purpose::Record, Command::CommitLater(group)),
         }
     }
 
@@ -155,7 +158,7 @@
             .any(|purpose| !matches!(purpose, Purpose::Job(_)))
     }
 
-    pub(super) fn operated(&mut self, ticket: u64, result: message::Result) {
+    pub(super) fn operated(&mut self, ticket: u64, result: message::Completion) {
         let Some(purpose) = self.tickets.remove(&ticket) else {
             return;
         };
@@ -165,8 +168,8 @@
             // A record that is lost costs a survivor's answer, never a run: the key stays claimed.
             Purpose::Record => {}
             Purpose::Object(group) => {
-                if result == message::Result::Stored {
-                    self.operate_for(Purpose::Record, Operate::Later(group));
+                if result == message::Completion::Stored {
+                    self.operate_for(Purpose::Record, Command::CommitLater(group));
                 }
             }
         }
--- a/src/core/submission.rs
+++ b/src/core/submission.rs
@@ -17,7 +17,7 @@
         Found,
         Range, //
     },
-    message::Operate,
+    message::Command,
     stage::{
         Admitted,
         Any,
@@ -165,7 +165,7 @@
         let job = self.receive(arrival, deadline, stage);
         let number = job.number;
         self.jobs.insert(number, Any::Received(job));
-        self.operate(number, Operate::Read(place));
+        self.operate(number, Command::Read(place));
     }
 
     /// Checks a submission against the configuration and the bounds; counts it where it is admitted.
--- a/src/decision.rs
+++ b/src/decision.rs
@@ -22,10 +22,10 @@
     clock::Clock,
     core::{
         message::{
+            Completion,
             End,
             Input,
             Output,
-            Result as Operated,
             Return,
             Sample, //
         },
@@ -225,7 +225,7 @@
             output @ (Output::Start { .. } | Output::Look { .. }) => {
                 self.refused(self.outlets.endpoints.push(output))
             }
-            output @ (Output::Operate(..) | Output::Share(_)) => {
+            output @ (Output::Command(..) | Output::Share(_)) => {
                 self.refused(self.outlets.platform.push(output))
             }
             output @ Output::Call { .. } => self.refused(self.outlets.peers.push(output)),
@@ -285,7 +285,7 @@
     match output {
         Output::Start { start, .. } => Some(Input::Ended(start.attempt, End::Withheld)),
         Output::Look { attempt, .. } => Some(Input::Looked(attempt, None)),
-        Output::Operate(ticket, _) => Some(Input::Operated(ticket, Operated::Refused)),
+        Output::Command(ticket, _) => Some(Input::Completed(ticket, Completion::Refused)),
         Output::Call { id, .. } => Some(Input::Returned(id, Return::Refused)),
         _ => None,
     }
--- a/src/table.rs
+++ b/src/table.rs
@@ -28,10 +28,10 @@
 
 use crate::{
     core::message::{
+        Command,
+        Completion,
         Input,
-        Operate,
         Output,
-        Result as Operated,
         Ticket, //
     },
     http::{
@@ -156,17 +156,17 @@
     async fn handle(&mut self, Order(order): Order, ctx: &mut Context<Self>) {
         match order {
             Output::Share(instances) => self.bucket.share(instances),
-            Output::Operate(ticket, Operate::Commit(group)) => {
+            Output::Command(ticket, Command::Commit(group)) => {
                 if self.waiting() >= WAITING {
-                    self.link.tell(ticket, Operated::Refused);
+                    self.link.tell(ticket, Completion::Refused);
                     return;
                 }
                 self.urgent.push_back((ticket, group));
                 self.try_commit(ctx);
             }
-            Output::Operate(ticket, Operate::Later(group)) => {
+            Output::Command(ticket, Command::CommitLater(group)) => {
                 if self.waiting() >= WAITING {
-                    self.link.tell(ticket, Operated::Refused);
+                    self.link.tell(ticket, Completion::Refused);
                     return;
                 }
                 self.later.push_back((ticket, group));
@@ -175,11 +175,11 @@
                     wake(ctx, LATER);
                 }
             }
-            Output::Operate(ticket, operate) => {
+            Output::Command(ticket, operate) => {
                 let link = self.link.clone();
                 tokio::spawn(async move {
                     let result = link.operate(operate).await;
-                    link.back.send(Input::Operated(ticket, result)).await;
+                    link.back.send(Input::Completed(ticket, result)).await;
                 });
             }
             _ => {}
@@ -280,9 +280,9 @@
 
 impl Link {
     /// Tells the end of an operation from a place that must not wait.
-    fn tell(self: &Arc<Self>, ticket: Ticket, result: Operated) {
+    fn tell(self: &Arc<Self>, ticket: Ticket, result: Completion) {
         let link = self.clone();
-        tokio::spawn(async move { link.back.send(Input::Operated(ticket, result)).await });
+        tokio::spawn(async move { link.back.send(Input::Completed(ticket, result)).await });
     }
 
     async fn commit(&self, batch: Vec<(Ticket, Group)>) {
@@ -299,42 +299,42 @@
                     .filter(|verdicts| verdicts.len() == count)
             }
             Ok(_) | Err(Failure::Unsent(_)) => {
-                return self.tell_all(tickets, &Operated::Refused).await;
+                return self.tell_all(tickets, &Completion::Refused).await;
             }
             Err(Failure::Broken(_)) => None,
         };
         // An answer that can't be read says no more than none.
         let Some(verdicts) = verdicts else {
-            return self.tell_all(tickets, &Operated::Unknown).await;
+            return self.tell_all(tickets, &Completion::Unknown).await;
         };
         for (ticket, verdict) in tickets.into_iter().zip(verdicts) {
-            let result = Operated::Verdict(verdict);
-            self.back.send(Input::Operated(ticket, result)).await;
+            let result = Completion::Verdict(verdict);
+            self.back.send(Input::Completed(ticket, result)).await;
         }
     }
 
-    async fn tell_all(&self, tickets: Vec<Ticket>, result: &Operated) {
+    async fn tell_all(&self, tickets: Vec<Ticket>, result: &Completion) {
         for ticket in tickets {
             self.back
-                .send(Input::Operated(ticket, result.clone()))
+                .send(Input::Completed(ticket, result.clone()))
                 .await;
         }
     }
 
-    async fn operate(&self, operate: Operate) -> Operated {
+    async fn operate(&self, operate: Command) -> Completion {
         // A semaphore that is never closed always gives a permit.
         let _permit = self.reads.acquire().await;
         match operate {
-            Operate::Read(key) => {
+            Command::Read(key) => {
                 self.metrics.message(Message::TableRead);
                 let path = format!("/table/row?key={key}");
                 self.read(&path, |body| {
                     let row: Option<Row> = body.map(serde_json::from_slice).transpose()?;
-                    Ok(Operated::Row(row))
+                    Ok(Completion::Row(row))
                 })
                 .await
             }
-            Operate::Scan {
+            Command::Scan {
                 prefix,
                 after,
                 limit,
@@ -343,45 +343,45 @@
                 let path = format!("/table/scan?prefix={prefix}&after={after}&limit={limit}");
                 self.read(&path, |body| {
                     let scan: Scan = serde_json::from_slice(body.unwrap_or_default())?;
-                    Ok(Operated::Rows(scan.rows))
+                    Ok(Completion::Rows(scan.rows))
                 })
                 .await
             }
-            Operate::Get(name) => {
+            Command::Get(name) => {
                 self.metrics.message(Message::Object);
                 let path = format!("/objects/{name}");
-                self.read(&path, |body| Ok(Operated::Object(body.map(Arc::from))))
+                self.read(&path, |body| Ok(Completion::Object(body.map(Arc::from))))
                     .await
             }
-            Operate::Put { name, bytes } => {
+            Command::Put { name, bytes } => {
                 self.metrics.message(Message::Object);
                 let path = format!("/objects/{name}");
                 let body = Bytes::copy_from_slice(&bytes);
                 match self.send(Method::PUT, &path, body).await {
-                    Ok(reply) if reply.status.is_success() => Operated::Stored,
-                    Ok(_) | Err(Failure::Unsent(_)) => Operated::Refused,
-                    Err(Failure::Broken(_)) => Operated::Unknown,
+                    Ok(reply) if reply.status.is_success() => Completion::Stored,
+                    Ok(_) | Err(Failure::Unsent(_)) => Completion::Refused,
+                    Err(Failure::Broken(_)) => Completion::Unknown,
                 }
             }
-            Operate::Commit(_) | Operate::Later(_) => Operated::Refused,
+            Command::Commit(_) | Command::CommitLater(_) => Completion::Refused,
         }
     }
 
     async fn read(
         &self,
         path: &str,
-        parse: impl FnOnce(Option<&[u8]>) -> serde_json::Result<Operated>,
-    ) -> Operated {
+        parse: impl FnOnce(Option<&[u8]>) -> serde_json::Result<Completion>,
+    ) -> Completion {
         let reply = self.send(Method::GET, path, Bytes::new()).await;
         let Ok(reply) = reply else {
-            return Operated::Refused;
+            return Completion::Refused;
         };
         let body = match reply.status {
             StatusCode::OK => Some(&reply.body[..]),
             StatusCode::NOT_FOUND => None,
-            _ => return Operated::Refused,
+            _ => return Completion::Refused,
         };
-        parse(body).unwrap_or(Operated::Refused)
+        parse(body).unwrap_or(Completion::Refused)
     }
 
     /// Sends a request to the platform; what takes longer than the bound may have taken effect.
--- a/tests/orders/world.rs
+++ b/tests/orders/world.rs
@@ -18,12 +18,12 @@
             Call,
             CallId,
             Caller,
+            Command,
+            Completion,
             End,
             Input,
-            Operate,
             Output,
             Request,
-            Result as Operated,
             Return,
             Ticket, //
         },
@@ -125,7 +125,7 @@
     /// A start that is heard once more by the same run of its endpoint.
     Again(Run, usize, u128, Start),
     Look(Run, usize, Attempt, bool),
-    Operate(Run, Ticket, Operate),
+    Operate(Run, Ticket, Command),
     Call(Run, Instance, CallId, Call),
     Input(Run, Input),
     /// A write whose answer nobody waits for any more.
@@ -407,7 +407,7 @@
                     text: text.to_owned(),
                 },
             };
-            let input = Input::Operate {
+            let input = Input::Ask {
                 request: Request(u64::MAX - i as u64),
                 ask: poplarknot::core::config::Ask::Edit(edit),
             };
@@ -481,7 +481,7 @@
             match message {
                 // What has left may still arrive.
                 Message::Start(..) | Message::Look(..) => self.messages.push(message),
-                Message::Operate(_, _, Operate::Commit(group) | Operate::Later(group)) => {
+                Message::Operate(_, _, Command::Commit(group) | Command::CommitLater(group)) => {
                     self.messages.push(Message::Late(group));
                 }
                 _ => {}
@@ -495,13 +495,13 @@
             Message::Start(run, _, start) => (run, Input::Ended(start.attempt, End::Broken)),
             Message::Look(run, _, attempt, _) => (run, Input::Looked(attempt, None)),
             Message::Operate(run, ticket, operate) => {
-                if let Operate::Commit(group) | Operate::Later(group) = operate {
+                if let Command::Commit(group) | Command::CommitLater(group) = operate {
                     self.messages.push(Message::Late(group));
                 }
                 // The time limit tells the instance, also where nothing else does.
                 self.messages.push(Message::Input(
                     run,
-                    Input::Operated(ticket, Operated::Unknown),
+                    Input::Completed(ticket, Completion::Unknown),
                 ));
                 return;
             }
@@ -510,10 +510,10 @@
                 (run, Input::Ended(attempt, End::Broken))
             }
             Message::Input(run, Input::Looked(attempt, _)) => (run, Input::Looked(attempt, None)),
-            Message::Input(run, Input::Operated(ticket, _)) => {
+            Message::Input(run, Input::Completed(ticket, _)) => {
                 self.messages.push(Message::Input(
                     run,
-                    Input::Operated(ticket, Operated::Unknown),
+                    Input::Completed(ticket, Completion::Unknown),
                 ));
                 return;
             }
@@ -540,7 +540,7 @@
             }
             Message::Operate(run, ticket, operate) => {
                 let result = self.operate(operate);
-                let input = Input::Operated(ticket, result);
+                let input = Input::Completed(ticket, result);
                 self.messages.push(Message::Input(run, input));
             }
             Message::Late(group) => {
@@ -611,13 +611,13 @@
         }
     }
 
-    fn operate(&mut self, operate: Operate) -> Operated {
+    fn operate(&mut self, operate: Command) -> Completion {
         match operate {
-            Operate::Commit(group) | Operate::Later(group) => {
-                Operated::Verdict(self.commit(&group))
+            Command::Commit(group) | Command::CommitLater(group) => {
+                Completion::Verdict(self.commit(&group))
             }
-            Operate::Read(key) => Operated::Row(self.table.get(&key).cloned()),
-            Operate::Scan {
+            Command::Read(key) => Completion::Row(self.table.get(&key).cloned()),
+            Command::Scan {
                 prefix,
                 after,
                 limit,
@@ -627,10 +627,10 @@
                     .map(|(_, row)| row)
                     .take_while(|row| row.key.starts_with(&prefix))
                     .filter(|row| row.key > after);
-                Operated::Rows(rows.take(limit as usize).cloned().collect())
+                Completion::Rows(rows.take(limit as usize).cloned().collect())
             }
-            Operate::Put { .. } => Operated::Stored,
-            Operate::Get(_) => Operated::Object(None),
+            Command::Put { .. } => Completion::Stored,
+            Command::Get(_) => Completion::Object(None),
         }
     }
 
@@ -703,7 +703,7 @@
             } => self
                 .messages
                 .push(Message::Look(run, worker(&endpoint), attempt, stop)),
-            Output::Operate(ticket, operate) => {
+            Output::Command(ticket, operate) => {
                 self.messages.push(Message::Operate(run, ticket, operate));
             }
             Output::Call { to, id, call, .. } => {
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -40,9 +40,9 @@
             },
             message::{
                 Caller,
-                Operate,
+                Command,
+                Completion, //
                 Request,
-                Result, //
             },
         },
         prelude::*,
--- a/tests/records/cluster.rs
+++ b/tests/records/cluster.rs
@@ -24,8 +24,8 @@
 /// A message on its way; those to an earlier run of a node are dropped.
 #[derive(Clone, Debug)]
 pub(crate) enum Flight {
-    Operate(usize, u64, u64, Operate),
-    Result(usize, u64, u64, Result),
+    Operate(usize, u64, u64, Command),
+    Result(usize, u64, u64, Completion),
     Call(usize, u64, u64, usize, Call),
     Return(usize, u64, u64, Option<Return>),
     /// A commit whose sender was told that its end is not known.
@@ -177,7 +177,7 @@
                 let before = self.told.insert(request.0, told);
                 assert!(before.is_none(), "answered twice");
             }
-            Output::Operate(ticket, operate) => {
+            Output::Command(ticket, operate) => {
                 self.flight.push(Flight::Operate(i, epoch, ticket, operate));
             }
             Output::Call(to, ticket, call) => {
@@ -198,7 +198,7 @@
         match flight {
             Flight::Operate(i, epoch, ticket, operate) => {
                 let result = match self.outage {
-                    true => Result::Refused,
+                    true => Completion::Refused,
                     false => self.table.operate(&operate),
                 };
                 self.flight.push(Flight::Result(i, epoch, ticket, result));
@@ -207,7 +207,7 @@
             Flight::Stray(_) => {}
             Flight::Result(i, epoch, ticket, result) => {
                 if self.nodes[i].epoch == epoch {
-                    self.input(i, Input::Operated(ticket, result));
+                    self.input(i, Input::Completed(ticket, result));
                 }
             }
             Flight::Call(from, epoch, ticket, to, call) => {
--- a/tests/records/edits.rs
+++ b/tests/records/edits.rs
@@ -10,8 +10,8 @@
 }
 
 /// Takes the commit of an instance out of flight.
-fn commit(cluster: &mut Cluster) -> (usize, u64, u64, Operate) {
-    let commit = |f: &Flight| matches!(f, Flight::Operate(_, _, _, Operate::Commit(_)));
+fn commit(cluster: &mut Cluster) -> (usize, u64, u64, Command) {
+    let commit = |f: &Flight| matches!(f, Flight::Operate(_, _, _, Command::Commit(_)));
     let place = cluster
         .flight
         .iter()
@@ -80,7 +80,7 @@
     let request = cluster.ask(0, Ask::Edit(edit));
     let (i, _, ticket, operate) = commit(&mut cluster);
     cluster.table.operate(&operate);
-    cluster.input(i, Input::Operated(ticket, Result::Unknown));
+    cluster.input(i, Input::Completed(ticket, Completion::Unknown));
     assert!(!cluster.told.contains_key(&request));
     // Neither a heartbeat nor a poll helps: the change that was settled is announced.
     for _ in 0..3 {
@@ -100,10 +100,10 @@
     let edit = cluster.edit(amend("service/notebook", 2, SHORTER));
     let request = cluster.ask(0, Ask::Edit(edit));
     let (i, _, ticket, late) = commit(&mut cluster);
-    cluster.input(i, Input::Operated(ticket, Result::Unknown));
+    cluster.input(i, Input::Completed(ticket, Completion::Unknown));
     cluster.settle(1_000);
     assert!(accepted(&cluster.told[&request], 3));
-    let Result::Verdict(verdict) = cluster.table.operate(&late) else {
+    let Completion::Verdict(verdict) = cluster.table.operate(&late) else {
         panic!("it was a commit");
     };
     assert!(!verdict.applied);
@@ -120,7 +120,7 @@
     let (i, _, ticket, operate) = commit(&mut cluster);
     cluster.table.operate(&operate);
     cluster.outage = true;
-    cluster.input(i, Input::Operated(ticket, Result::Unknown));
+    cluster.input(i, Input::Completed(ticket, Completion::Unknown));
     cluster.settle(6_000);
     assert_eq!(cluster.told[&request], Report::Unknown);
     assert_eq!(cluster.told[&request].status(), 504);
--- a/tests/records/loads.rs
+++ b/tests/records/loads.rs
@@ -53,7 +53,7 @@
     cluster.heartbeat();
     let mut last = None;
     while let Some(flight) = cluster.flight.pop() {
-        let read = matches!(&flight, Flight::Operate(1, _, _, Operate::Read(_)));
+        let read = matches!(&flight, Flight::Operate(1, _, _, Command::Read(_)));
         cluster.deliver(flight);
         if read && cluster.config(1).count().scans > 1 {
             last = cluster.flight.pop();
--- a/tests/records/orders.rs
+++ b/tests/records/orders.rs
@@ -6,8 +6,8 @@
         Report, //
     },
     message::{
-        Operate,
-        Result, //
+        Command,
+        Completion, //
     },
 };
 const INSTANCES: usize = 5;
@@ -55,15 +55,15 @@
         Flight::Operate(i, epoch, ticket, operate) => {
             cluster
                 .flight
-                .push(Flight::Result(i, epoch, ticket, Result::Unknown));
-            if let Operate::Commit(group) = operate {
+                .push(Flight::Result(i, epoch, ticket, Completion::Unknown));
+            if let Command::Commit(group) = operate {
                 cluster.flight.push(Flight::Stray(group));
             }
         }
         Flight::Result(i, epoch, ticket, _) => {
             cluster
                 .flight
-                .push(Flight::Result(i, epoch, ticket, Result::Unknown));
+                .push(Flight::Result(i, epoch, ticket, Completion::Unknown));
         }
         Flight::Call(i, epoch, ticket, ..) | Flight::Return(i, epoch, ticket, _) => {
             cluster.flight.push(Flight::Return(i, epoch, ticket, None));
--- a/tests/records/spread.rs
+++ b/tests/records/spread.rs
@@ -37,14 +37,14 @@
     let mut cluster = Cluster::with(1, &[sample::COMPUTE, OPEN]);
     cluster.tick(2 * POLL.as_millis());
     let read = take(&mut cluster, |f| {
-        matches!(f, Flight::Operate(_, _, _, Operate::Read(_)))
+        matches!(f, Flight::Operate(_, _, _, Command::Read(_)))
     });
     let Flight::Operate(i, _, ticket, read) = read else {
         panic!("{read:?}");
     };
     let old = cluster.table.operate(&read);
     cluster.change(0, amend("pool/spare", 2, CLOSED));
-    cluster.input(i, Input::Operated(ticket, old));
+    cluster.input(i, Input::Completed(ticket, old));
     cluster.run();
     assert_eq!(cluster.config(0).revision(), Revision(3));
 }
@@ -277,7 +277,7 @@
 #[test]
 fn a_strange_return_changes_nothing() {
     let mut cluster = Cluster::with(2, &[sample::COMPUTE]);
-    cluster.input(1, Input::Operated(9_999, Result::Row(None)));
+    cluster.input(1, Input::Completed(9_999, Completion::Row(None)));
     cluster.input(1, Input::Returned(9_999, Err(())));
     cluster.flight.push(Flight::Call(
         0,
--- a/tests/records/table.rs
+++ b/tests/records/table.rs
@@ -74,11 +74,11 @@
         })
     }
 
-    pub(crate) fn operate(&mut self, operate: &Operate) -> Result {
+    pub(crate) fn operate(&mut self, operate: &Command) -> Completion {
         match operate {
-            Operate::Commit(group) => Result::Verdict(self.commit(group)),
-            Operate::Read(key) => Result::Row(self.row(key)),
-            Operate::Scan {
+            Command::Commit(group) => Completion::Verdict(self.commit(group)),
+            Command::Read(key) => Completion::Row(self.row(key)),
+            Command::Scan {
                 prefix,
                 after,
                 limit,
@@ -87,13 +87,13 @@
                     .rows
                     .keys()
                     .filter(|k| k.starts_with(prefix.as_str()) && *k > after);
-                Result::Rows(
+                Completion::Rows(
                     keys.take(*limit as usize)
                         .filter_map(|k| self.row(k))
                         .collect(),
                 )
             }
-            _ => Result::Refused,
+            _ => Completion::Refused,
         }
     }
 }
