--- a/src/core.rs
+++ b/src/core.rs
@@ -115,9 +115,9 @@
     /// Whether the instance has been ready once.
     announced: bool,
     /// This instance's share of the work at the endpoints, as their answers tell.
-    share: f64,
+    endpoint_share: f64,
     /// Whose turn it is when services compete for endpoints.
-    turn: usize,
+    next_service: usize,
     /// The list that was taken over last.
     list: Option<Arc<List>>,
     jobs: HashMap<u64, stage::Any>,
@@ -159,8 +159,8 @@
             draining: None,
             drained: false,
             announced: false,
-            share: 1.0,
-            turn: 0,
+            endpoint_share: 1.0,
+            next_service: 0,
             list: None,
             jobs: HashMap::new(),
             requests: HashMap::new(),
@@ -200,7 +200,7 @@
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Output> {
         let gap = now.since(self.now);
         if gap >= PAUSE && self.now != Time::default() {
-            self.event(Code::Awoke, format!("for {gap}"));
+            self.log_event(Code::Awoke, format!("for {gap}"));
         }
         self.now = self.now.max(now);
         self.run_timers();
@@ -227,15 +227,15 @@
             Input::Find { request, team, key } => self.find(request, &team, &key),
             Input::Hangup(request) => self.hang_up(request),
             Input::Ask { request, ask } => self.configure(config::Input::Ask(request, ask)),
-            Input::Completed(Ticket::Claim(ticket), result) => self.operated(ticket, result),
+            Input::Completed(Ticket::Claim(ticket), result) => self.on_completion(ticket, result),
             Input::Completed(Ticket::Config(ticket), result) => {
                 self.configure(config::Input::Completed(ticket, result));
             }
             Input::Ended(attempt, end) => self.ended(attempt, end),
             Input::Looked(attempt, status) => self.looked(attempt, status),
-            Input::Called(caller, call) => self.called(caller, call),
-            Input::Returned(id, result) => self.returned(id, result),
-            Input::Listed(list) => self.take_list(&list),
+            Input::Called(caller, call) => self.on_call(caller, call),
+            Input::Returned(id, result) => self.on_return(id, result),
+            Input::Listed(list) => self.apply_list(&list),
             Input::Tick => self.tick(),
             Input::Wake => {}
             Input::Drain => self.drain(),
@@ -247,7 +247,7 @@
     }
 
     /// Returns when the next step is due even without an input.
-    pub fn due(&self) -> Option<Time> {
+    pub fn next_due(&self) -> Option<Time> {
         self.timers.next_due()
     }
 
@@ -257,12 +257,12 @@
     }
 
     /// Tells whether the instance can serve: it has the list and a configuration, knows its peers, and isn't draining.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         let Some(listed) = self.listed else {
             return false;
         };
         let converged = self.membership.has_converged(self.now, listed);
-        converged && self.config.ready() && self.draining.is_none()
+        converged && self.config.is_ready() && self.draining.is_none()
     }
 
     /// Returns counts of what the core holds.
@@ -280,11 +280,11 @@
         }
     }
 
-    fn event(&mut self, code: Code, detail: impl Into<String>) {
+    fn log_event(&mut self, code: Code, detail: impl Into<String>) {
         self.outputs.push(Output::Event(Event::new(code, detail)));
     }
 
-    fn next(&mut self) -> u64 {
+    fn next_serial(&mut self) -> u64 {
         self.serial += 1;
         self.serial
     }
@@ -306,7 +306,7 @@
         }
     }
 
-    fn take_list(&mut self, list: &Arc<List>) {
+    fn apply_list(&mut self, list: &Arc<List>) {
         self.listed.get_or_insert(self.now);
         self.membership.apply_list(self.now, &list.instances);
         // Instances that never use these endpoints take no part of their connections.
@@ -339,7 +339,7 @@
             }
             Change::Leaving(slot) | Change::Absent(slot) => {
                 let name = self.placement.endpoint(slot).map(|w| w.name.to_string());
-                self.event(Code::EndpointLeaving, name.unwrap_or_default());
+                self.log_event(Code::EndpointLeaving, name.unwrap_or_default());
             }
             Change::Dropped(slot) => {
                 self.health.remove(slot);
@@ -350,24 +350,24 @@
 
     fn tick(&mut self) {
         let dropped = self.registry.trim(self.now);
-        self.note_dropped(dropped);
+        self.log_forgotten(dropped);
         self.tick_health();
         self.tick_membership();
         self.configure(config::Input::Tick);
         self.dispatch();
     }
 
-    fn note_dropped(&mut self, dropped: usize) {
+    fn log_forgotten(&mut self, dropped: usize) {
         // Age alone drops keys all the time; only a full registry is worth a line.
         if dropped > 0 && self.registry.full() {
-            self.event(Code::Forgotten, format!("{dropped} keys"));
+            self.log_event(Code::Forgotten, format!("{dropped} keys"));
         }
     }
 
     fn drain(&mut self) {
         if self.draining.is_none() {
             self.draining = Some(self.now);
-            self.event(
+            self.log_event(
                 Code::Draining,
                 format!("{} jobs in progress", self.jobs.len()),
             );
@@ -385,9 +385,9 @@
     }
 
     fn check_ready(&mut self) {
-        if !self.announced && self.ready() {
+        if !self.announced && self.is_ready() {
             self.announced = true;
-            self.event(
+            self.log_event(
                 Code::Ready,
                 format!("at revision {}", self.config.revision()),
             );
@@ -398,7 +398,7 @@
         if self.draining.is_none() || self.drained {
             return;
         }
-        if self.jobs.is_empty() && !self.recording() {
+        if self.jobs.is_empty() && !self.is_recording() {
             self.drained = true;
             self.outputs.push(Output::Drained);
         }
--- a/src/core/claiming.rs
+++ b/src/core/claiming.rs
@@ -63,7 +63,7 @@
             (Wait::Settle(nonce), message::Completion::Row(None)) => self.insert_again(job, nonce),
             // A table that hangs answers no read either, and would hold the caller until its deadline. The
             // nonce is kept, so a later submission still settles the claim, and nothing runs before that.
-            (Wait::Settle(_), _) if self.store_down() => self.fail_claim(job),
+            (Wait::Settle(_), _) if self.is_store_down() => self.fail_claim(job),
             (Wait::Settle(nonce), _) => self.unsettled(job, nonce),
             (Wait::Verify(refusal), message::Completion::Row(None)) => {
                 self.finish_received(job, refusal);
@@ -102,7 +102,7 @@
     fn unsettled(&mut self, mut job: Job<Received>, nonce: Nonce) {
         if !matches!(job.stage.wait, Wait::Settle(_)) {
             let name = job.submission.key.as_ref().map(ToString::to_string);
-            self.event(Code::ClaimUnsettled, name.unwrap_or_default());
+            self.log_event(Code::ClaimUnsettled, name.unwrap_or_default());
         }
         job.stage.wait = Wait::Settle(nonce);
         let at = self.now + SETTLE;
@@ -118,7 +118,7 @@
             return;
         };
         let place = claim::claim_row(&job.submission.team, key);
-        self.operate(number, Command::Read(place));
+        self.start_command(number, Command::Read(place));
     }
 
     fn claimed(&mut self, job: Job<Received>, nonce: Nonce) {
@@ -180,8 +180,9 @@
             left: Span(job.deadline.since(self.now).0),
         };
         job.stage.wait = Wait::Owner(peer.clone());
-        let id = self.next();
-        self.calls.insert(id, Pending::of(peer.clone(), job.number));
+        let id = self.next_serial();
+        self.calls
+            .insert(id, Pending::for_job(peer.clone(), job.number));
         let wait = forward.left;
         self.jobs.insert(job.number, Any::Received(job));
         self.call(peer, CallId::Submit(id), Call::Submit(forward), Some(wait));
@@ -194,14 +195,14 @@
             return self.finish_received(job, owner_gone());
         };
         // Outcomes of range keys are not recorded: the way without a write has none to read either.
-        if Range::of(&key).is_some() || !self.store_open() {
+        if Range::of(&key).is_some() || !self.may_try_store() {
             return self.finish_received(job, owner_gone());
         }
         job.stage.wait = Wait::Record;
         let place = claim::outcome_row(&job.submission.team, &key);
         let number = job.number;
         self.jobs.insert(number, Any::Received(job));
-        self.operate(number, Command::Read(place));
+        self.start_command(number, Command::Read(place));
     }
 
     fn recorded(&mut self, mut job: Job<Received>, row: Option<wire::Row>) {
@@ -219,7 +220,7 @@
         job.stage.wait = Wait::Object;
         let number = job.number;
         self.jobs.insert(number, Any::Received(job));
-        self.operate(number, Command::Get(name));
+        self.start_command(number, Command::Get(name));
     }
 
     /// Goes on with a job whose owner was asked.
--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -6,20 +6,20 @@
 //! | [`trail`] | keeps what is to be written into the audit trail later |
 //! | [`sync`] | catches up with the table or a peer |
 //! | [`load`] | loads everything from the table or a peer |
-//! | [`spread`] | notifies peers of changes, and answers their calls |
+//! | [`propagation`] | notifies peers of changes, and answers their calls |
 //! | [`query`] | answers the questions of operators |
 //! | [`row`] | the rows of the table |
 
 pub mod ask;
 pub mod call;
-pub mod count;
 pub mod edit;
 pub mod load;
+pub mod propagation;
 pub mod query;
 pub mod report;
 pub mod row;
-pub mod spread;
 pub mod state;
+pub mod stats;
 pub mod sync;
 pub mod trail;
 
@@ -34,12 +34,12 @@
         Call,
         Return, //
     },
-    count::Count,
     report::Report,
+    stats::Stats,
 };
 use self::{
     edit::Edits,
-    spread::Notification,
+    propagation::Notification,
     state::{
         Applied,
         Pending,
@@ -142,7 +142,7 @@
     pending: BTreeMap<u64, Pending>,
     next: u64,
     now: Time,
-    count: Count,
+    stats: Stats,
     outputs: Vec<Output>,
 }
 
@@ -163,14 +163,14 @@
             pending: BTreeMap::new(),
             next: 0,
             now: Time::default(),
-            count: Count::default(),
+            stats: Stats::default(),
             outputs: Vec::new(),
         }
     }
 
     /// Tells whether there is a configuration, from the table or from a peer.
-    pub fn ready(&self) -> bool {
-        self.applied.ready()
+    pub fn is_ready(&self) -> bool {
+        self.applied.is_ready()
     }
 
     /// Returns the revision that is in force here.
@@ -193,8 +193,8 @@
     }
 
     /// Returns what the configuration has cost.
-    pub fn count(&self) -> Count {
-        self.count
+    pub fn stats(&self) -> Stats {
+        self.stats
     }
 
     /// Takes in what happened, and returns what is to be done.
@@ -203,9 +203,9 @@
         let before = self.revision();
         match input {
             Input::Ask(request, ask) => self.ask(request, ask),
-            Input::Completed(ticket, result) => self.operated(ticket, result),
-            Input::Called(caller, call) => self.called(caller, call),
-            Input::Returned(ticket, result) => self.returned(ticket, result.ok()),
+            Input::Completed(ticket, result) => self.on_completion(ticket, result),
+            Input::Called(caller, call) => self.on_call(caller, call),
+            Input::Returned(ticket, result) => self.on_return(ticket, result.ok()),
             Input::Peers(peers) => self.update_peers(peers),
             Input::Workers(workers) => {
                 self.workers = Some(Capacity::of(&workers));
@@ -219,7 +219,7 @@
         self.notify();
         if self.revision() != before {
             let revision = self.revision();
-            self.event(Code::ChangeApplied, format!("revision {revision}"));
+            self.log_event(Code::ChangeApplied, format!("revision {revision}"));
             self.outputs.push(Output::InForce(revision));
         }
         std::mem::take(&mut self.outputs)
@@ -243,7 +243,7 @@
         }
     }
 
-    fn event(&mut self, code: Code, detail: impl Into<String>) {
+    fn log_event(&mut self, code: Code, detail: impl Into<String>) {
         self.outputs.push(Output::Event(Event::new(code, detail)));
     }
 
@@ -267,11 +267,11 @@
         let ticket = self.ticket(purpose)?;
         match &operate {
             Command::Commit(group) => {
-                self.count.commits += 1;
-                self.count.writes += group.writes.len() as u64;
+                self.stats.commits += 1;
+                self.stats.writes += group.writes.len() as u64;
             }
-            Command::Scan { .. } => self.count.scans += 1,
-            _ => self.count.reads += 1,
+            Command::Scan { .. } => self.stats.scans += 1,
+            _ => self.stats.reads += 1,
         }
         self.outputs.push(Output::Command(ticket, operate));
         Some(ticket)
@@ -281,15 +281,15 @@
     fn call(&mut self, purpose: Purpose, to: Instance, call: Call) -> Option<u64> {
         let ticket = self.ticket(purpose)?;
         match call {
-            Call::Announce(_) => self.count.announces += 1,
-            Call::Fetch { .. } => self.count.fetches += 1,
-            Call::Snapshot { .. } => self.count.snapshots += 1,
+            Call::Announce(_) => self.stats.announces += 1,
+            Call::Fetch { .. } => self.stats.fetches += 1,
+            Call::Snapshot { .. } => self.stats.snapshots += 1,
         }
         self.outputs.push(Output::Call(to, ticket, call));
         Some(ticket)
     }
 
-    fn operated(&mut self, ticket: u64, result: message::Completion) {
+    fn on_completion(&mut self, ticket: u64, result: message::Completion) {
         // A ticket that expired is not there any more: what comes late is not acted on.
         let Some(pending) = self.pending.remove(&ticket) else {
             return;
@@ -304,7 +304,7 @@
         }
     }
 
-    fn returned(&mut self, ticket: u64, result: Option<Return>) {
+    fn on_return(&mut self, ticket: u64, result: Option<Return>) {
         let Some(pending) = self.pending.remove(&ticket) else {
             return;
         };
@@ -326,8 +326,8 @@
         for ticket in late {
             let call = |p: &Pending| matches!(p.purpose, Purpose::Announce(_) | Purpose::Peer);
             match self.pending.get(&ticket).is_some_and(call) {
-                true => self.returned(ticket, None),
-                false => self.operated(ticket, message::Completion::Unknown),
+                true => self.on_return(ticket, None),
+                false => self.on_completion(ticket, message::Completion::Unknown),
             }
         }
     }
--- a/src/core/config/call.rs
+++ b/src/core/config/call.rs
@@ -15,7 +15,7 @@
 };
 
 /// The most bytes of changes or records in one message, but for a single one that is larger.
-pub const MOST_BYTES: usize = 64 << 10;
+pub const MAX_MESSAGE_BYTES: usize = 64 << 10;
 
 /// A call to a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
--- a/src/core/config/edit.rs
+++ b/src/core/config/edit.rs
@@ -13,9 +13,9 @@
     report::Report,
     row::{
         self,
+        Decision, //
         End,
         Head,
-        Settled, //
     },
     state::Purpose,
     Config,
@@ -38,7 +38,7 @@
     },
 };
 
-mod judge;
+mod validate;
 
 /// The most changes that wait to be judged.
 const MOST_WAITING: usize = 32;
@@ -95,7 +95,7 @@
 
 impl Config {
     pub(super) fn submit(&mut self, request: Request, edit: ask::Edit) {
-        let record = match judge::parse(&edit.act) {
+        let record = match validate::parse(&edit.act) {
             Ok(record) => record.map(Arc::new),
             Err(faults) => return self.refuse_malformed(request, &edit, faults),
         };
@@ -103,7 +103,7 @@
         let Some(name) = named.or(edit.act.name()).cloned() else {
             return;
         };
-        if !self.ready() || self.workers.is_none() {
+        if !self.is_ready() || self.workers.is_none() {
             return self.report(request, Report::Unready);
         }
         if self.edits.queue.len() >= MOST_WAITING {
@@ -113,7 +113,7 @@
             request,
             name,
             record,
-            digest: judge::digest(&edit),
+            digest: validate::digest(&edit),
             until: self.now + PATIENCE,
             tries: 0,
             uncertain: false,
@@ -166,19 +166,21 @@
         };
         match &report {
             Report::Accepted { revision, .. } => {
-                self.event(
+                self.log_event(
                     Code::ChangeAccepted,
                     format!("revision {revision}: {}", what()),
                 );
             }
-            Report::Refused(_) | Report::Reused { .. } => self.event(Code::ChangeRefused, what()),
+            Report::Refused(_) | Report::Reused { .. } => {
+                self.log_event(Code::ChangeRefused, what())
+            }
             _ => {}
         }
         self.report(job.request, report);
     }
 
     fn confirm_head(&mut self) {
-        let read = Command::Read(row::HEAD.to_owned());
+        let read = Command::Read(row::HEAD_KEY.to_owned());
         let Some(ticket) = self.operate(Purpose::Edit, read) else {
             return self.end(Report::Busy);
         };
@@ -196,8 +198,8 @@
             return self.end(Report::Busy);
         }
         let workers = self.workers.as_ref();
-        let judged = judge::judge(&self.applied, workers, job);
-        let plan = judge::plan(&self.name, &self.applied, job, judged);
+        let judged = validate::validate(&self.applied, workers, job);
+        let plan = validate::plan(&self.name, &self.applied, job, judged);
         self.commit(plan);
     }
 
@@ -229,7 +231,7 @@
             return;
         };
         let head = match &result {
-            Completion::Row(Some(row)) => row::read::<Head>(row).map(|head| head.revision),
+            Completion::Row(Some(row)) => row::decode::<Head>(row).map(|head| head.revision),
             Completion::Row(None) => Some(Revision::default()),
             _ => None,
         };
@@ -239,7 +241,7 @@
                 return self.catch_up(head);
             }
         }
-        let judged = judge::judge(&self.applied, self.workers.as_ref(), job);
+        let judged = validate::validate(&self.applied, self.workers.as_ref(), job);
         let report = Report::Trial {
             revision: self.applied.revision(),
             refusal: judged.err(),
@@ -265,7 +267,7 @@
                 // operation is not settled) let just one copy take effect, and when it fails, the rows that come
                 // back tell whether an earlier copy did, or that the head has moved so that none ever can.
                 if result == Completion::Unknown {
-                    self.event(Code::ChangeUnsettled, plan_name(&plan));
+                    self.log_event(Code::ChangeUnsettled, plan_name(&plan));
                 }
                 let now = self.now;
                 if let Some(job) = self.edits.queue.front_mut() {
@@ -291,21 +293,21 @@
         let Some(job) = self.edits.queue.front_mut() else {
             return;
         };
-        let key = row::operation(job.edit.operation);
+        let key = row::operation_key(job.edit.operation);
         let row = |key: &str| verdict.current.iter().find(|row| row.key == key);
-        if let Some(settled) = row(&key).and_then(row::read::<Settled>) {
+        if let Some(settled) = row(&key).and_then(row::decode::<Decision>) {
             return self.settle(settled);
         }
         // The head is at another version and never comes back to that one, so no copy of the commit can take effect.
         job.uncertain = false;
-        let head = row(row::HEAD).and_then(row::read::<Head>);
+        let head = row(row::HEAD_KEY).and_then(row::decode::<Head>);
         match head {
             Some(head) if head.revision > self.applied.revision() => self.catch_up(head.revision),
             _ => self.end(Report::Unavailable),
         }
     }
 
-    fn settle(&mut self, settled: Settled) {
+    fn settle(&mut self, settled: Decision) {
         let Some(job) = self.edits.queue.front() else {
             return;
         };
--- a/src/core/config/edit/judge.rs
+++ b/src/core/config/edit/validate.rs
@@ -16,9 +16,9 @@
         row::{
             self,
             Change,
+            Decision,
             End,
             Head,
-            Settled,
             Stored, //
         },
         state::Applied,
@@ -67,7 +67,7 @@
 }
 
 /// Judges a change; returns the change that it makes, or why it is refused.
-pub(super) fn judge(
+pub(super) fn validate(
     applied: &Applied,
     workers: Option<&Capacity>,
     job: &Job,
@@ -152,11 +152,11 @@
         }
         Err(refusal) => (End::Refused(refusal), None),
     };
-    let settled = Settled {
+    let settled = Decision {
         digest: job.digest,
         end: end.clone(),
     };
-    let mut writes = vec![row::put(row::operation(job.edit.operation), &settled)];
+    let mut writes = vec![row::write(row::operation_key(job.edit.operation), &settled)];
     writes.extend(change.iter().flat_map(rows));
     let before = applied
         .set()
@@ -173,8 +173,8 @@
     // and one would undo the other unseen. The head has one version for each configuration, so that what was judged
     // is what the change meets; the operation's row is written with its one end.
     let conditions = vec![
-        row::at(applied.revision()),
-        row::unsettled(job.edit.operation),
+        row::revision_condition(applied.revision()),
+        row::unsettled_condition(job.edit.operation),
     ];
     Plan {
         group: Group { conditions, writes },
@@ -184,7 +184,7 @@
 }
 
 fn rows(change: &Change) -> Vec<Write> {
-    let key = row::record(&change.name);
+    let key = row::record_key(&change.name);
     let record = match &change.text {
         None => Write { key, value: None },
         Some(text) => {
@@ -193,7 +193,7 @@
                 revision: change.revision,
                 text: text.clone(),
             };
-            row::put(key, &stored)
+            row::write(key, &stored)
         }
     };
     let head = Head {
@@ -201,13 +201,17 @@
     };
     let mut writes = vec![
         record,
-        row::put(row::change(change.revision), change),
-        row::put(row::HEAD.to_owned(), &head),
+        row::write(row::change_key(change.revision), change),
+        row::write(row::HEAD_KEY.to_owned(), &head),
     ];
     // Each change takes the place of the oldest one, so that the table doesn't grow with the years.
-    let oldest = change.revision.0.checked_sub(row::KEPT).filter(|r| *r > 0);
+    let oldest = change
+        .revision
+        .0
+        .checked_sub(row::KEPT_CHANGES)
+        .filter(|r| *r > 0);
     writes.extend(oldest.map(|revision| Write {
-        key: row::change(Revision(revision)),
+        key: row::change_key(Revision(revision)),
         value: None,
     }));
     writes
--- a/src/core/config/load.rs
+++ b/src/core/config/load.rs
@@ -8,7 +8,7 @@
     row::{
         self,
         Stored,
-        PAGE, //
+        PAGE_ROWS, //
     },
     state::{
         Load,
@@ -40,19 +40,23 @@
     }
 
     pub(super) fn scan_records(&mut self, load: Load) {
-        let last = load.last.as_ref().map(row::record);
-        let started = self.scan(row::RECORD, last.unwrap_or_default());
+        let last = load.last.as_ref().map(row::record_key);
+        let started = self.scan(row::RECORD_PREFIX, last.unwrap_or_default());
         self.enter(started, Stage::Records(load));
     }
 
     pub(super) fn loaded_rows(&mut self, mut load: Load, rows: &[Row]) {
         // A row that can't be read is a record that is in force. Left out, it would be withdrawn here without anyone's
         // wish; so the load fails, and what is applied stays.
-        let Some(records) = rows.iter().map(row::read).collect::<Option<Vec<Stored>>>() else {
+        let Some(records) = rows
+            .iter()
+            .map(row::decode)
+            .collect::<Option<Vec<Stored>>>()
+        else {
             return self.failed();
         };
         records.into_iter().for_each(|stored| load.add(stored));
-        if rows.len() >= PAGE as usize {
+        if rows.len() >= PAGE_ROWS as usize {
             return self.scan_records(load);
         }
         let started = self.read_head(Purpose::Sync);
@@ -65,7 +69,7 @@
         // newer than an earlier one. Every record that changed since the first read of the head is written once more
         // by the replay up to a head that was read after the last page; what it leaves didn't change in between.
         if load.revision < head {
-            let started = self.scan(row::CHANGE, row::change(load.revision));
+            let started = self.scan(row::CHANGE_PREFIX, row::change_key(load.revision));
             return self.enter(started, Stage::Changes(load, head));
         }
         self.install(load);
@@ -118,7 +122,7 @@
         let unknown = self.applied.set().iter().filter(|(_, e)| !e.record.known());
         let names: Vec<String> = unknown.map(|(name, _)| name.to_string()).collect();
         if !names.is_empty() {
-            self.event(Code::SchemaUnknown, names.join(", "));
+            self.log_event(Code::SchemaUnknown, names.join(", "));
         }
     }
 }
--- a/src/core/config/spread.rs
+++ b/src/core/config/propagation.rs
@@ -11,7 +11,7 @@
         Call,
         Page,
         Return,
-        MOST_BYTES, //
+        MAX_MESSAGE_BYTES, //
     },
     row::Stored,
     state::{
@@ -40,7 +40,7 @@
 }
 
 /// Ranks instances for a duty in a data centre by rendezvous hashing: all who know the same ones agree on the order.
-pub fn ranked<'a>(
+pub fn rank_instances<'a>(
     centre: &Centre,
     names: impl IntoIterator<Item = &'a Instance>,
 ) -> Vec<&'a Instance> {
@@ -85,7 +85,7 @@
             .peers
             .values()
             .filter(|p| p.alive && p.centre == centre);
-        let ranked = ranked(&centre, alive.map(|peer| &peer.name));
+        let ranked = rank_instances(&centre, alive.map(|peer| &peer.name));
         if let Some(to) = ranked.get(tried).map(|name| (*name).clone()) {
             let outward = Some((centre, tried));
             self.announce(Delivery { to, after, outward });
@@ -93,7 +93,7 @@
     }
 
     fn announce(&mut self, delivery: Delivery) {
-        let changes = self.applied.since(delivery.after, MOST_BYTES);
+        let changes = self.applied.since(delivery.after, MAX_MESSAGE_BYTES);
         let announcement = Announcement {
             from: self.name.clone(),
             head: self.revision(),
@@ -125,12 +125,12 @@
         }
     }
 
-    pub(super) fn called(&mut self, caller: Caller, call: Call) {
-        self.count.returns += 1;
+    pub(super) fn on_call(&mut self, caller: Caller, call: Call) {
+        self.stats.returns += 1;
         let value = match call {
             Call::Announce(announcement) => self.notified(announcement),
-            _ if !self.ready() => Return::Unready,
-            Call::Fetch { after } => match self.applied.since(after, MOST_BYTES) {
+            _ if !self.is_ready() => Return::Unready,
+            Call::Fetch { after } => match self.applied.since(after, MAX_MESSAGE_BYTES) {
                 Some(changes) => Return::Changes(changes),
                 None => Return::Gap,
             },
@@ -156,7 +156,7 @@
         let mut more = false;
         for (name, entry) in self.applied.set().after(after) {
             bytes += entry.record.text.len() + size_of::<Stored>();
-            if bytes > MOST_BYTES && !records.is_empty() {
+            if bytes > MAX_MESSAGE_BYTES && !records.is_empty() {
                 more = true;
                 break;
             }
--- a/src/core/config/query.rs
+++ b/src/core/config/query.rs
@@ -40,7 +40,7 @@
         let report = match ask {
             Ask::Edit(edit) => return self.submit(request, edit),
             Ask::Audit(audit) => return self.ask_audit(request, audit),
-            _ if !self.ready() => Report::Unready,
+            _ if !self.is_ready() => Report::Unready,
             Ask::List(kind) => self.list(kind),
             Ask::Show(record) => match self.applied.set().get(&record) {
                 Some(entry) => Report::Record(view(entry)),
@@ -117,7 +117,7 @@
             return self.report(request, Report::Unavailable);
         };
         let wanted = |entry: &audit::Entry| audit.to_ms.is_none_or(|to| entry.at_ms <= to);
-        let mut entries: Vec<audit::Entry> = rows.iter().filter_map(row::read).collect();
+        let mut entries: Vec<audit::Entry> = rows.iter().filter_map(row::decode).collect();
         // There may be more where the page is full and its last entry is not past the end that was asked for.
         let more = rows.len() >= PAGE as usize && entries.last().is_some_and(wanted);
         entries.retain(wanted);
--- a/src/core/config/row.rs
+++ b/src/core/config/row.rs
@@ -5,7 +5,7 @@
 //! | `config/head` | [`Head`] |
 //! | `config/record/KIND/NAME` | [`Stored`] |
 //! | `config/change/REVISION`, twenty digits | [`Change`] |
-//! | `config/operation/OPERATION` | [`Settled`] |
+//! | `config/operation/OPERATION` | [`Decision`] |
 //!
 //! The head is written once with every revision and by nothing else, so that its version is the revision. It never
 //! goes back, which makes a condition on it a condition on the whole configuration.
@@ -28,17 +28,17 @@
 };
 
 /// The key of the head.
-pub const HEAD: &str = "config/head";
+pub const HEAD_KEY: &str = "config/head";
 /// What the keys of records begin with.
-pub const RECORD: &str = "config/record/";
+pub const RECORD_PREFIX: &str = "config/record/";
 /// What the keys of changes begin with.
-pub const CHANGE: &str = "config/change/";
+pub const CHANGE_PREFIX: &str = "config/change/";
 /// How many changes the table keeps. An instance that is further behind loads the records instead.
-pub const KEPT: u64 = 4_096;
+pub const KEPT_CHANGES: u64 = 4_096;
 /// Rows in a page of a scan.
-pub const PAGE: u32 = 128;
+pub const PAGE_ROWS: u32 = 128;
 /// What the keys of operations begin with.
-pub const OPERATION: &str = "config/operation/";
+pub const OPERATION_PREFIX: &str = "config/operation/";
 
 /// The newest revision.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -88,7 +88,7 @@
 
 /// What became of an operation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Settled {
+pub struct Decision {
     /// The digest of what was asked.
     pub digest: Digest,
     /// What was reported.
@@ -111,18 +111,18 @@
 }
 
 /// Returns the key of a record.
-pub fn record(name: &Name) -> String {
-    format!("{RECORD}{name}")
+pub fn record_key(name: &Name) -> String {
+    format!("{RECORD_PREFIX}{name}")
 }
 
 /// Returns the key of a change.
-pub fn change(revision: Revision) -> String {
-    format!("{CHANGE}{:020}", revision.0)
+pub fn change_key(revision: Revision) -> String {
+    format!("{CHANGE_PREFIX}{:020}", revision.0)
 }
 
 /// Returns the key of an operation.
-pub fn operation(operation: Operation) -> String {
-    format!("{OPERATION}{operation}")
+pub fn operation_key(operation: Operation) -> String {
+    format!("{OPERATION_PREFIX}{operation}")
 }
 
 /// Returns the write that puts `value` at `key`.
@@ -130,29 +130,29 @@
 /// # Panics
 ///
 /// Panics where the value can't be written as JSON, which the types of the rows rule out.
-pub fn put(key: String, value: &impl Serialize) -> Write {
+pub fn write(key: String, value: &impl Serialize) -> Write {
     let value = serde_json::to_string(value).expect("a row is plain data");
     let value = Some(value);
     Write { key, value }
 }
 
 /// Reads the value of a row; none where this version can't read it.
-pub fn read<T: DeserializeOwned>(row: &Row) -> Option<T> {
+pub fn decode<T: DeserializeOwned>(row: &Row) -> Option<T> {
     serde_json::from_str(&row.value).ok()
 }
 
 /// Returns the condition that the configuration is at `revision`.
-pub fn at(revision: Revision) -> Condition {
+pub fn revision_condition(revision: Revision) -> Condition {
     Condition {
-        key: HEAD.to_owned(),
+        key: HEAD_KEY.to_owned(),
         version: revision.0,
     }
 }
 
 /// Returns the condition that an operation has not been settled.
-pub fn unsettled(id: Operation) -> Condition {
+pub fn unsettled_condition(id: Operation) -> Condition {
     Condition {
-        key: operation(id),
+        key: operation_key(id),
         version: 0,
     }
 }
--- a/src/core/config/state.rs
+++ b/src/core/config/state.rs
@@ -102,7 +102,7 @@
 }
 
 impl Applied {
-    pub(super) fn ready(&self) -> bool {
+    pub(super) fn is_ready(&self) -> bool {
         self.ready
     }
 
--- a/src/core/config/count.rs
+++ b/src/core/config/stats.rs
@@ -2,8 +2,8 @@
 
 /// Operations on the table and messages to peers since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Count {
-    /// Polls of the head, within [`Count::reads`].
+pub struct Stats {
+    /// Polls of the head, within [`Stats::reads`].
     pub polls: u64,
     /// Rows read.
     pub reads: u64,
--- a/src/core/config/sync.rs
+++ b/src/core/config/sync.rs
@@ -5,13 +5,13 @@
         Call,
         Return, //
     },
+    propagation,
     row::{
         self,
         Change,
         Head,
-        PAGE, //
+        PAGE_ROWS, //
     },
-    spread,
     state::{
         Load,
         Purpose,
@@ -84,15 +84,15 @@
     }
 
     pub(super) fn proceed_sync(&mut self) {
-        if self.ready() && !self.sync.polling && self.due() {
+        if self.is_ready() && !self.sync.polling && self.due() {
             self.sync.polled = self.now;
             self.sync.polling = self.read_head(Purpose::Poll);
-            self.count.polls += u64::from(self.sync.polling);
+            self.stats.polls += u64::from(self.sync.polling);
         }
         if !matches!(self.sync.stage, Stage::Idle) || self.now < self.sync.retry {
             return;
         }
-        if !self.ready() || self.sync.gap {
+        if !self.is_ready() || self.sync.gap {
             self.start_load();
         } else if self.revision() < self.sync.target {
             self.start_changes();
@@ -117,11 +117,11 @@
             .values()
             .filter(|p| p.alive && p.centre == self.centre);
         let names = alive.map(|peer| &peer.name).chain([&self.name]);
-        spread::ranked(&self.centre, names).first() == Some(&&self.name)
+        propagation::rank_instances(&self.centre, names).first() == Some(&&self.name)
     }
 
     pub(super) fn read_head(&mut self, purpose: Purpose) -> bool {
-        let read = Command::Read(row::HEAD.to_owned());
+        let read = Command::Read(row::HEAD_KEY.to_owned());
         self.operate(purpose, read).is_some()
     }
 
@@ -129,7 +129,7 @@
         let scan = Command::Scan {
             prefix: prefix.to_owned(),
             after,
-            limit: PAGE,
+            limit: PAGE_ROWS,
         };
         self.operate(Purpose::Sync, scan).is_some()
     }
@@ -166,7 +166,7 @@
                 self.enter(started.is_some(), Stage::Fetch);
             }
             _ => {
-                let started = self.scan(row::CHANGE, row::change(after));
+                let started = self.scan(row::CHANGE_PREFIX, row::change_key(after));
                 self.enter(started, Stage::Scan);
             }
         }
@@ -214,14 +214,14 @@
             },
             (Stage::Changes(mut load, head), Completion::Rows(rows)) => {
                 let before = load.revision;
-                load.replay(rows.iter().filter_map(row::read));
+                load.replay(rows.iter().filter_map(row::decode));
                 match load.revision > before {
                     true => self.replay_or_install(load, head),
                     false => self.failed(),
                 }
             }
             (Stage::Scan, Completion::Rows(rows)) => {
-                let changes = rows.iter().filter_map(row::read).collect();
+                let changes = rows.iter().filter_map(row::decode).collect();
                 if !self.apply_all(changes) {
                     self.sync.gap = self.revision() < self.sync.target;
                 }
@@ -265,7 +265,7 @@
         }
         let known = |entry: &crate::record::set::Entry| entry.record.known();
         if !self.applied.set().get(&change.name).is_none_or(known) {
-            self.event(Code::SchemaUnknown, change.name.to_string());
+            self.log_event(Code::SchemaUnknown, change.name.to_string());
         }
     }
 }
@@ -274,6 +274,6 @@
 fn head(row: Option<&Row>) -> Option<Revision> {
     match row {
         None => Some(Revision::default()),
-        Some(row) => row::read::<Head>(row).map(|head| head.revision),
+        Some(row) => row::decode::<Head>(row).map(|head| head.revision),
     }
 }
--- a/src/core/config/trail.rs
+++ b/src/core/config/trail.rs
@@ -67,9 +67,9 @@
                 let entry = entry(&self.name, edit, name, None, None, refusal.lines());
                 self.trail.entries.push_back(entry);
             }
-            false => self.count.dropped += 1,
+            false => self.stats.dropped += 1,
         }
-        self.event(
+        self.log_event(
             Code::ChangeRefused,
             format!("{} by {}", edit.operation, edit.operator),
         );
--- a/src/core/ending.rs
+++ b/src/core/ending.rs
@@ -102,12 +102,12 @@
             Entry::Abandoned(job.stage.nonce.unwrap_or(Nonce(0)))
         } else {
             if job.stage.nonce.is_some() {
-                self.record(team, key, job.digest, answer);
+                self.record_outcome(team, key, job.digest, answer);
             }
             Entry::Kept(Kept::new(answer))
         };
         let dropped = self.registry.end(self.now, team, key, entry);
-        self.note_dropped(dropped);
+        self.log_forgotten(dropped);
     }
 
     pub(super) fn count(&mut self, answer: &Answer, class: Class) {
@@ -122,7 +122,7 @@
         self.count(answer, class);
         if answer.outcome == Outcome::Unknown {
             let detail = format!("job {job}: {}", answer.detail);
-            self.event(Code::OutcomeUnknown, detail);
+            self.log_event(Code::OutcomeUnknown, detail);
         }
     }
 
--- a/src/core/execution.rs
+++ b/src/core/execution.rs
@@ -118,8 +118,8 @@
         if waiting.is_empty() {
             return;
         }
-        let first = self.turn % waiting.len();
-        self.turn = self.turn.wrapping_add(1);
+        let first = self.next_service % waiting.len();
+        self.next_service = self.next_service.wrapping_add(1);
         waiting.rotate_left(first);
         while !waiting.is_empty() {
             waiting.retain(|service| self.dispatch_one(service));
@@ -239,7 +239,7 @@
                     self.conclude(attempt, None, Conclusion::Lost);
                 } else {
                     // It may run on behind a broken connection; the endpoint itself knows.
-                    self.event(Code::StartLost, attempt.to_string());
+                    self.log_event(Code::StartLost, attempt.to_string());
                     self.send_look(&pending, false);
                 }
             }
@@ -338,7 +338,7 @@
         let own = self.placement.outstanding(slot).max(1);
         let all = load.running.saturating_add(load.queued).saturating_add(1);
         let sample = f64::from(own) / f64::from(all.max(own));
-        self.share += (sample - self.share) * SHARE_GAIN;
+        self.endpoint_share += (sample - self.endpoint_share) * SHARE_GAIN;
     }
 
     fn done(&mut self, attempt: Attempt, took: Span, result: Arc<RawValue>) {
--- a/src/core/look.rs
+++ b/src/core/look.rs
@@ -209,7 +209,7 @@
             _ => Code::EndpointReturned,
         };
         let name = self.placement.endpoint(slot).map(|w| w.name.to_string());
-        self.event(
+        self.log_event(
             code,
             format!("{} ({eligibility:?})", name.unwrap_or_default()),
         );
--- a/src/core/peering.rs
+++ b/src/core/peering.rs
@@ -31,7 +31,7 @@
 }
 
 impl Pending {
-    pub(super) fn of(to: Instance, job: u64) -> Self {
+    pub(super) fn for_job(to: Instance, job: u64) -> Self {
         Self { to, job: Some(job) }
     }
 }
@@ -40,7 +40,7 @@
     /// Calls a peer, or tells at once that it isn't known.
     pub(super) fn call(&mut self, to: Instance, id: CallId, call: Call, wait: Option<Span>) {
         let Some(address) = self.membership.address(&to) else {
-            return self.returned(id, Return::Refused);
+            return self.on_return(id, Return::Refused);
         };
         self.outputs.push(Output::Call {
             to,
@@ -51,7 +51,7 @@
         });
     }
 
-    pub(super) fn called(&mut self, caller: Caller, call: Call) {
+    pub(super) fn on_call(&mut self, caller: Caller, call: Call) {
         match call {
             Call::Submit(forward) if forward.owner != self.identity.incarnation => {
                 self.outputs
@@ -75,7 +75,7 @@
         }
     }
 
-    pub(super) fn returned(&mut self, id: CallId, result: Return) {
+    pub(super) fn on_return(&mut self, id: CallId, result: Return) {
         match id {
             CallId::Submit(id) => {
                 let pending = self.calls.remove(&id);
@@ -124,12 +124,12 @@
             match action {
                 membership::Action::Heartbeat { to, address } => self.send_heartbeat(to, address),
                 membership::Action::Found(name) => {
-                    self.event(Code::PeerFound, name.to_string());
-                    self.share();
+                    self.log_event(Code::PeerFound, name.to_string());
+                    self.update_shares();
                 }
                 membership::Action::Lost(name) => {
-                    self.event(Code::PeerLost, name.to_string());
-                    self.share();
+                    self.log_event(Code::PeerLost, name.to_string());
+                    self.update_shares();
                     self.fail_calls(&name);
                 }
             }
@@ -150,7 +150,7 @@
     }
 
     fn send_heartbeat(&mut self, to: Instance, address: String) {
-        let id = self.next();
+        let id = self.next_serial();
         let pending = Pending {
             to: to.clone(),
             job: None,
@@ -167,7 +167,7 @@
     }
 
     /// Divides what all instances share by how many there are now.
-    pub(super) fn share(&mut self) {
+    pub(super) fn update_shares(&mut self) {
         let live = self.membership.live_count();
         let sharing = self.membership.live_count_in(&self.identity.reach);
         self.placement.share(sharing);
@@ -187,7 +187,7 @@
             .collect();
         calls.sort_unstable();
         for id in calls {
-            self.returned(CallId::Submit(id), Return::Lost);
+            self.on_return(CallId::Submit(id), Return::Lost);
         }
     }
 }
--- a/src/core/store.rs
+++ b/src/core/store.rs
@@ -52,7 +52,7 @@
     ///
     /// A table that is down would hold every request for the whole timeout before its refusal. Once it has
     /// failed twice in a row, requests are refused at once, and one probe in half a second finds its return.
-    pub(super) fn store_open(&mut self) -> bool {
+    pub(super) fn may_try_store(&mut self) -> bool {
         if self.store.failures < FAILURES {
             return true;
         }
@@ -64,11 +64,11 @@
     }
 
     /// Tells whether the table has failed to answer so often that it counts as down.
-    pub(super) fn store_down(&self) -> bool {
+    pub(super) fn is_store_down(&self) -> bool {
         self.store.failures >= FAILURES
     }
 
-    pub(super) fn note_store(&mut self, result: &message::Completion) {
+    pub(super) fn track_store(&mut self, result: &message::Completion) {
         let failed = matches!(
             result,
             message::Completion::Refused | message::Completion::Unknown
@@ -77,20 +77,20 @@
             self.store.failures += 1;
             self.store.probed = self.now;
             if self.store.failures == FAILURES {
-                self.event(Code::StoreDown, "claims are refused until it answers");
+                self.log_event(Code::StoreDown, "claims are refused until it answers");
             }
         } else if std::mem::take(&mut self.store.failures) >= FAILURES {
-            self.event(Code::StoreUp, "");
+            self.log_event(Code::StoreUp, "");
         }
     }
 
     /// Starts an operation on behalf of a job.
-    pub(super) fn operate(&mut self, job: u64, operate: Command) {
-        self.operate_for(Purpose::Job(job), operate);
+    pub(super) fn start_command(&mut self, job: u64, operate: Command) {
+        self.start_command_for(Purpose::Job(job), operate);
     }
 
-    fn operate_for(&mut self, purpose: Purpose, operate: Command) {
-        let ticket = self.next();
+    fn start_command_for(&mut self, purpose: Purpose, operate: Command) {
+        let ticket = self.next_serial();
         self.tickets.insert(ticket, purpose);
         self.outputs
             .push(Output::Command(Ticket::Claim(ticket), operate));
@@ -120,11 +120,17 @@
                 value: serde_json::to_string(&row).ok(),
             }],
         };
-        self.operate(job.number, Command::Commit(group));
+        self.start_command(job.number, Command::Commit(group));
     }
 
     /// Records the outcome of a claimed job, behind the answer.
-    pub(super) fn record(&mut self, team: &Team, key: &Key, digest: Digest, answer: &Answer) {
+    pub(super) fn record_outcome(
+        &mut self,
+        team: &Team,
+        key: &Key,
+        digest: Digest,
+        answer: &Answer,
+    ) {
         let long = answer.bytes() > LONGEST_ROW;
         let record = claim::Record {
             digest,
@@ -145,31 +151,31 @@
                     name: place,
                     bytes: bytes.into(),
                 };
-                self.operate_for(Purpose::Object(group), put);
+                self.start_command_for(Purpose::Object(group), put);
             }
-            _ => self.operate_for(Purpose::Record, Command::CommitLater(group)),
+            _ => self.start_command_for(Purpose::Record, Command::CommitLater(group)),
         }
     }
 
     /// Tells whether outcomes are still being recorded.
-    pub(super) fn recording(&self) -> bool {
+    pub(super) fn is_recording(&self) -> bool {
         self.tickets
             .values()
             .any(|purpose| !matches!(purpose, Purpose::Job(_)))
     }
 
-    pub(super) fn operated(&mut self, ticket: u64, result: message::Completion) {
+    pub(super) fn on_completion(&mut self, ticket: u64, result: message::Completion) {
         let Some(purpose) = self.tickets.remove(&ticket) else {
             return;
         };
-        self.note_store(&result);
+        self.track_store(&result);
         match purpose {
             Purpose::Job(job) => self.answered_by_store(job, result),
             // A record that is lost costs a survivor's answer, never a run: the key stays claimed.
             Purpose::Record => {}
             Purpose::Object(group) => {
                 if result == message::Completion::Stored {
-                    self.operate_for(Purpose::Record, Command::CommitLater(group));
+                    self.start_command_for(Purpose::Record, Command::CommitLater(group));
                 }
             }
         }
--- a/src/core/submission.rs
+++ b/src/core/submission.rs
@@ -154,7 +154,7 @@
         let Some(name) = arrival.submission.key.clone() else {
             return self.tell(arrival.waiter, &refusal);
         };
-        if !self.store_open() {
+        if !self.may_try_store() {
             return self.tell(arrival.waiter, &doubtful(&refusal).with_key(name));
         }
         let place = claim::claim_row(&arrival.submission.team, &name);
@@ -165,7 +165,7 @@
         let job = self.receive(arrival, deadline, stage);
         let number = job.number;
         self.jobs.insert(number, Any::Received(job));
-        self.operate(number, Command::Read(place));
+        self.start_command(number, Command::Read(place));
     }
 
     /// Checks a submission against the configuration and the bounds; counts it where it is admitted.
@@ -176,7 +176,7 @@
                 Answer::refusal(Reason::Draining, "this instance is draining; try another");
             return Err(refusal.with_retry(Span::millis(50)));
         }
-        if !self.ready() {
+        if !self.is_ready() {
             let refusal =
                 Answer::refusal(Reason::NotReady, "this instance has no configuration yet");
             return Err(refusal.with_retry(RETRY_AFTER));
@@ -227,7 +227,7 @@
     /// Returns the slots that this instance can count on, by its share of the work.
     fn own_slots(&self, route: &Route) -> u32 {
         let slots = self.placement.slots(route);
-        let own = (f64::from(slots) * self.share).ceil() as u32;
+        let own = (f64::from(slots) * self.endpoint_share).ceil() as u32;
         own.clamp(slots.min(1), slots)
     }
 
@@ -264,7 +264,7 @@
 
     /// Makes a job of a submission, notes its key and sets its deadline.
     fn receive(&mut self, arrival: Arrival, deadline: Span, stage: Received) -> Job<Received> {
-        let number = self.next();
+        let number = self.next_serial();
         let deadline = self.now + arrival.left.unwrap_or(deadline).min(deadline);
         if let Some(key) = &arrival.submission.key {
             let team = &arrival.submission.team;
@@ -298,7 +298,7 @@
         if origin == Origin::Range || Range::of(&name).is_some() {
             return self.run(job.permit(Permit::by_range(), None));
         }
-        if !self.store_open() {
+        if !self.may_try_store() {
             return self.fail_claim(job);
         }
         let Wait::Claim(nonce) = job.stage.wait.clone() else {
--- a/src/decision.rs
+++ b/src/decision.rs
@@ -174,7 +174,7 @@
             self.step(input).await;
         }
         self.show(ticked);
-        self.core.due()
+        self.core.next_due()
     }
 }
 
@@ -257,7 +257,7 @@
     fn show(&self, ticked: bool) {
         self.status
             .ready
-            .store(self.core.ready(), Ordering::Release);
+            .store(self.core.is_ready(), Ordering::Release);
         if !ticked {
             return;
         }
--- a/tests/orders/world.rs
+++ b/tests/orders/world.rs
@@ -224,7 +224,7 @@
         world.settle();
         world.configure();
         world.settle();
-        assert!(world.cores.iter().all(Core::ready), "all are ready");
+        assert!(world.cores.iter().all(Core::is_ready), "all are ready");
         world
     }
 
--- a/tests/policy/membership.rs
+++ b/tests/policy/membership.rs
@@ -121,7 +121,9 @@
         let peers = self.views[own].0.peers().filter(near);
         let me = instance(own);
         let names = peers.map(|peer| &peer.name).chain([&me]);
-        ranked(place, names).first().map(|name| (*name).clone())
+        rank_instances(place, names)
+            .first()
+            .map(|name| (*name).clone())
     }
 
     /// Tells whether the instances of each data centre that are up elect the same one of them.
--- a/tests/policy/support.rs
+++ b/tests/policy/support.rs
@@ -18,7 +18,7 @@
             Demand,
             Usage, //
         },
-        config::spread::ranked,
+        config::propagation::rank_instances,
         health::{
             Change,
             Health, //
--- a/tests/records/cluster.rs
+++ b/tests/records/cluster.rs
@@ -153,7 +153,7 @@
             node.floor
         );
         node.floor = revision;
-        if config.ready() {
+        if config.is_ready() {
             let texts = config.records().iter();
             let texts: BTreeMap<_, _> = texts
                 .map(|(name, e)| (name.to_string(), e.record.text.clone()))
--- a/tests/records/edits.rs
+++ b/tests/records/edits.rs
@@ -302,7 +302,7 @@
     let mut cluster = cluster(7);
     cluster.settle(1_000);
     let sum = |cluster: &Cluster| {
-        let counts = (0..7).map(|i| cluster.config(i).count());
+        let counts = (0..7).map(|i| cluster.config(i).stats());
         counts.fold((0, 0, 0, 0), |sum, count| {
             (
                 sum.0 + count.commits,
@@ -325,7 +325,7 @@
         after.3 - before.3,
     );
     assert_eq!(cost, (1, 6, 0, 6));
-    assert!(cluster.table.row(&row::change(Revision(3))).is_some());
+    assert!(cluster.table.row(&row::change_key(Revision(3))).is_some());
 }
 
 use crate::prelude::*;
--- a/tests/records/loads.rs
+++ b/tests/records/loads.rs
@@ -48,14 +48,14 @@
     cluster.stop(0);
     cluster.start(0);
     cluster.run();
-    let changes = row::change(Revision(3));
+    let changes = row::change_key(Revision(3));
     let kept = cluster.table.rows.remove(&changes).unwrap();
     cluster.heartbeat();
     let mut last = None;
     while let Some(flight) = cluster.flight.pop() {
         let read = matches!(&flight, Flight::Operate(1, _, _, Command::Read(_)));
         cluster.deliver(flight);
-        if read && cluster.config(1).count().scans > 1 {
+        if read && cluster.config(1).stats().scans > 1 {
             last = cluster.flight.pop();
         }
     }
@@ -108,7 +108,7 @@
     cluster.stop(1);
     cluster.start(1);
     cluster.run();
-    let count = cluster.config(1).count();
+    let count = cluster.config(1).stats();
     assert_eq!(cluster.config(1).revision(), Revision(102));
     let cost = (count.reads - count.polls, count.scans, count.fetches);
     assert_eq!(cost, (2, 1, 0));
@@ -127,7 +127,7 @@
     cluster
         .table
         .rows
-        .retain(|key, _| !key.starts_with(row::CHANGE));
+        .retain(|key, _| !key.starts_with(row::CHANGE_PREFIX));
     cluster.cut.clear();
     cluster.settle(3_000);
     assert_eq!(cluster.revisions(), [1_032, 1_032]);
@@ -138,17 +138,19 @@
     // Operators amend a record for years. Each change takes the row of the oldest one out, in the same transaction; an
     // instance that starts then doesn't need it, and applies the newest revision.
     let mut cluster = Cluster::with(1, &[sample::COMPUTE, OPEN]);
-    for i in 0..row::KEPT + 10 {
+    for i in 0..row::KEPT_CHANGES + 10 {
         let text = if i % 2 == 0 { CLOSED } else { OPEN };
         cluster.change(0, amend("pool/spare", i + 2, text));
     }
     let changes = cluster.table.rows.keys();
-    let changes = changes.filter(|key| key.starts_with(row::CHANGE)).count();
-    assert_eq!(changes as u64, row::KEPT);
+    let changes = changes
+        .filter(|key| key.starts_with(row::CHANGE_PREFIX))
+        .count();
+    assert_eq!(changes as u64, row::KEPT_CHANGES);
     cluster.stop(0);
     cluster.start(0);
     cluster.settle(3_000);
-    assert_eq!(cluster.revisions(), [row::KEPT + 12]);
+    assert_eq!(cluster.revisions(), [row::KEPT_CHANGES + 12]);
 }
 
 #[test]
@@ -159,7 +161,7 @@
     cluster
         .table
         .rows
-        .retain(|key, _| !key.starts_with(row::CHANGE));
+        .retain(|key, _| !key.starts_with(row::CHANGE_PREFIX));
     cluster.settle(5_000);
     assert_eq!(cluster.revisions(), [2]);
 }
@@ -180,7 +182,7 @@
     cluster.stop(1);
     cluster.start(1);
     cluster.run();
-    assert!(!cluster.config(1).ready());
+    assert!(!cluster.config(1).is_ready());
     cluster.settle(1_000);
     assert_eq!(cluster.revisions(), [2, 2]);
 }
--- a/tests/records/spread.rs
+++ b/tests/records/spread.rs
@@ -22,9 +22,9 @@
         text: text.to_owned(),
     };
     let writes = vec![
-        row::put(row::record(&change.name), &stored),
-        row::put(row::change(revision), &change),
-        row::put(row::HEAD.to_owned(), &row::Head { revision }),
+        row::write(row::record_key(&change.name), &stored),
+        row::write(row::change_key(revision), &change),
+        row::write(row::HEAD_KEY.to_owned(), &row::Head { revision }),
     ];
     let conditions = Vec::new();
     cluster.table.commit(&Group { conditions, writes });
@@ -84,7 +84,7 @@
     let mut cluster = Cluster::with(4, &[sample::COMPUTE]);
     cluster.settle(20_000);
     // Nodes 0 and 3 share a data centre; whichever is elected, all that it asks of the table is lost.
-    let polls = |i: usize| cluster.config(i).count().polls;
+    let polls = |i: usize| cluster.config(i).stats().polls;
     let silent = if polls(0) > polls(3) { 0 } else { 3 };
     plant(&mut cluster, "pool/spare", OPEN);
     for _ in 0..70 {
@@ -104,7 +104,7 @@
     let mut cluster = Cluster::with(6, &[sample::COMPUTE]);
     cluster.settle(1_000);
     let polls = |cluster: &Cluster| -> Vec<u64> {
-        (0..6).map(|i| cluster.config(i).count().polls).collect()
+        (0..6).map(|i| cluster.config(i).stats().polls).collect()
     };
     let before = polls(&cluster);
     cluster.settle(60_000);
@@ -172,11 +172,11 @@
     cluster.start(2);
     cluster.tick(100);
     cluster.run();
-    assert!(!cluster.config(2).ready());
+    assert!(!cluster.config(2).is_ready());
     let told = cluster.answer(2, Ask::List(None));
     assert_eq!(told, Report::Unready);
     cluster.settle(1_000);
-    assert!(cluster.config(2).ready());
+    assert!(cluster.config(2).is_ready());
     assert_eq!(cluster.revisions(), [2, 2, 2]);
 }
 
@@ -185,10 +185,10 @@
     let mut cluster = Cluster::new(1);
     cluster.outage = true;
     cluster.settle(5_000);
-    assert!(!cluster.config(0).ready());
+    assert!(!cluster.config(0).is_ready());
     cluster.outage = false;
     cluster.settle(2_000);
-    assert!(cluster.config(0).ready());
+    assert!(cluster.config(0).is_ready());
 }
 
 #[test]
@@ -271,7 +271,7 @@
     cluster.flight.clear();
     cluster.tick(11_000);
     cluster.settle(1_000);
-    assert!(cluster.config(0).ready());
+    assert!(cluster.config(0).is_ready());
 }
 
 #[test]
--- a/tests/records/table.rs
+++ b/tests/records/table.rs
@@ -37,17 +37,17 @@
 
     pub(crate) fn note(&mut self) {
         let head = self.head();
-        let texts = self.rows.range(row::RECORD.to_owned()..);
-        let texts = texts.take_while(|(key, _)| key.starts_with(row::RECORD));
+        let texts = self.rows.range(row::RECORD_PREFIX.to_owned()..);
+        let texts = texts.take_while(|(key, _)| key.starts_with(row::RECORD_PREFIX));
         let state: BTreeMap<_, _> = texts
-            .filter_map(|(key, _)| row::read::<row::Stored>(&self.row(key)?))
+            .filter_map(|(key, _)| row::decode::<row::Stored>(&self.row(key)?))
             .map(|stored| (stored.name.to_string(), stored.text))
             .collect();
         self.history.resize_with(head + 1, BTreeMap::new);
         if head > self.operations.len() {
-            let change = self.row(&row::change(Revision(head as u64))).unwrap();
+            let change = self.row(&row::change_key(Revision(head as u64))).unwrap();
             self.operations
-                .push(row::read::<row::Change>(&change).unwrap().operation);
+                .push(row::decode::<row::Change>(&change).unwrap().operation);
             self.history[head] = state;
         } else {
             assert_eq!(
@@ -59,8 +59,8 @@
 
     pub(crate) fn head(&self) -> usize {
         let head = self
-            .row(row::HEAD)
-            .and_then(|row| row::read::<row::Head>(&row));
+            .row(row::HEAD_KEY)
+            .and_then(|row| row::decode::<row::Head>(&row));
         head.map_or(0, |head| head.revision.0 as usize)
     }
 
