--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -51,8 +51,8 @@
 use crate::{
     core::message::{
         self,
-        Caller,
         Command,
+        IncomingCall,
         Request, //
     },
     event::{
@@ -98,7 +98,7 @@
     /// An operation on the platform ended.
     Completed(u64, message::Completion),
     /// A peer calls.
-    Called(Caller, Call),
+    Called(IncomingCall, Call),
     /// A call to a peer ended; nothing is known of it where no return came.
     Returned(u64, std::result::Result<Return, ()>),
     /// The other instances, all of them.
@@ -119,7 +119,7 @@
     /// Calls a peer.
     Call(Instance, u64, Call),
     /// Returns a call of a peer.
-    Return(Caller, Return),
+    Return(IncomingCall, Return),
     /// Writes an event to the log.
     Event(Event),
     /// A newer revision is in force here.
--- a/src/core/config/propagation.rs
+++ b/src/core/config/propagation.rs
@@ -22,7 +22,7 @@
     Output, //
 };
 use crate::{
-    core::message::Caller,
+    core::message::IncomingCall,
     prelude::*,
     record::Name, //
 };
@@ -125,7 +125,7 @@
         }
     }
 
-    pub(super) fn on_call(&mut self, caller: Caller, call: Call) {
+    pub(super) fn on_call(&mut self, caller: IncomingCall, call: Call) {
         self.stats.returns += 1;
         let value = match call {
             Call::Announce(announcement) => self.notified(announcement),
--- a/src/core/health.rs
+++ b/src/core/health.rs
@@ -53,7 +53,7 @@
     /// It gets what no other takes, since too many are out for it to be ejected.
     Suspected(Slot),
     /// It gets everything again.
-    Returned(Slot),
+    Restored(Slot),
 }
 
 impl Change {
@@ -64,7 +64,7 @@
             Self::Probation(slot) => (slot, Eligibility::Probation),
             Self::Trial(slot) => (slot, Eligibility::Trial),
             Self::Suspected(slot) => (slot, Eligibility::Suspect),
-            Self::Returned(slot) => (slot, Eligibility::Good),
+            Self::Restored(slot) => (slot, Eligibility::Good),
         }
     }
 }
@@ -213,7 +213,7 @@
             Eligibility::Good => None,
             Eligibility::Suspect => {
                 self.transition(slot, Eligibility::Good, None);
-                Some(Change::Returned(slot))
+                Some(Change::Restored(slot))
             }
             // Work from before the ejection: it does not fail everything, so it is tried at once.
             Eligibility::Ejected => {
@@ -255,7 +255,7 @@
         // It is tried again; its next failure makes it a suspect at once.
         if record.eligibility == Eligibility::Suspect {
             self.transition(slot, Eligibility::Good, None);
-            return Some(Change::Returned(slot));
+            return Some(Change::Restored(slot));
         }
         if record.eligibility == Eligibility::Ejected {
             self.transition(slot, Eligibility::Probation, Some(now + PROBATION_TIMEOUT));
@@ -297,7 +297,7 @@
         record.failures = 0;
         let count = self.groups.get_mut(&record.group)?;
         count.out -= 1;
-        Some(Change::Returned(slot))
+        Some(Change::Restored(slot))
     }
 
     fn transition(&mut self, slot: Slot, eligibility: Eligibility, due: Option<Time>) {
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -54,7 +54,7 @@
 
 /// Names a call from a peer until it is returned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Caller(pub u64);
+pub struct IncomingCall(pub u64);
 
 /// An operation on the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -264,7 +264,7 @@
     /// A look at an attempt, or a stop, gave this; none where the endpoint can't be reached.
     Looked(Attempt, Option<Status>),
     /// A peer calls.
-    Called(Caller, Call),
+    Called(IncomingCall, Call),
     /// A call to a peer ended.
     Returned(CallId, Return),
     /// The platform's list was read.
@@ -326,7 +326,7 @@
         wait: Span,
     },
     /// Returns a call.
-    Return(Caller, Return),
+    Return(IncomingCall, Return),
     /// How many live instances share the platform's budget of writes.
     Share(usize),
     /// Counts something for the metrics.
--- a/src/core/peering.rs
+++ b/src/core/peering.rs
@@ -5,8 +5,8 @@
     message::{
         Call,
         CallId,
-        Caller,
         Heartbeat,
+        IncomingCall,
         Output,
         Return, //
     },
@@ -51,7 +51,7 @@
         });
     }
 
-    pub(super) fn on_call(&mut self, caller: Caller, call: Call) {
+    pub(super) fn on_call(&mut self, caller: IncomingCall, call: Call) {
         match call {
             Call::Submit(forward) if forward.owner != self.identity.incarnation => {
                 self.outputs
--- a/src/core/stage.rs
+++ b/src/core/stage.rs
@@ -9,7 +9,7 @@
 
 use super::{
     message::{
-        Caller,
+        IncomingCall,
         Request, //
     },
     placement::Slot,
@@ -27,7 +27,7 @@
     /// A caller of this instance.
     Request(Request),
     /// A peer that forwarded the submission.
-    Peer(Caller),
+    Peer(IncomingCall),
 }
 
 /// What every job has, whatever its stage.
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -35,9 +35,9 @@
 use crate::{
     core::message::{
         Call,
-        Caller,
         Forward,
         Heartbeat,
+        IncomingCall,
         Input,
         Observation,
         Output,
@@ -74,7 +74,7 @@
     metrics: Arc<Metrics>,
     back: ring::Sender<Input>,
     serial: Cell<u64>,
-    calls: RefCell<HashMap<Caller, oneshot::Sender<Return>>>,
+    calls: RefCell<HashMap<IncomingCall, oneshot::Sender<Return>>>,
     clients: RefCell<HashMap<Instance, Link>>,
     served: Cell<usize>,
 }
@@ -207,7 +207,7 @@
     /// Hands a peer's call to the decisions and waits for the return.
     fn ask(&self, call: Call) -> oneshot::Receiver<Return> {
         let (sender, receiver) = oneshot::channel();
-        let caller = Caller(self.next());
+        let caller = IncomingCall(self.next());
         let mut calls = self.calls.borrow_mut();
         calls.retain(|_, call| !call.is_closed());
         // Dropping the sender tells the peer that the call was refused.
--- a/tests/orders/world.rs
+++ b/tests/orders/world.rs
@@ -17,10 +17,10 @@
         message::{
             Call,
             CallId,
-            Caller,
             Command,
             Completion,
             End,
+            IncomingCall,
             Input,
             Output,
             Request,
@@ -550,7 +550,7 @@
                 self.serial += 1;
                 self.calls.insert(self.serial, (run, id));
                 let to = (0..INSTANCES).find(|i| format!("entry-{i}") == to.as_str());
-                let input = Input::Called(Caller(self.serial), call);
+                let input = Input::Called(IncomingCall(self.serial), call);
                 self.step(self.run(to.expect("a known peer")), input);
             }
             Message::Input(run, input) => self.step(run, input),
@@ -709,7 +709,7 @@
             Output::Call { to, id, call, .. } => {
                 self.messages.push(Message::Call(run, to, id, call));
             }
-            Output::Return(Caller(call), result) => {
+            Output::Return(IncomingCall(call), result) => {
                 if let Some((run, id)) = self.calls.remove(&call) {
                     let input = Input::Returned(id, result);
                     self.messages.push(Message::Input(run, input));
--- a/tests/policy/health.rs
+++ b/tests/policy/health.rs
@@ -101,12 +101,12 @@
     assert!(!well.contains(&slot), "there was room elsewhere");
     assert_eq!(place(&mut placement), slot);
     let (again, changes) = until_change(&mut health, Time(0));
-    assert!(changes.contains(&Change::Returned(slot)), "{changes:?}");
+    assert!(changes.contains(&Change::Restored(slot)), "{changes:?}");
     assert_eq!(
         health.on_failure(again, slot, 4),
         Some(Change::Suspected(slot))
     );
-    assert_eq!(health.on_success(again, slot), Some(Change::Returned(slot)));
+    assert_eq!(health.on_success(again, slot), Some(Change::Restored(slot)));
 }
 
 #[test]
@@ -132,7 +132,7 @@
     );
     assert_eq!(
         health.on_success(second, slot),
-        Some(Change::Returned(slot))
+        Some(Change::Restored(slot))
     );
     assert!(health.allows(slot, Class::NonIdempotent));
 }
@@ -175,7 +175,7 @@
     let (now, changes) = until_change(&mut health, now);
     assert_eq!(changes, [Change::Trial(slot)]);
     assert!(health.allows(slot, Class::NonIdempotent));
-    assert_eq!(health.on_success(now, slot), Some(Change::Returned(slot)));
+    assert_eq!(health.on_success(now, slot), Some(Change::Restored(slot)));
 }
 
 #[test]
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -39,9 +39,9 @@
                 Return,
             },
             message::{
-                Caller,
                 Command,
                 Completion, //
+                IncomingCall,
                 Request,
             },
         },
--- a/tests/records/cluster.rs
+++ b/tests/records/cluster.rs
@@ -216,7 +216,7 @@
                 }
                 self.next += 1;
                 self.callers.insert(self.next, (from, epoch, ticket));
-                self.input(to, Input::Called(Caller(self.next), call));
+                self.input(to, Input::Called(IncomingCall(self.next), call));
             }
             Flight::Return(i, epoch, ticket, value) => {
                 if self.nodes[i].epoch == epoch {
