--- a/src/core.rs
+++ b/src/core.rs
@@ -115,9 +115,9 @@
     /// Whether the instance has been ready once.
     announced: bool,
     /// This instance's share of the work at the endpoints, as their answers tell.
-    share: f64,
+    endpoint_share: f64,
     /// Whose turn it is when services compete for endpoints.
-    turn: usize,
+    next_service: usize,
     /// The list that was taken over last.
     list: Option<Arc<List>>,
     jobs: HashMap<u64, stage::Stage>,
@@ -159,8 +159,8 @@
             draining: None,
             drained: false,
             announced: false,
-            share: 1.0,
-            turn: 0,
+            endpoint_share: 1.0,
+            next_service: 0,
             list: None,
             jobs: HashMap::new(),
             requests: HashMap::new(),
@@ -200,7 +200,7 @@
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Output> {
         let gap = now.since(self.now);
         if gap >= PAUSE && self.now != Time::default() {
-            self.event(Code::Awoke, format!("for {gap}"));
+            self.log_event(Code::Awoke, format!("for {gap}"));
         }
         self.now = self.now.max(now);
         self.run_timers();
@@ -226,16 +226,16 @@
             Input::Cancel { request, team, key } => self.cancel_job(request, &team, &key),
             Input::Find { request, team, key } => self.find_job(request, &team, &key),
             Input::Hangup(request) => self.on_hangup(request),
-            Input::Operate { request, ask } => self.configure(config::Input::Ask(request, ask)),
-            Input::Operated(Ticket::Claim(ticket), result) => self.operated(ticket, result),
-            Input::Operated(Ticket::Config(ticket), result) => {
-                self.configure(config::Input::Operated(ticket, result));
+            Input::Ask { request, ask } => self.configure(config::Input::Ask(request, ask)),
+            Input::Completed(Ticket::Claim(ticket), result) => self.on_completion(ticket, result),
+            Input::Completed(Ticket::Config(ticket), result) => {
+                self.configure(config::Input::Completed(ticket, result));
             }
             Input::Ended(attempt, end) => self.on_attempt_end(attempt, end),
             Input::Looked(attempt, status) => self.on_status(attempt, status),
-            Input::Called(caller, call) => self.called(caller, call),
-            Input::Returned(id, result) => self.returned(id, result),
-            Input::Listed(list) => self.take_list(&list),
+            Input::Called(caller, call) => self.on_call(caller, call),
+            Input::Returned(id, result) => self.on_return(id, result),
+            Input::Listed(list) => self.apply_list(&list),
             Input::Tick => self.tick(),
             Input::Wake => {}
             Input::Drain => self.drain(),
@@ -247,8 +247,8 @@
     }
 
     /// Returns when the next step is due even without an input.
-    pub fn due(&self) -> Option<Time> {
-        self.timers.due()
+    pub fn next_due(&self) -> Option<Time> {
+        self.timers.next_due()
     }
 
     /// Returns the range that callers may take keys from now.
@@ -257,12 +257,12 @@
     }
 
     /// Tells whether the instance can serve: it has the list and a configuration, knows its peers, and isn't draining.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         let Some(listed) = self.listed else {
             return false;
         };
-        let converged = self.membership.converged(self.now, listed);
-        converged && self.config.ready() && self.draining.is_none()
+        let converged = self.membership.has_converged(self.now, listed);
+        converged && self.config.is_ready() && self.draining.is_none()
     }
 
     /// Returns counts of what the core holds.
@@ -274,17 +274,17 @@
             bytes: self.registry.bytes(),
             outstanding: self.placement.total().outstanding as usize,
             eligible: self.placement.total().eligible as usize,
-            ejected: self.health.ejected(),
-            instances: self.membership.live(),
+            ejected: self.health.ejected_count(),
+            instances: self.membership.live_count(),
             revision: self.config.revision(),
         }
     }
 
-    fn event(&mut self, code: Code, detail: impl Into<String>) {
+    fn log_event(&mut self, code: Code, detail: impl Into<String>) {
         self.outputs.push(Output::Event(Event::new(code, detail)));
     }
 
-    fn next(&mut self) -> u64 {
+    fn next_serial(&mut self) -> u64 {
         self.serial += 1;
         self.serial
     }
@@ -295,7 +295,7 @@
     }
 
     fn run_timers(&mut self) {
-        while let Some(timer) = self.timers.pop(self.now) {
+        while let Some(timer) = self.timers.pop_due(self.now) {
             match timer {
                 Timer::Deadline(job) => self.on_deadline(job),
                 Timer::Look(attempt) => self.check_overdue_attempt(attempt),
@@ -306,11 +306,11 @@
         }
     }
 
-    fn take_list(&mut self, list: &Arc<List>) {
+    fn apply_list(&mut self, list: &Arc<List>) {
         self.listed.get_or_insert(self.now);
-        self.membership.listed(self.now, &list.instances);
+        self.membership.apply_list(self.now, &list.instances);
         // Instances that never use these endpoints take no part of their connections.
-        let sharing = self.membership.live_in(&self.identity.reach);
+        let sharing = self.membership.live_count_in(&self.identity.reach);
         let changes = self.placement.apply_list(&list.endpoints, sharing);
         for change in changes {
             self.apply_listed(change);
@@ -324,7 +324,8 @@
             self.list = Some(list.clone());
             self.configure(config::Input::Workers(list.endpoints.clone()));
         }
-        self.outputs.push(Output::Share(self.membership.live()));
+        self.outputs
+            .push(Output::Share(self.membership.live_count()));
         self.dispatch();
     }
 
@@ -333,15 +334,15 @@
         match change {
             Change::Added(slot) | Change::Updated(slot) => {
                 if let Some(worker) = self.placement.endpoint(slot) {
-                    self.health.added(slot, worker);
+                    self.health.insert(slot, worker);
                 }
             }
             Change::Leaving(slot) | Change::Absent(slot) => {
                 let name = self.placement.endpoint(slot).map(|w| w.name.to_string());
-                self.event(Code::EndpointLeaving, name.unwrap_or_default());
+                self.log_event(Code::EndpointLeaving, name.unwrap_or_default());
             }
             Change::Dropped(slot) => {
-                self.health.dropped(slot);
+                self.health.remove(slot);
                 self.endpoint_incarnations.remove(&slot);
             }
         }
@@ -349,24 +350,24 @@
 
     fn tick(&mut self) {
         let dropped = self.registry.evict(self.now);
-        self.note_dropped(dropped);
+        self.log_forgotten(dropped);
         self.tick_health();
         self.tick_membership();
         self.configure(config::Input::Tick);
         self.dispatch();
     }
 
-    fn note_dropped(&mut self, dropped: usize) {
+    fn log_forgotten(&mut self, dropped: usize) {
         // Age alone drops keys all the time; only a full registry is worth a line.
         if dropped > 0 && self.registry.is_full() {
-            self.event(Code::Forgotten, format!("{dropped} keys"));
+            self.log_event(Code::Forgotten, format!("{dropped} keys"));
         }
     }
 
     fn drain(&mut self) {
         if self.draining.is_none() {
             self.draining = Some(self.now);
-            self.event(
+            self.log_event(
                 Code::Draining,
                 format!("{} jobs in progress", self.jobs.len()),
             );
@@ -384,9 +385,9 @@
     }
 
     fn check_ready(&mut self) {
-        if !self.announced && self.ready() {
+        if !self.announced && self.is_ready() {
             self.announced = true;
-            self.event(
+            self.log_event(
                 Code::Ready,
                 format!("at revision {}", self.config.revision()),
             );
@@ -397,7 +398,7 @@
         if self.draining.is_none() || self.drained {
             return;
         }
-        if self.jobs.is_empty() && !self.recording() {
+        if self.jobs.is_empty() && !self.is_recording() {
             self.drained = true;
             self.outputs.push(Output::Drained);
         }
@@ -409,9 +410,9 @@
                 config::Output::Report(request, report) => {
                     self.outputs.push(Output::Report(request, report));
                 }
-                config::Output::Operate(ticket, operate) => {
+                config::Output::Command(ticket, operate) => {
                     self.outputs
-                        .push(Output::Operate(Ticket::Config(ticket), operate));
+                        .push(Output::Command(Ticket::Config(ticket), operate));
                 }
                 config::Output::Call(to, id, call) => {
                     self.call(to, CallId::Config(id), message::Call::Config(call), None);
--- a/src/core/claim_resolution.rs
+++ b/src/core/claim_resolution.rs
@@ -14,8 +14,8 @@
         self,
         Call,
         CallId,
+        Command,
         Forward,
-        Operate,
         Return, //
     },
     peering::Pending,
@@ -39,43 +39,43 @@
 const SETTLE: Span = Span::millis(100);
 
 impl Core {
-    pub(super) fn on_store_result(&mut self, number: u64, result: message::Result) {
+    pub(super) fn on_store_result(&mut self, number: u64, result: message::Completion) {
         let Some(Stage::Received(job)) = self.take_received(number) else {
             return;
         };
         match (job.stage.wait.clone(), result) {
-            (Wait::Claim(nonce), message::Result::Verdict(verdict)) => {
+            (Wait::Claim(nonce), message::Completion::Verdict(verdict)) => {
                 if verdict.applied {
                     self.run_claimed(job, nonce);
                 } else {
                     self.resolve_claim(job, verdict.current.first(), Some(nonce));
                 }
             }
-            (Wait::Claim(_), message::Result::Refused) => self.fail_claim(job),
-            (Wait::Claim(nonce) | Wait::Settle(nonce), message::Result::Unknown) => {
+            (Wait::Claim(_), message::Completion::Refused) => self.fail_claim(job),
+            (Wait::Claim(nonce) | Wait::Settle(nonce), message::Completion::Unknown) => {
                 self.schedule_claim_read(job, nonce);
             }
-            (Wait::Settle(nonce), message::Result::Row(Some(row))) => {
+            (Wait::Settle(nonce), message::Completion::Row(Some(row))) => {
                 self.resolve_claim(job, Some(&row), Some(nonce));
             }
             // The write may still be on its way. Inserting the same claim again settles it either way: what
             // lands second finds the first, with the same nonce.
-            (Wait::Settle(nonce), message::Result::Row(None)) => {
+            (Wait::Settle(nonce), message::Completion::Row(None)) => {
                 self.retry_claim_insert(job, nonce)
             }
             // A table that hangs answers no read either, and would hold the caller until its deadline. The
             // nonce is kept, so a later submission still settles the claim, and nothing runs before that.
-            (Wait::Settle(_), _) if self.store_down() => self.fail_claim(job),
+            (Wait::Settle(_), _) if self.is_store_down() => self.fail_claim(job),
             (Wait::Settle(nonce), _) => self.schedule_claim_read(job, nonce),
-            (Wait::Verify(refusal), message::Result::Row(None)) => {
+            (Wait::Verify(refusal), message::Completion::Row(None)) => {
                 self.finish_received(job, refusal);
             }
-            (Wait::Verify(_), message::Result::Row(Some(row))) => {
+            (Wait::Verify(_), message::Completion::Row(Some(row))) => {
                 self.resolve_claim(job, Some(&row), None)
             }
             (Wait::Verify(refusal), _) => self.finish_received(job, doubtful(&refusal)),
-            (Wait::Record, message::Result::Row(row)) => self.on_outcome_row(job, row),
-            (Wait::Object, message::Result::Object(bytes)) => {
+            (Wait::Record, message::Completion::Row(row)) => self.on_outcome_row(job, row),
+            (Wait::Object, message::Completion::Object(bytes)) => {
                 let answer = bytes.and_then(|bytes| serde_json::from_slice(&bytes).ok());
                 let answer = answer.unwrap_or_else(owner_gone);
                 self.finish_received(job, answer);
@@ -104,7 +104,7 @@
     fn schedule_claim_read(&mut self, mut job: Job<Received>, nonce: Nonce) {
         if !matches!(job.stage.wait, Wait::Settle(_)) {
             let name = job.submission.key.as_ref().map(ToString::to_string);
-            self.event(Code::ClaimUnsettled, name.unwrap_or_default());
+            self.log_event(Code::ClaimUnsettled, name.unwrap_or_default());
         }
         job.stage.wait = Wait::Settle(nonce);
         let at = self.now + SETTLE;
@@ -120,7 +120,7 @@
             return;
         };
         let place = claim::claim_row_key(&job.submission.team, key);
-        self.operate(number, Operate::Read(place));
+        self.start_command(number, Command::Read(place));
     }
 
     fn run_claimed(&mut self, job: Job<Received>, nonce: Nonce) {
@@ -167,12 +167,12 @@
         self.release_admission(&mut job);
         // An instance that has just started may not have heard of the incarnation; its name will do, since the
         // peer that is asked says whether it is the one.
-        let named = name.filter(|_| !self.membership.gone(owner)).cloned();
+        let named = name.filter(|_| !self.membership.has_ended(owner)).cloned();
         let known = self.membership.owner(owner).map(|(peer, _)| peer);
         let Some(peer) = known.or(named) else {
             return self.read_outcome(job);
         };
-        if !self.membership.alive(self.now, &peer) {
+        if !self.membership.is_alive(self.now, &peer) {
             return self.read_outcome(job);
         }
         let forward = Forward {
@@ -182,8 +182,9 @@
             left: Span(job.deadline.since(self.now).0),
         };
         job.stage.wait = Wait::Owner(peer.clone());
-        let id = self.next();
-        self.calls.insert(id, Pending::of(peer.clone(), job.number));
+        let id = self.next_serial();
+        self.calls
+            .insert(id, Pending::for_job(peer.clone(), job.number));
         let wait = forward.left;
         self.jobs.insert(job.number, Stage::Received(job));
         self.call(peer, CallId::Submit(id), Call::Submit(forward), Some(wait));
@@ -196,14 +197,14 @@
             return self.finish_received(job, owner_gone());
         };
         // Outcomes of range keys are not recorded: the way without a write has none to read either.
-        if Range::of(&key).is_some() || !self.store_open() {
+        if Range::of(&key).is_some() || !self.may_try_store() {
             return self.finish_received(job, owner_gone());
         }
         job.stage.wait = Wait::Record;
         let place = claim::outcome_row_key(&job.submission.team, &key);
         let number = job.number;
         self.jobs.insert(number, Stage::Received(job));
-        self.operate(number, Operate::Read(place));
+        self.start_command(number, Command::Read(place));
     }
 
     fn on_outcome_row(&mut self, mut job: Job<Received>, row: Option<wire::Row>) {
@@ -221,7 +222,7 @@
         job.stage.wait = Wait::Object;
         let number = job.number;
         self.jobs.insert(number, Stage::Received(job));
-        self.operate(number, Operate::Get(name));
+        self.start_command(number, Command::Get(name));
     }
 
     /// Goes on with a job whose owner was asked.
--- a/src/core/completion.rs
+++ b/src/core/completion.rs
@@ -38,7 +38,7 @@
             let tasks = job.submission.tasks.len() as u32;
             let team = &job.submission.team;
             self.admission
-                .release(team, tasks, job.bytes, admitted.work);
+                .release_job(team, tasks, job.bytes, admitted.work);
         }
     }
 
@@ -74,7 +74,7 @@
         let tasks = submission.tasks.iter().zip(&job.stage.tasks);
         let rest = tasks.filter(|(_, progress)| !progress.done);
         let work = rest.map(|(task, _)| task.expected.0).sum();
-        self.admission.release(
+        self.admission.release_job(
             &submission.team,
             job.stage.left as u32,
             job.bytes,
@@ -102,12 +102,12 @@
             Entry::Abandoned(job.stage.nonce.unwrap_or(Nonce(0)))
         } else {
             if job.stage.nonce.is_some() {
-                self.record(team, key, job.digest, answer);
+                self.record_outcome(team, key, job.digest, answer);
             }
             Entry::Kept(Kept::new(answer))
         };
         let dropped = self.registry.finish(self.now, team, key, entry);
-        self.note_dropped(dropped);
+        self.log_forgotten(dropped);
     }
 
     pub(super) fn count_answer(&mut self, answer: &Answer, class: Class) {
@@ -122,7 +122,7 @@
         self.count_answer(answer, class);
         if answer.outcome == Outcome::Unknown {
             let detail = format!("job {job}: {}", answer.detail);
-            self.event(Code::OutcomeUnknown, detail);
+            self.log_event(Code::OutcomeUnknown, detail);
         }
     }
 
--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -6,20 +6,20 @@
 //! | [`trail`] | keeps what is to be written into the audit trail later |
 //! | [`sync`] | catches up with the table or a peer |
 //! | [`load`] | loads everything from the table or a peer |
-//! | [`spread`] | notifies peers of changes, and answers their calls |
+//! | [`propagation`] | notifies peers of changes, and answers their calls |
 //! | [`query`] | answers the questions of operators |
 //! | [`row`] | the rows of the table |
 
 pub mod ask;
 pub mod call;
-pub mod count;
 pub mod edit;
 pub mod load;
+pub mod propagation;
 pub mod query;
 pub mod report;
 pub mod row;
-pub mod spread;
 pub mod state;
+pub mod stats;
 pub mod sync;
 pub mod trail;
 
@@ -34,12 +34,12 @@
         Call,
         Return, //
     },
-    count::Count,
     report::Report,
+    stats::Stats,
 };
 use self::{
     edit::Edits,
-    spread::Notification,
+    propagation::Notification,
     state::{
         Applied,
         Pending,
@@ -51,8 +51,8 @@
 use crate::{
     core::message::{
         self,
-        Caller,
-        Operate,
+        Command,
+        IncomingCall,
         Request, //
     },
     event::{
@@ -96,9 +96,9 @@
     /// An operator asks something.
     Ask(Request, Ask),
     /// An operation on the platform ended.
-    Operated(u64, message::Result),
+    Completed(u64, message::Completion),
     /// A peer calls.
-    Called(Caller, Call),
+    Called(IncomingCall, Call),
     /// A call to a peer ended; nothing is known of it where no return came.
     Returned(u64, std::result::Result<Return, ()>),
     /// The other instances, all of them.
@@ -115,11 +115,11 @@
     /// Answers an operator.
     Report(Request, Report),
     /// Operates on the platform.
-    Operate(u64, Operate),
+    Command(u64, Command),
     /// Calls a peer.
     Call(Instance, u64, Call),
     /// Returns a call of a peer.
-    Return(Caller, Return),
+    Return(IncomingCall, Return),
     /// Writes an event to the log.
     Event(Event),
     /// A newer revision is in force here.
@@ -142,7 +142,7 @@
     pending: BTreeMap<u64, Pending>,
     next: u64,
     now: Time,
-    count: Count,
+    stats: Stats,
     outputs: Vec<Output>,
 }
 
@@ -163,14 +163,14 @@
             pending: BTreeMap::new(),
             next: 0,
             now: Time::default(),
-            count: Count::default(),
+            stats: Stats::default(),
             outputs: Vec::new(),
         }
     }
 
     /// Tells whether there is a configuration, from the table or from a peer.
-    pub fn ready(&self) -> bool {
-        self.applied.ready()
+    pub fn is_ready(&self) -> bool {
+        self.applied.is_ready()
     }
 
     /// Returns the revision that is in force here.
@@ -193,8 +193,8 @@
     }
 
     /// Returns what the configuration has cost.
-    pub fn count(&self) -> Count {
-        self.count
+    pub fn stats(&self) -> Stats {
+        self.stats
     }
 
     /// Takes in what happened, and returns what is to be done.
@@ -203,9 +203,9 @@
         let before = self.revision();
         match input {
             Input::Ask(request, ask) => self.ask(request, ask),
-            Input::Operated(ticket, result) => self.operated(ticket, result),
-            Input::Called(caller, call) => self.called(caller, call),
-            Input::Returned(ticket, result) => self.returned(ticket, result.ok()),
+            Input::Completed(ticket, result) => self.on_completion(ticket, result),
+            Input::Called(caller, call) => self.on_call(caller, call),
+            Input::Returned(ticket, result) => self.on_return(ticket, result.ok()),
             Input::Peers(peers) => self.update_peers(peers),
             Input::Workers(workers) => {
                 self.workers = Some(Capacity::of(&workers));
@@ -219,7 +219,7 @@
         self.notify();
         if self.revision() != before {
             let revision = self.revision();
-            self.event(Code::ChangeApplied, format!("revision {revision}"));
+            self.log_event(Code::ChangeApplied, format!("revision {revision}"));
             self.outputs.push(Output::InForce(revision));
         }
         std::mem::take(&mut self.outputs)
@@ -243,7 +243,7 @@
         }
     }
 
-    fn event(&mut self, code: Code, detail: impl Into<String>) {
+    fn log_event(&mut self, code: Code, detail: impl Into<String>) {
         self.outputs.push(Output::Event(Event::new(code, detail)));
     }
 
@@ -263,17 +263,17 @@
     }
 
     /// Operates on the platform; returns no ticket where too much is in progress.
-    fn operate(&mut self, purpose: Purpose, operate: Operate) -> Option<u64> {
+    fn operate(&mut self, purpose: Purpose, operate: Command) -> Option<u64> {
         let ticket = self.ticket(purpose)?;
         match &operate {
-            Operate::Commit(group) => {
-                self.count.commits += 1;
-                self.count.writes += group.writes.len() as u64;
+            Command::Commit(group) => {
+                self.stats.commits += 1;
+                self.stats.writes += group.writes.len() as u64;
             }
-            Operate::Scan { .. } => self.count.scans += 1,
-            _ => self.count.reads += 1,
+            Command::Scan { .. } => self.stats.scans += 1,
+            _ => self.stats.reads += 1,
         }
-        self.outputs.push(Output::Operate(ticket, operate));
+        self.outputs.push(Output::Command(ticket, operate));
         Some(ticket)
     }
 
@@ -281,15 +281,15 @@
     fn call(&mut self, purpose: Purpose, to: Instance, call: Call) -> Option<u64> {
         let ticket = self.ticket(purpose)?;
         match call {
-            Call::Announce(_) => self.count.announces += 1,
-            Call::Fetch { .. } => self.count.fetches += 1,
-            Call::Snapshot { .. } => self.count.snapshots += 1,
+            Call::Announce(_) => self.stats.announces += 1,
+            Call::Fetch { .. } => self.stats.fetches += 1,
+            Call::Snapshot { .. } => self.stats.snapshots += 1,
         }
         self.outputs.push(Output::Call(to, ticket, call));
         Some(ticket)
     }
 
-    fn operated(&mut self, ticket: u64, result: message::Result) {
+    fn on_completion(&mut self, ticket: u64, result: message::Completion) {
         // A ticket that expired is not there any more: what comes late is not acted on.
         let Some(pending) = self.pending.remove(&ticket) else {
             return;
@@ -304,7 +304,7 @@
         }
     }
 
-    fn returned(&mut self, ticket: u64, result: Option<Return>) {
+    fn on_return(&mut self, ticket: u64, result: Option<Return>) {
         let Some(pending) = self.pending.remove(&ticket) else {
             return;
         };
@@ -326,8 +326,8 @@
         for ticket in late {
             let call = |p: &Pending| matches!(p.purpose, Purpose::Announce(_) | Purpose::Peer);
             match self.pending.get(&ticket).is_some_and(call) {
-                true => self.returned(ticket, None),
-                false => self.operated(ticket, message::Result::Unknown),
+                true => self.on_return(ticket, None),
+                false => self.on_completion(ticket, message::Completion::Unknown),
             }
         }
     }
--- a/src/core/config/query.rs
+++ b/src/core/config/query.rs
@@ -20,9 +20,9 @@
 use crate::{
     audit,
     core::message::{
-        Operate,
+        Command,
+        Completion, //
         Request,
-        Result, //
     },
     prelude::*,
     record::{
@@ -40,7 +40,7 @@
         let report = match ask {
             Ask::Edit(edit) => return self.submit(request, edit),
             Ask::Audit(audit) => return self.ask_audit(request, audit),
-            _ if !self.ready() => Report::Unready,
+            _ if !self.is_ready() => Report::Unready,
             Ask::List(kind) => self.list(kind),
             Ask::Show(record) => match self.applied.set().get(&record) {
                 Some(entry) => Report::Record(view(entry)),
@@ -102,7 +102,7 @@
         let prefix = audit::prefix(audit.record.as_ref());
         let first = || audit::mark(audit.from_ms, None);
         let after = prefix.clone() + &audit.after.clone().unwrap_or_else(first);
-        let scan = Operate::Scan {
+        let scan = Command::Scan {
             prefix,
             after,
             limit: PAGE,
@@ -112,12 +112,12 @@
         }
     }
 
-    pub(super) fn audited(&mut self, request: Request, audit: &ask::Audit, result: Result) {
-        let Result::Rows(rows) = result else {
+    pub(super) fn audited(&mut self, request: Request, audit: &ask::Audit, result: Completion) {
+        let Completion::Rows(rows) = result else {
             return self.report(request, Report::Unavailable);
         };
         let wanted = |entry: &audit::Entry| audit.to_ms.is_none_or(|to| entry.at_ms <= to);
-        let mut entries: Vec<audit::Entry> = rows.iter().filter_map(row::read).collect();
+        let mut entries: Vec<audit::Entry> = rows.iter().filter_map(row::decode).collect();
         // There may be more where the page is full and its last entry is not past the end that was asked for.
         let more = rows.len() >= PAGE as usize && entries.last().is_some_and(wanted);
         entries.retain(wanted);
--- a/src/core/execution.rs
+++ b/src/core/execution.rs
@@ -118,8 +118,8 @@
         if waiting.is_empty() {
             return;
         }
-        let first = self.turn % waiting.len();
-        self.turn = self.turn.wrapping_add(1);
+        let first = self.next_service % waiting.len();
+        self.next_service = self.next_service.wrapping_add(1);
         waiting.rotate_left(first);
         while !waiting.is_empty() {
             waiting.retain(|service| self.dispatch_one(service));
@@ -239,7 +239,7 @@
                     self.conclude(attempt, None, Conclusion::Lost);
                 } else {
                     // It may run on behind a broken connection; the endpoint itself knows.
-                    self.event(Code::StartLost, attempt.to_string());
+                    self.log_event(Code::StartLost, attempt.to_string());
                     self.request_status(&pending, false);
                 }
             }
@@ -254,7 +254,7 @@
         match reply {
             Reply::Done { result, load } => {
                 self.retries.on_success();
-                let change = self.health.succeeded(self.now, pending.slot);
+                let change = self.health.on_success(self.now, pending.slot);
                 self.apply_health_change(change);
                 self.conclude(attempt, Some(load), Conclusion::Done(result));
             }
@@ -306,7 +306,7 @@
             .on_task_end(pending.slot, done.then_some(took), load);
         match conclusion {
             Conclusion::Done(result) => {
-                self.admission.learned(expected, took);
+                self.admission.record_run_time(expected, took);
                 self.hedges.on_success(&service, took);
                 self.finish_task(attempt, took, result);
             }
@@ -338,7 +338,7 @@
         let own = self.placement.outstanding(slot).max(1);
         let all = load.running.saturating_add(load.queued).saturating_add(1);
         let sample = f64::from(own) / f64::from(all.max(own));
-        self.share += (sample - self.share) * SHARE_GAIN;
+        self.endpoint_share += (sample - self.endpoint_share) * SHARE_GAIN;
     }
 
     fn finish_task(&mut self, attempt: Attempt, took: Span, result: Arc<RawValue>) {
@@ -347,7 +347,7 @@
         };
         let expected = job.submission.tasks[attempt.task as usize].expected;
         let team = &job.submission.team;
-        self.admission.finished(team, 1, expected);
+        self.admission.finish_tasks(team, 1, expected);
         if let Some(queue) = self.queues.get_mut(&job.stage.admitted.route.service) {
             queue.charge_run_time(team, expected, took);
         }
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -54,15 +54,15 @@
 
 /// Names a call from a peer until it is returned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Caller(pub u64);
+pub struct IncomingCall(pub u64);
 
 /// An operation on the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Operate {
+pub enum Command {
     /// A group of writes; groups that wait are committed together.
     Commit(Group),
     /// A group of writes that may wait for the next commit, or a moment.
-    Later(Group),
+    CommitLater(Group),
     /// Reads a row.
     Read(String),
     /// Reads rows in the order of their keys.
@@ -87,7 +87,7 @@
 
 /// What an operation on the platform gave.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Result {
+pub enum Completion {
     /// A group was decided.
     Verdict(Verdict),
     /// A row was read.
@@ -251,20 +251,20 @@
     /// A caller's connection is gone.
     Hangup(Request),
     /// An operator asks something.
-    Operate {
+    Ask {
         /// The request.
         request: Request,
         /// What is asked.
         ask: Ask,
     },
     /// An operation on the platform ended.
-    Operated(Ticket, Result),
+    Completed(Ticket, Completion),
     /// A start ended, one way or the other.
     Ended(Attempt, End),
     /// A look at an attempt, or a stop, gave this; none where the endpoint can't be reached.
     Looked(Attempt, Option<Status>),
     /// A peer calls.
-    Called(Caller, Call),
+    Called(IncomingCall, Call),
     /// A call to a peer ended.
     Returned(CallId, Return),
     /// The platform's list was read.
@@ -287,7 +287,7 @@
     /// Answers an operator.
     Report(Request, Report),
     /// Operates on the platform.
-    Operate(Ticket, Operate),
+    Command(Ticket, Command),
     /// Starts a task at an endpoint.
     Start {
         /// The endpoint.
@@ -326,7 +326,7 @@
         wait: Span,
     },
     /// Returns a call.
-    Return(Caller, Return),
+    Return(IncomingCall, Return),
     /// How many live instances share the platform's budget of writes.
     Share(usize),
     /// Counts something for the metrics.
--- a/src/core/peering.rs
+++ b/src/core/peering.rs
@@ -5,8 +5,8 @@
     message::{
         Call,
         CallId,
-        Caller,
         Heartbeat,
+        IncomingCall,
         Output,
         Return, //
     },
@@ -31,7 +31,7 @@
 }
 
 impl Pending {
-    pub(super) fn of(to: Instance, job: u64) -> Self {
+    pub(super) fn for_job(to: Instance, job: u64) -> Self {
         Self { to, job: Some(job) }
     }
 }
@@ -40,7 +40,7 @@
     /// Calls a peer, or tells at once that it isn't known.
     pub(super) fn call(&mut self, to: Instance, id: CallId, call: Call, wait: Option<Span>) {
         let Some(address) = self.membership.address(&to) else {
-            return self.returned(id, Return::Refused);
+            return self.on_return(id, Return::Refused);
         };
         self.outputs.push(Output::Call {
             to,
@@ -51,7 +51,7 @@
         });
     }
 
-    pub(super) fn called(&mut self, caller: Caller, call: Call) {
+    pub(super) fn on_call(&mut self, caller: IncomingCall, call: Call) {
         match call {
             Call::Submit(forward) if forward.owner != self.identity.incarnation => {
                 self.outputs
@@ -75,7 +75,7 @@
         }
     }
 
-    pub(super) fn returned(&mut self, id: CallId, result: Return) {
+    pub(super) fn on_return(&mut self, id: CallId, result: Return) {
         match id {
             CallId::Submit(id) => {
                 let pending = self.calls.remove(&id);
@@ -87,7 +87,7 @@
                 let pending = self.calls.remove(&id);
                 match (result, pending) {
                     (Return::Heartbeat(heartbeat), _) => self.heard(&heartbeat),
-                    (_, Some(pending)) => self.membership.lost(self.now, &pending.to),
+                    (_, Some(pending)) => self.membership.on_call_failed(self.now, &pending.to),
                     (_, None) => {}
                 }
             }
@@ -103,7 +103,7 @@
 
     fn heartbeat(&mut self) -> Heartbeat {
         Heartbeat {
-            observations: self.membership.observations(self.now),
+            observations: self.membership.next_observations(self.now),
             name: self.identity.name.clone(),
             centre: self.identity.centre.clone(),
             incarnation: self.identity.incarnation,
@@ -113,8 +113,9 @@
     }
 
     fn heard(&mut self, heartbeat: &Heartbeat) {
-        self.membership.heard(self.now, heartbeat);
-        self.membership.observed(self.now, &heartbeat.observations);
+        self.membership.on_heartbeat(self.now, heartbeat);
+        self.membership
+            .on_observations(self.now, &heartbeat.observations);
     }
 
     pub(super) fn tick_membership(&mut self) {
@@ -123,12 +124,12 @@
             match action {
                 membership::Action::Heartbeat { to, address } => self.send_heartbeat(to, address),
                 membership::Action::Found(name) => {
-                    self.event(Code::PeerFound, name.to_string());
-                    self.share();
+                    self.log_event(Code::PeerFound, name.to_string());
+                    self.update_shares();
                 }
                 membership::Action::Lost(name) => {
-                    self.event(Code::PeerLost, name.to_string());
-                    self.share();
+                    self.log_event(Code::PeerLost, name.to_string());
+                    self.update_shares();
                     self.fail_calls(&name);
                 }
             }
@@ -149,7 +150,7 @@
     }
 
     fn send_heartbeat(&mut self, to: Instance, address: String) {
-        let id = self.next();
+        let id = self.next_serial();
         let pending = Pending {
             to: to.clone(),
             job: None,
@@ -166,9 +167,9 @@
     }
 
     /// Divides what all instances share by how many there are now.
-    pub(super) fn share(&mut self) {
-        let live = self.membership.live();
-        let sharing = self.membership.live_in(&self.identity.reach);
+    pub(super) fn update_shares(&mut self) {
+        let live = self.membership.live_count();
+        let sharing = self.membership.live_count_in(&self.identity.reach);
         self.placement.set_instances(sharing);
         self.outputs.push(Output::Share(live));
     }
@@ -186,7 +187,7 @@
             .collect();
         calls.sort_unstable();
         for id in calls {
-            self.returned(CallId::Submit(id), Return::Lost);
+            self.on_return(CallId::Submit(id), Return::Lost);
         }
     }
 }
--- a/src/core/status_check.rs
+++ b/src/core/status_check.rs
@@ -187,7 +187,7 @@
     }
 
     pub(super) fn record_failure(&mut self, slot: Slot, job: u64) {
-        let change = self.health.failed(self.now, slot, job);
+        let change = self.health.on_failure(self.now, slot, job);
         self.apply_health_change(change);
     }
 
@@ -209,7 +209,7 @@
             _ => Code::EndpointReturned,
         };
         let name = self.placement.endpoint(slot).map(|w| w.name.to_string());
-        self.event(
+        self.log_event(
             code,
             format!("{} ({eligibility:?})", name.unwrap_or_default()),
         );
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -39,10 +39,10 @@
                 Return,
             },
             message::{
-                Caller,
-                Operate,
+                Command,
+                Completion, //
+                IncomingCall,
                 Request,
-                Result, //
             },
         },
         prelude::*,
