--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -60,7 +60,7 @@
             Configuration,
             Route as Queueing, //
         },
-        task::Room,
+        task::Resources,
         Dispatcher,
         Identity, //
     },
@@ -365,7 +365,7 @@
         },
         centre: "a".to_owned(),
         incarnation: 1,
-        to: 0,
+        receiver_incarnation: 0,
         session: 0,
         sent: Time::default(),
     }
@@ -454,7 +454,7 @@
         centre: "a".to_owned(),
         rack: "r".to_owned(),
         labels: Vec::new(),
-        capacity: Room {
+        capacity: Resources {
             cpu: 64_000,
             memory: 1 << 17,
             gpu: 0,
@@ -472,7 +472,7 @@
         step: 0,
         tasks: vec![0],
         moves: 0,
-        need: Room {
+        need: Resources {
             cpu: 26_000 + serial * 7_919 % 12_000,
             memory: 64,
             gpu: 0,
@@ -488,7 +488,7 @@
         stored: false,
         slack: Some(Span::seconds(1)),
         useful: Span::seconds(2),
-        left: Span::seconds(3),
+        time_left: Span::seconds(3),
     }
 }
 
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -97,7 +97,7 @@
 /// How long an instance that takes no jobs any more still answers what comes on open connections, and how long one of
 /// these must have been idle before it is closed. A connection that had just been accepted was closed before
 /// its request came, and the caller saw it break; requests follow their connection within milliseconds.
-pub const PARTING: Span = Span::millis(200);
+pub const CONNECTION_GRACE: Span = Span::millis(200);
 
 /// Between decisions on which shards to coordinate: what others say of theirs comes as often.
 const COORDINATE: Span = member::HEARTBEAT;
@@ -133,7 +133,7 @@
 
 /// What the instance has and does, in numbers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct Stats {
     /// Jobs in progress.
     pub jobs: usize,
     /// Tasks that wait on its racks.
@@ -167,27 +167,27 @@
     configuration: Option<Configuration>,
     evacuation: Evacuation,
     roster: Roster,
-    listed: bool,
+    has_roster: bool,
     reading: Reading,
     /// The owner of each rack that another instance has, with its token.
-    owners: Rc<HashMap<RackId, (Instance, Token)>>,
-    /// The counts of changes, of members' claims and of its own, up to which `owners` is known.
-    claims: Option<(u64, u64)>,
+    rack_owners: Rc<HashMap<RackId, (Instance, Token)>>,
+    /// The counts of changes, of members' claims and of its own, up to which `rack_owners` is known.
+    claim_counts: Option<(u64, u64)>,
     /// Racks that nobody is heard to own, and that may still be somebody's.
-    former: BTreeMap<RackId, Former>,
+    former_owners: BTreeMap<RackId, Former>,
     epoch: Epoch,
     /// Racks that were handed over, with the time of that.
-    ceded: Vec<(Claim, Time)>,
+    handed_over: Vec<(Claim, Time)>,
     /// When it gave a rack away last, or saw no need to.
-    rebalanced: Time,
-    began: Time,
+    rebalanced_at: Time,
+    started_at: Time,
     startup: Startup,
     stepped: Time,
     expired: Time,
     coordinated: Time,
-    announced: Time,
-    rooms: Time,
-    refresh: Time,
+    announced_at: Time,
+    rooms_sent_at: Time,
+    all_rooms_sent_at: Time,
     audit: Time,
     /// Since when it is about to end.
     draining: Option<Time>,
@@ -217,22 +217,22 @@
             configuration: None,
             evacuation: Evacuation::default(),
             roster: Roster::default(),
-            listed: false,
+            has_roster: false,
             reading: Reading::default(),
-            owners: Rc::default(),
-            claims: None,
-            former: BTreeMap::new(),
+            rack_owners: Rc::default(),
+            claim_counts: None,
+            former_owners: BTreeMap::new(),
             epoch: identity_epoch,
-            ceded: Vec::new(),
-            rebalanced: now,
-            began: now,
+            handed_over: Vec::new(),
+            rebalanced_at: now,
+            started_at: now,
             startup: Startup::default(),
             stepped: Time::default(),
             expired: Time::default(),
             coordinated: Time::default(),
-            announced: Time::default(),
-            rooms: Time::default(),
-            refresh: Time::default(),
+            announced_at: Time::default(),
+            rooms_sent_at: Time::default(),
+            all_rooms_sent_at: Time::default(),
             audit: Time::default(),
             draining: None,
             shut: false,
@@ -250,54 +250,59 @@
     }
 
     /// Tells whether it can serve callers, and stays.
-    pub fn ready(&self) -> bool {
-        let known = self.configuration.is_some() && self.listed;
+    pub fn is_ready(&self) -> bool {
+        let known = self.configuration.is_some() && self.has_roster;
         known && self.draining.is_none() && (self.entry.owned() || self.roster.endpoints.is_empty())
     }
 
     /// Tells whether it is about to end.
-    pub fn draining(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.draining.is_some()
     }
 
     /// Tells whether it takes no jobs any more, since it is about to end.
-    pub fn closed(&self, now: Time) -> bool {
+    pub fn refuses_jobs(&self, now: Time) -> bool {
         self.draining
             .is_some_and(|since| now.since(since) >= LINGER)
     }
 
     /// Tells whether all that came before it took no jobs any more is answered, and what came since had time to be told.
     fn over(&self, now: Time) -> bool {
-        let told = |since| now.since(since) >= LINGER + PARTING + PARTING;
+        let told = |since| now.since(since) >= LINGER + CONNECTION_GRACE + CONNECTION_GRACE;
         let answered = self.entry.is_empty() && self.requests.is_empty();
         self.draining.is_some_and(told) && answered && self.owner.idle()
     }
 
     /// Tells whether it hears no peer.
-    pub fn alone(&self) -> bool {
+    pub fn is_alone(&self) -> bool {
         self.members.live().next().is_none()
     }
 
     /// Counts the jobs of a queue of which nothing has started, at all instances that it hears.
-    pub fn pending(&self, route: &str) -> u32 {
+    pub fn count_pending(&self, route: &str) -> u32 {
         let members = self.members.live().filter_map(|m| m.status.as_ref());
         let told = members.flat_map(|status| status.pending.iter());
         let told = told
             .filter(|(name, _)| name == route)
             .map(|(_, count)| count);
-        let own = self.entry.pending().get(route).copied().unwrap_or(0);
+        let own = self
+            .entry
+            .pending_by_route()
+            .get(route)
+            .copied()
+            .unwrap_or(0);
         own + told.sum::<u32>()
     }
 
     /// Tells whether a job is in progress here.
-    pub fn knows(&self, job: id::JobId) -> bool {
-        self.entry.knows(job)
+    pub fn has_job(&self, job: id::JobId) -> bool {
+        self.entry.has_job(job)
     }
 
     /// Returns what it has and does, in numbers.
-    pub fn standing(&self) -> Standing {
+    pub fn stats(&self) -> Stats {
         let (waiting, runs, open) = self.owner.counts();
-        Standing {
+        Stats {
             jobs: self.entry.len(),
             waiting,
             runs,
@@ -361,7 +366,7 @@
                 self.requests.abandon(ticket);
                 self.entry.abandon(ticket, now, out);
             }
-            Input::Asked {
+            Input::JobRequested {
                 ticket,
                 job,
                 question,
@@ -369,7 +374,7 @@
                 self.ask(ticket, job, question, ASKED, now);
                 self.ask_again(now, out);
             }
-            Input::Stored { call, reply } => {
+            Input::StoreReplied { call, reply } => {
                 let acts = self.durable.stored(call, reply, now, out);
                 self.act(acts, now, out);
                 self.call_store(now, out);
@@ -386,13 +391,13 @@
                     self.evacuate(evacuation, "store", now, out);
                 }
             }
-            Input::Listed(roster) => {
+            Input::RosterListed(roster) => {
                 let earlier = self.roster.clone();
                 self.list(roster, now, out);
                 self.tell_change(&earlier, out);
             }
-            Input::Read(done) => self.reading.note(done, now),
-            Input::Found(contacts) => {
+            Input::RosterRead(done) => self.reading.note(done, now),
+            Input::MembersFound(contacts) => {
                 for contact in contacts {
                     self.find(&contact, now, out);
                 }
@@ -406,11 +411,13 @@
                 }
             }
             Input::Heartbeats(heartbeats) => self.take_heartbeats(heartbeats, now, out),
-            Input::Called { call, sent, reply } => self.owner.called(call, sent, reply, now, out),
+            Input::EndpointReplied { call, sent, reply } => {
+                self.owner.called(call, sent, reply, now, out)
+            }
             Input::Drain => {
                 self.draining.get_or_insert(now);
                 out.outputs.push(Output::Log(Record::new("draining")));
-                self.announced = Time::default();
+                self.announced_at = Time::default();
                 self.tick(now, out);
             }
             Input::Closing => self.entry.close(now, out),
@@ -429,10 +436,10 @@
         let Some(configuration) = &self.configuration else {
             return out.outputs.push(Output::Answer(ticket, Answer::Unready));
         };
-        let Some((route, _)) = configuration.route(&host, &path) else {
+        let Some((route, _)) = configuration.find_route(&host, &path) else {
             return out.outputs.push(Output::Answer(ticket, Answer::NoRoute));
         };
-        if self.closed(now) {
+        if self.refuses_jobs(now) {
             let again = LEAVING;
             out.outputs
                 .push(Output::Answer(ticket, Answer::Refused { again }));
@@ -459,7 +466,7 @@
             .map(Configuration::service_names)
             == Some(configuration.service_names());
         self.configuration = Some(configuration);
-        if self.listed && !same {
+        if self.has_roster && !same {
             self.list_racks();
         }
     }
@@ -494,14 +501,14 @@
         let known = |l: &&Listing| configuration.is_none_or(|c| c.names(&l.service));
         self.entry.list(self.roster.endpoints.iter().filter(known));
         // Racks that are new here have no owner yet.
-        self.claims = None;
+        self.claim_counts = None;
     }
 
     fn list(&mut self, roster: Roster, now: Time, out: &mut Effects) {
-        if self.listed && roster.version < self.roster.version {
+        if self.has_roster && roster.version < self.roster.version {
             return;
         }
-        self.listed = true;
+        self.has_roster = true;
         self.owner.list(&roster.endpoints, now, out);
         self.roster = roster;
         self.list_racks();
@@ -550,7 +557,7 @@
             self.update_owners();
             if lives {
                 self.owner.hear(name);
-                self.entry.rooms(name, heartbeat.rooms);
+                self.entry.update_rooms(name, heartbeat.rooms);
             }
             if lives && !lived {
                 self.startup.heard(self.members.get(name), now);
@@ -583,7 +590,7 @@
             Reception::Anew => {
                 if was.is_some_and(|(_, life, _)| life != from.incarnation) {
                     // Its former life has ended for certain, and its racks can be claimed at once.
-                    self.former
+                    self.former_owners
                         .retain(|_, former| former.owner.as_ref() != Some(name));
                 }
                 let record = Record::new("session_begun").with("member", name.as_str());
@@ -667,7 +674,7 @@
                 }
             }
             Message::RosterChange(change) => {
-                if let Some(roster) = self.roster.with(&change).filter(|_| self.listed) {
+                if let Some(roster) = self.roster.with(&change).filter(|_| self.has_roster) {
                     self.list(roster, now, out);
                 }
             }
@@ -720,7 +727,7 @@
             });
         }
         self.entry.void(now, out);
-        self.began = now;
+        self.started_at = now;
         self.startup = Startup::default();
         self.update_owners();
     }
@@ -751,7 +758,7 @@
     }
 
     fn tick(&mut self, now: Time, out: &mut Effects) {
-        self.ceded.retain(|(_, at)| now.since(*at) < CEDED);
+        self.handed_over.retain(|(_, at)| now.since(*at) < CEDED);
         self.deal(now, out);
         self.rebalance(now, out);
         self.choose_readers(now, out);
@@ -768,9 +775,9 @@
             self.entry.audit(now, out);
         }
         self.tell(now, out);
-        if self.closed(now) && !self.shut {
+        if self.refuses_jobs(now) && !self.shut {
             self.shut = true;
-            out.outputs.push(Output::Closed);
+            out.outputs.push(Output::CloseIdleCallers);
         }
         if self.over(now) {
             out.outputs.push(Output::Drained);
--- a/src/dispatch/announcement.rs
+++ b/src/dispatch/announcement.rs
@@ -50,7 +50,7 @@
         out.messages.push((to.clone(), Message::Members(members)));
         let rooms = self.owner.vacancies(now);
         let own = self.identity.contact.name.clone();
-        self.entry.rooms(&own, rooms.clone());
+        self.entry.update_rooms(&own, rooms.clone());
         self.heartbeat(slice::from_ref(&to.name), &rooms, now, out);
     }
 
@@ -102,18 +102,18 @@
 
     fn own_status(&self, now: Time) -> Status {
         let claim = |(rack, token)| Claim { rack, token };
-        let ceded = self.ceded.iter().map(|(claim, _)| *claim);
+        let ceded = self.handed_over.iter().map(|(claim, _)| *claim);
         Status {
             epoch: self.epoch,
             configuration: self.document_version(Document::Configuration),
             roster: self.document_version(Document::Roster),
             evacuation: self.evacuation.clone(),
             reading: self.reading.is_fresh(now),
-            draining: self.draining(),
+            draining: self.is_draining(),
             share: self.identity.share,
             racks: self.owner.racks().map(claim).chain(ceded).collect(),
             shards: self.durable.coordinations(),
-            pending: self.entry.pending().into_iter().collect(),
+            pending: self.entry.pending_by_route().into_iter().collect(),
             absences: self.members.absences(),
         }
     }
@@ -139,7 +139,7 @@
     /// Returns the members that are to be told by themselves: those that are watched closely since just now, and of the others
     /// those whose turn it is.
     fn due(&self, now: Time) -> Vec<Instance> {
-        let urgent = self.announced == Time::default();
+        let urgent = self.announced_at == Time::default();
         let distant = self.members.all().filter(|m| !m.is_close(now));
         let interval = watch::interval(distant.count());
         let due = |m: &&Member| match m.is_close(now) {
@@ -159,21 +159,21 @@
     fn tell_close(&mut self, now: Time, out: &mut Effects) {
         let close = self.members.all().filter(|m| m.is_close(now));
         let interval = Span(ROOMS.0 * (close.count() as u64).max(AUDIENCE) / AUDIENCE);
-        let due = now.since(self.announced) >= HEARTBEAT;
-        let since = now.since(self.rooms);
+        let due = now.since(self.announced_at) >= HEARTBEAT;
+        let since = now.since(self.rooms_sent_at);
         let turned = since >= ROOMS && self.owner.turned(now);
         let changed = turned || since >= interval && self.owner.changed(now);
         if !due && !changed {
             return;
         }
-        let all = now.since(self.refresh) >= REFRESH;
+        let all = now.since(self.all_rooms_sent_at) >= REFRESH;
         if all {
-            self.refresh = now;
+            self.all_rooms_sent_at = now;
         }
         let rooms = self.owner.rooms(all, now);
-        (self.announced, self.rooms) = (now, now);
+        (self.announced_at, self.rooms_sent_at) = (now, now);
         let own = self.identity.contact.name.clone();
-        self.entry.rooms(&own, rooms.clone());
+        self.entry.update_rooms(&own, rooms.clone());
         let close = self.members.all().filter(|m| m.is_close(now));
         let close: Vec<Instance> = close.map(|m| m.contact.name.clone()).collect();
         self.heartbeat(&close, &rooms, now, out);
@@ -184,7 +184,7 @@
     /// again, and their room decides where the next tasks go.
     fn watch(&mut self, now: Time) {
         self.members.arrange(now);
-        for name in self.entry.owners() {
+        for name in self.entry.batch_owners() {
             self.members.watch(name, now);
         }
         for name in self.owner.entries() {
@@ -194,14 +194,14 @@
 
     /// Asks owners whose racks have tasks waiting for some, where an own rack has room and nothing waits.
     pub(super) fn want(&mut self, now: Time, out: &mut Effects) {
-        if self.draining() {
+        if self.is_draining() {
             return;
         }
         for (to, rooms) in self.owner.spacious(now) {
-            let Some((from, contact)) = self.entry.busiest(to) else {
+            let Some((from, contact)) = self.entry.busiest_rack(to) else {
                 continue;
             };
-            self.entry.asked(from, rooms.len() as u32);
+            self.entry.on_tasks_requested(from, rooms.len() as u32);
             out.messages
                 .push((contact, Message::Want { from, to, rooms }));
         }
--- a/src/dispatch/coordination.rs
+++ b/src/dispatch/coordination.rs
@@ -32,15 +32,15 @@
             match act {
                 Act::Run(job, at) => {
                     if let Some((record, progress)) = self.durable.job(job) {
-                        self.entry.run(job, record, progress, at, now);
+                        self.entry.run_stored(job, record, progress, at, now);
                     }
                 }
-                Act::Done(task) => self.entry.task_done(task, now, out),
-                Act::Failed(task, batch) => self.entry.task_failed(task, batch, now),
-                Act::Release(job) => self.entry.release(job, out),
+                Act::Done(task) => self.entry.on_task_done(task, now, out),
+                Act::Failed(task, batch) => self.entry.on_task_failed(task, batch, now),
+                Act::Release(job) => self.entry.release_stored(job, out),
             }
         }
-        self.entry.begin(now, out);
+        self.entry.start_due_stored(now, out);
     }
 
     /// Returns who coordinates each shard, as far as that is known.
@@ -66,7 +66,7 @@
 
     /// Decides which shards it coordinates: those of nobody else, by their weight, until it ends.
     pub(super) fn coordinate(&mut self, now: Time, out: &mut Effects) {
-        if now.since(self.began) < SETTLE {
+        if now.since(self.started_at) < SETTLE {
             return;
         }
         let own = self.identity.contact.name.clone();
@@ -80,7 +80,7 @@
         for shard in ShardId::all() {
             let known = coordinators.get(&shard).map(|contact| &contact.name);
             let mine = self.durable.knowledge(shard).is_some();
-            if mine && self.draining() {
+            if mine && self.is_draining() {
                 acts.extend(self.durable.release(shard, "the instance ends", out));
             } else if mine && known.is_some_and(|name| *name != own) {
                 acts.extend(self.durable.release(shard, "another holds it", out));
@@ -92,7 +92,7 @@
                 if !held && self.claimants(shard).any(|name| heavier(&name)) {
                     acts.extend(self.durable.release(shard, "another claims it", out));
                 }
-            } else if known.is_none() && !self.draining() {
+            } else if known.is_none() && !self.is_draining() {
                 let best = candidates
                     .iter()
                     .max_by_key(|name| shard.weight(name.as_str()));
--- a/src/dispatch/documents.rs
+++ b/src/dispatch/documents.rs
@@ -195,7 +195,7 @@
     pub(super) fn document_version(&self, document: Document) -> u64 {
         match document {
             Document::Configuration => self.configuration.as_ref().map_or(0, |c| c.version),
-            Document::Roster if self.listed => self.roster.version,
+            Document::Roster if self.has_roster => self.roster.version,
             Document::Roster => 0,
         }
     }
@@ -296,7 +296,7 @@
             Document::Configuration => postcard::from_bytes::<Option<Configuration>>(&bytes)
                 .map(|read| read.map(|read| self.configure(read, from.as_str(), out))),
             Document::Roster => postcard::from_bytes::<Roster>(&bytes).map(|roster| {
-                let newer = roster.version > self.roster.version || !self.listed;
+                let newer = roster.version > self.roster.version || !self.has_roster;
                 newer.then(|| self.list(roster, now, out))
             }),
         };
--- a/src/dispatch/durable.rs
+++ b/src/dispatch/durable.rs
@@ -42,7 +42,7 @@
         Verdict, //
     },
     owner::Effects,
-    task::Accepted, //
+    task::AcceptedJob, //
 };
 use crate::prelude::*;
 
@@ -204,7 +204,7 @@
     }
 
     /// Returns what was asked for, and how far it has come, of a job that has not ended.
-    pub fn job(&self, job: JobId) -> Option<(&Accepted, &Progress)> {
+    pub fn job(&self, job: JobId) -> Option<(&AcceptedJob, &Progress)> {
         let job = self.shards.get(&job.shard())?.jobs.get(&job)?;
         Some((job.record.as_deref()?, &job.progress))
     }
--- a/src/dispatch/durable/record.rs
+++ b/src/dispatch/durable/record.rs
@@ -19,7 +19,7 @@
         JobState,
         RunEnd, //
     },
-    task::Accepted, //
+    task::AcceptedJob, //
 };
 use crate::prelude::*;
 
@@ -88,7 +88,7 @@
 
 impl Progress {
     /// Begins with a job of which nothing has run.
-    pub fn begin(job: &Accepted) -> Self {
+    pub fn begin(job: &AcceptedJob) -> Self {
         Self {
             state: State::Open,
             steps: vec![Ends::default(); job.submission.steps.len()],
@@ -96,7 +96,7 @@
     }
 
     /// Takes note of the end of a run; returns whether it changed anything.
-    pub fn end(&mut self, job: &Accepted, end: &RunEnd) -> bool {
+    pub fn end(&mut self, job: &AcceptedJob, end: &RunEnd) -> bool {
         if self.state != State::Open {
             return false;
         }
@@ -146,7 +146,7 @@
 /// A row of a shard.
 pub(super) enum Row {
     Lock,
-    Record(JobId, Accepted),
+    Record(JobId, AcceptedJob),
     Progress(JobId, Progress),
 }
 
--- a/src/dispatch/durable/shard.rs
+++ b/src/dispatch/durable/shard.rs
@@ -25,7 +25,7 @@
             Verdict, //
         },
         owner::Effects,
-        task::Accepted, //
+        task::AcceptedJob, //
     },
     record::{
         self,
@@ -105,7 +105,7 @@
     pub(super) from: Contact,
     pub(super) serial: u64,
     pub(super) job: JobId,
-    pub(super) record: Box<Accepted>,
+    pub(super) record: Box<AcceptedJob>,
     /// When it came.
     pub(super) at: Time,
 }
@@ -130,7 +130,7 @@
 /// A stored job.
 #[derive(Debug)]
 pub(super) struct Job {
-    pub(super) record: Option<Box<Accepted>>,
+    pub(super) record: Option<Box<AcceptedJob>>,
     pub(super) progress: Progress,
     /// The state that is stored, none before the job is.
     pub(super) shown: Option<State>,
@@ -193,7 +193,7 @@
         from: &Contact,
         serial: u64,
         job: JobId,
-        record: Box<Accepted>,
+        record: Box<AcceptedJob>,
         now: Time,
         out: &mut Effects,
     ) {
--- a/src/dispatch/endpoint.rs
+++ b/src/dispatch/endpoint.rs
@@ -39,7 +39,7 @@
         Reply, //
     },
     queue::Handle,
-    task::Room,
+    task::Resources,
 };
 use crate::prelude::*;
 
@@ -174,7 +174,7 @@
     /// What runs there.
     pub executions: BTreeMap<TaskId, Execution>,
     /// What is free.
-    pub free: Room,
+    pub free: Resources,
     /// Until when it gets no task, and why that is.
     rest: Time,
     /// How many runs failed in a row, and of which job the last was.
@@ -258,7 +258,7 @@
     }
 
     /// Tells whether a task that needs this much, and a label, could ever be started here.
-    pub fn carries(&self, need: &Room, label: Option<&String>) -> bool {
+    pub fn carries(&self, need: &Resources, label: Option<&String>) -> bool {
         let labelled = label.is_none_or(|label| self.listing.labels.contains(label));
         self.stays() && labelled && self.listing.capacity.fits(need)
     }
@@ -286,7 +286,7 @@
     }
 
     fn add(&mut self, task: TaskId, execution: Execution) {
-        self.free.take(&execution.need);
+        self.free.subtract(&execution.need);
         self.executions.insert(task, execution);
     }
 
@@ -625,7 +625,7 @@
     fn measure(&mut self) {
         let mut free = self.listing.capacity;
         for execution in self.executions.values() {
-            free.take(&execution.need);
+            free.subtract(&execution.need);
         }
         self.free = free;
     }
@@ -776,7 +776,7 @@
         }
         let batch = execution.batch;
         let next = match refusal {
-            Refusal::Old => run.beyond(),
+            Refusal::Old => run.skip_ahead(),
             _ => run,
         };
         self.remove(&task);
--- a/src/dispatch/endpoint/execution.rs
+++ b/src/dispatch/endpoint/execution.rs
@@ -5,7 +5,7 @@
     message::Suspicion,
     pace::Pace,
     queue::Handle,
-    task::Room, //
+    task::Resources, //
 };
 use crate::prelude::*;
 
@@ -37,7 +37,7 @@
     /// The run.
     pub run: Run,
     /// What it takes.
-    pub need: Room,
+    pub need: Resources,
     /// What it waits for.
     pub phase: Phase,
     /// See [`Fate`].
@@ -64,7 +64,7 @@
 
 impl Execution {
     /// Makes a run whose start is about to leave.
-    pub fn new(batch: Handle, run: Run, need: Room, estimate: Span) -> Self {
+    pub fn new(batch: Handle, run: Run, need: Resources, estimate: Span) -> Self {
         Self {
             pace: Pace::new(estimate),
             batch,
--- a/src/dispatch/endpoint/life.rs
+++ b/src/dispatch/endpoint/life.rs
@@ -111,7 +111,7 @@
     /// the endpoint, which was cut off before and began anew behind the cut, has crashed nothing.
     fn sole_suspects(&self) -> BTreeSet<TaskId> {
         let harmless = |suspicion: Suspicion, other: &Execution| {
-            suspicion.is_strong() && !other.suspicion.is_any()
+            suspicion.is_strong() && !other.suspicion.is_present()
         };
         let sole = |(task, execution): &(&TaskId, &Execution)| {
             let mut others = self
@@ -120,7 +120,7 @@
                 .filter(|(other, _)| other.job != task.job);
             let suspicion = execution.suspicion;
             execution.reached
-                && suspicion.is_any()
+                && suspicion.is_present()
                 && others.all(|(_, other)| harmless(suspicion, other))
         };
         let sole = self.executions.iter().filter(sole);
@@ -155,7 +155,7 @@
     /// Counts the runs here of tasks under which endpoints may have crashed.
     pub fn doubtful(&self) -> usize {
         let executions = self.executions.values();
-        let doubtful = executions.filter(|execution| execution.suspicion.is_any());
+        let doubtful = executions.filter(|execution| execution.suspicion.is_present());
         doubtful.count()
     }
 
--- a/src/dispatch/entry.rs
+++ b/src/dispatch/entry.rs
@@ -179,12 +179,12 @@
     }
 
     /// Tells whether a job whose caller waits is in progress here.
-    pub fn knows(&self, job: JobId) -> bool {
+    pub fn has_job(&self, job: JobId) -> bool {
         self.jobs.get(&job).is_some_and(|job| !job.stored)
     }
 
     /// Counts the jobs of which nothing has started, by queue.
-    pub fn pending(&self) -> BTreeMap<String, u32> {
+    pub fn pending_by_route(&self) -> BTreeMap<String, u32> {
         let mut counts: BTreeMap<String, u32> = BTreeMap::new();
         for job in self.jobs.values().filter(|job| !job.started) {
             match counts.get_mut(&job.route) {
@@ -244,7 +244,7 @@
     }
 
     /// Takes note of the owners.
-    pub fn own(&mut self, owners: &HashMap<RackId, Contact>) {
+    pub fn set_owners(&mut self, owners: &HashMap<RackId, Contact>) {
         for (id, rack) in &mut self.racks {
             let owner = owners.get(id);
             if rack.owner.as_ref() != owner {
@@ -266,7 +266,7 @@
     }
 
     /// Returns the racks without an owner, with their data centres.
-    pub fn orphans(&self) -> Vec<(RackId, String)> {
+    pub fn unowned_racks(&self) -> Vec<(RackId, String)> {
         let racks = self.racks.iter();
         let orphans = racks.filter(|(_, rack)| rack.owner.is_none());
         let with_centre = orphans.map(|(id, rack)| (*id, rack.centre.clone()));
@@ -274,7 +274,7 @@
     }
 
     /// Takes note of the room that racks have.
-    pub fn rooms(&mut self, from: &Instance, rooms: Vec<Vacancy>) {
+    pub fn update_rooms(&mut self, from: &Instance, rooms: Vec<Vacancy>) {
         for vacancy in rooms {
             let Some(rack) = self.racks.get_mut(&vacancy.rack) else {
                 continue;
@@ -288,7 +288,7 @@
     }
 
     /// Finds the rack of the same service with the most tasks that wait and could move to `to`.
-    pub fn busiest(&self, to: RackId) -> Option<(RackId, Contact)> {
+    pub fn busiest_rack(&self, to: RackId) -> Option<(RackId, Contact)> {
         let service = &self.racks.get(&to)?.service;
         let others = self.racks.iter();
         let others = others.filter(|(id, r)| r.movable > 0 && **id != to && r.service == *service);
@@ -297,7 +297,7 @@
     }
 
     /// Takes note that tasks were asked for from a rack.
-    pub fn asked(&mut self, from: RackId, count: u32) {
+    pub fn on_tasks_requested(&mut self, from: RackId, count: u32) {
         if let Some(rack) = self.racks.get_mut(&from) {
             rack.movable = rack.movable.saturating_sub(count);
         }
@@ -519,7 +519,7 @@
             stored: job.stored,
             slack: (latest > now).then(|| latest.since(now)),
             useful: job.useful.since(now),
-            left: job.until.since(now),
+            time_left: job.until.since(now),
         };
         let record = Record::routine("batch_sent").job(id);
         let record = record
@@ -596,7 +596,7 @@
     }
 
     /// Returns the owners that have batches.
-    pub fn owners(&self) -> HashSet<&Instance> {
+    pub fn batch_owners(&self) -> HashSet<&Instance> {
         let batches = self.jobs.values().flat_map(|job| job.batches.values());
         batches.map(|sent| &sent.owner).collect()
     }
--- a/src/dispatch/entry/rack.rs
+++ b/src/dispatch/entry/rack.rs
@@ -13,7 +13,7 @@
     },
     message::Contact,
     task::{
-        Room,
+        Resources,
         Step, //
     },
 };
@@ -27,7 +27,7 @@
     pub(super) name: String,
     pub(super) owner: Option<Contact>,
     /// What is free, by endpoint, less what was sent since it was told.
-    pub(super) free: Vec<Room>,
+    pub(super) free: Vec<Resources>,
     pub(super) movable: u32,
     pub(super) backlog: u64,
     /// Cores of all its endpoints that stay, in thousandths.
@@ -35,7 +35,7 @@
     pub(super) labels: Vec<String>,
     /// What its endpoints have that stay, each size once: a task that is larger than any of them can never start, however much
     /// the rack has in all.
-    pub(super) sizes: Vec<Room>,
+    pub(super) sizes: Vec<Resources>,
     /// Whether its data centre is evacuated.
     pub(super) evacuated: bool,
 }
@@ -123,14 +123,14 @@
     }
 
     /// Counts how often a need fits into what is free.
-    pub(super) fn room(&self, need: &Room) -> u64 {
+    pub(super) fn room(&self, need: &Resources) -> u64 {
         self.free.iter().map(|free| free.times(need, 64)).sum()
     }
 
     pub(super) fn take(&mut self, step: &Step) {
         let free = self.free.iter_mut().find(|free| free.fits(&step.need));
         match free {
-            Some(free) => free.take(&step.need),
+            Some(free) => free.subtract(&step.need),
             None => self.backlog += step.need.cpu * step.estimate.as_millis() / 1_000,
         }
     }
--- a/src/dispatch/entry/stored.rs
+++ b/src/dispatch/entry/stored.rs
@@ -17,7 +17,7 @@
             TaskId, //
         },
         owner::Effects,
-        task::Accepted, //
+        task::AcceptedJob, //
     },
     Entry,
     Job,
@@ -30,7 +30,14 @@
 
 impl Entry {
     /// Runs what is not done of a stored job, from `at` on.
-    pub fn run(&mut self, id: JobId, accepted: &Accepted, stored: &Stored, at: Time, now: Time) {
+    pub fn run_stored(
+        &mut self,
+        id: JobId,
+        accepted: &AcceptedJob,
+        stored: &Stored,
+        at: Time,
+        now: Time,
+    ) {
         let steps = accepted.submission.steps.iter().zip(&stored.steps);
         let steps = steps.map(|(step, ends)| Progress {
             left: (0..step.count).filter(|i| !ends.done.contains(i)).collect(),
@@ -61,7 +68,7 @@
     }
 
     /// Places the first steps of stored jobs whose time has come.
-    pub fn begin(&mut self, now: Time, out: &mut Effects) {
+    pub fn start_due_stored(&mut self, now: Time, out: &mut Effects) {
         if self.held_back.is_empty() {
             return;
         }
@@ -76,7 +83,7 @@
     }
 
     /// Takes note that a task of a stored job is done.
-    pub fn task_done(&mut self, task: TaskId, now: Time, out: &mut Effects) {
+    pub fn on_task_done(&mut self, task: TaskId, now: Time, out: &mut Effects) {
         if let Some(serial) = self.batch_of(task) {
             self.take_out_of(serial, task);
         }
@@ -103,7 +110,7 @@
     /// An end may come long after its run, and be of a batch of a former coordinator. The task may have been given out again
     /// since: placed once more, it would run beside the run that is out. That run's own end, or the loss of its batch,
     /// tells when the task may be placed. A task that no batch has waits already, or its step hasn't been placed.
-    pub fn task_failed(&mut self, task: TaskId, batch: Option<u64>, now: Time) {
+    pub fn on_task_failed(&mut self, task: TaskId, batch: Option<u64>, now: Time) {
         let out_of_batch = batch.is_some_and(|serial| self.take_out_of(serial, task));
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -158,7 +165,7 @@
     }
 
     /// Stops what runs of a stored job, and forgets it.
-    pub fn release(&mut self, id: JobId, out: &mut Effects) {
+    pub fn release_stored(&mut self, id: JobId, out: &mut Effects) {
         let Some(job) = self.jobs.get(&id).filter(|job| job.stored) else {
             return;
         };
--- a/src/dispatch/id.rs
+++ b/src/dispatch/id.rs
@@ -20,7 +20,7 @@
 /// Why a text is no job identifier.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("a job identifier has {JOB_DIGITS} hexadecimal digits")]
-pub struct Malformed;
+pub struct JobIdError;
 
 /// A job's identifier, chosen by its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -33,16 +33,16 @@
 }
 
 impl FromStr for JobId {
-    type Err = Malformed;
+    type Err = JobIdError;
 
-    fn from_str(text: &str) -> Result<Self, Malformed> {
+    fn from_str(text: &str) -> Result<Self, JobIdError> {
         let digits = text.len() == JOB_DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit());
         if !digits {
-            return Err(Malformed);
+            return Err(JobIdError);
         }
         u64::from_str_radix(text, 16)
             .map(Self)
-            .map_err(|_| Malformed)
+            .map_err(|_| JobIdError)
     }
 }
 
@@ -113,7 +113,7 @@
     }
 
     /// Returns a number well above this one, for a task whose earlier numbers are not known.
-    pub fn beyond(self) -> Self {
+    pub fn skip_ahead(self) -> Self {
         Self(self.0.saturating_mul(2).saturating_add(1))
     }
 }
--- a/src/dispatch/member.rs
+++ b/src/dispatch/member.rs
@@ -184,7 +184,7 @@
             return Reception::Stale;
         };
         let older = from.incarnation < member.incarnation;
-        let misled = from.to != 0 && from.to != own;
+        let misled = from.receiver_incarnation != 0 && from.receiver_incarnation != own;
         if older || misled {
             return Reception::Stale;
         }
--- a/src/dispatch/message.rs
+++ b/src/dispatch/message.rs
@@ -28,8 +28,8 @@
     },
     handover::{
         Handover,
-        Held,
-        Transferred, //
+        HeldBatch,
+        TransferredRun, //
     },
     heartbeat::{
         Absence,
@@ -65,8 +65,8 @@
     },
     route::Configuration,
     task::{
-        Accepted,
-        Room,
+        AcceptedJob,
+        Resources,
         Submission, //
     },
 };
@@ -95,7 +95,7 @@
     /// Its labels, the rack among them.
     pub labels: Vec<String>,
     /// What it has.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// Whether it is leaving: nothing new may start there.
     pub draining: bool,
 }
@@ -126,7 +126,7 @@
     /// Endpoints that are new, or whose entry has changed.
     pub changed: Vec<Listing>,
     /// Endpoints that aren't listed any more.
-    pub gone: Vec<Endpoint>,
+    pub removed: Vec<Endpoint>,
 }
 
 /// A member as it can be reached.
@@ -169,11 +169,11 @@
     /// A data centre is evacuated, or taken back.
     EvacuationChanged(evacuation::Change),
     /// The endpoints were read, and something had changed.
-    Listed(Roster),
+    RosterListed(Roster),
     /// The endpoints were read, or couldn't be.
-    Read(bool),
+    RosterRead(bool),
     /// Members were found in the store.
-    Found(Vec<Contact>),
+    MembersFound(Vec<Contact>),
     /// A peer's messages of one session arrived.
     Received {
         /// The peer.
@@ -184,7 +184,7 @@
     /// Heartbeats of peers arrived, in this order.
     Heartbeats(Vec<(Sender, Heartbeat)>),
     /// A caller asks for a job that is stored, or cancels it.
-    Asked {
+    JobRequested {
         /// Where its answer goes.
         ticket: Ticket,
         /// The job.
@@ -193,14 +193,14 @@
         question: Question,
     },
     /// A call to the store has ended.
-    Stored {
+    StoreReplied {
         /// The call.
         call: StoreCall,
         /// How it ended.
         reply: StoreReply,
     },
     /// A call to an endpoint has ended.
-    Called {
+    EndpointReplied {
         /// The call.
         call: CallId,
         /// When it was sent.
@@ -226,7 +226,7 @@
     /// One life of it: a later one is higher.
     pub incarnation: u64,
     /// The life of the receiver that it speaks to, zero where it doesn't know.
-    pub to: u64,
+    pub receiver_incarnation: u64,
     /// Grows each time that one side gave the other up: what was said before is void.
     pub session: u32,
     /// When this left, on its clock: what lay in a buffer is no sign of life.
@@ -249,7 +249,7 @@
         /// What to do.
         order: Order,
         /// How long to wait for the answer.
-        patience: Span,
+        timeout: Span,
         /// Whether a connection must be new: the last one may have gone silent.
         fresh: bool,
     },
@@ -274,11 +274,11 @@
         session: u32,
     },
     /// Close all connections to an endpoint, one life of which has ended.
-    Forget(String),
+    Disconnect(String),
     /// Write a line to the log.
     Log(Record),
     /// No jobs are taken any more: idle connections of callers can be closed.
-    Closed,
+    CloseIdleCallers,
     /// All is answered after a drain.
     Drained,
 }
@@ -354,7 +354,7 @@
         /// The rack that has room.
         to: RackId,
         /// The room, by endpoint.
-        rooms: Vec<Room>,
+        rooms: Vec<Resources>,
     },
     /// A rack changes its owner.
     Handover(Box<Handover>),
@@ -473,7 +473,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Question {
     /// To hand it in.
-    Accept(Box<Accepted>),
+    Accept(Box<AcceptedJob>),
     /// To know how it stands.
     State,
     /// That it ends.
@@ -548,7 +548,7 @@
     /// How often it went to another owner.
     pub moves: u32,
     /// What each task takes.
-    pub need: Room,
+    pub need: Resources,
     /// A task's estimated duration where it is placed.
     pub estimate: Span,
     /// A label that the endpoint must have.
@@ -572,7 +572,7 @@
     /// How long until an answer is of so little use that the room is better given to others.
     pub useful: Span,
     /// How long until nobody waits any more.
-    pub left: Span,
+    pub time_left: Span,
 }
 
 /// How a batch ended.
--- a/src/dispatch/message/handover.rs
+++ b/src/dispatch/message/handover.rs
@@ -26,14 +26,14 @@
     /// The highest token that was used there.
     pub token: Token,
     /// Its batches.
-    pub batches: Vec<Held>,
+    pub batches: Vec<HeldBatch>,
     /// What runs on its endpoints.
-    pub runs: Vec<Transferred>,
+    pub runs: Vec<TransferredRun>,
 }
 
 /// A batch at its owner, as it is handed over.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Held {
+pub struct HeldBatch {
     /// The entry that it is from.
     pub entry: Contact,
     /// The batch, with the tasks that are not done.
@@ -52,7 +52,7 @@
 
 /// A run as it is handed over.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Transferred {
+pub struct TransferredRun {
     /// The endpoint.
     pub endpoint: Endpoint,
     /// The task.
--- a/src/dispatch/message/heartbeat.rs
+++ b/src/dispatch/message/heartbeat.rs
@@ -13,7 +13,7 @@
         ShardId,
         Token, //
     },
-    task::Room,
+    task::Resources,
 };
 use crate::prelude::*;
 
@@ -102,7 +102,7 @@
     /// The rack.
     pub rack: RackId,
     /// What is free, by endpoint that takes work.
-    pub free: Vec<Room>,
+    pub free: Vec<Resources>,
     /// Tasks that wait there and would run as well elsewhere.
     pub movable: u32,
     /// The work that waits, in core-milliseconds.
--- a/src/dispatch/message/suspicion.rs
+++ b/src/dispatch/message/suspicion.rs
@@ -26,7 +26,7 @@
 
 impl Suspicion {
     /// Tells whether there is any.
-    pub fn is_any(self) -> bool {
+    pub fn is_present(self) -> bool {
         self.crashes + self.silences > 0
     }
 
@@ -48,7 +48,7 @@
     }
 
     /// Takes note that an endpoint which had fallen silent is heard of.
-    pub fn heard(&mut self) {
+    pub fn on_endpoint_heard(&mut self) {
         self.silences = self.silences.saturating_sub(1);
         self.refusals = self.refusals.min(self.silences);
     }
--- a/src/dispatch/owner.rs
+++ b/src/dispatch/owner.rs
@@ -39,7 +39,7 @@
         CallId,
         Cause,
         Contact,
-        Held,
+        HeldBatch,
         Listing,
         Message,
         Name,
@@ -362,7 +362,7 @@
         out.log(Record::new("endpoint_gone").with("endpoint", id.as_str()));
         if let Some(state) = self.endpoints.get(id) {
             out.outputs
-                .push(Output::Forget(state.listing.address.clone()));
+                .push(Output::Disconnect(state.listing.address.clone()));
         }
         self.forget(id);
         for rack in self.racks.values_mut() {
@@ -417,7 +417,7 @@
             entry: entry.clone(),
             due: batch.slack.map_or(now, |slack| now + slack),
             useful: now + batch.useful,
-            until: now + batch.left,
+            until: now + batch.time_left,
             batch,
             tasks,
             done: Vec::new(),
@@ -565,7 +565,7 @@
             endpoint: id.clone(),
             address: state.listing.address.clone(),
             order,
-            patience,
+            timeout: patience,
             fresh,
         });
     }
@@ -636,13 +636,13 @@
         progress.map_or_else(Suspicion::default, |progress| progress.suspicion)
     }
 
-    fn held(self, now: Time) -> Held {
+    fn held(self, now: Time) -> HeldBatch {
         let mut batch = self.batch;
         batch.slack = (self.due > now).then(|| self.due.since(now));
         batch.useful = self.useful.since(now);
-        batch.left = self.until.since(now);
+        batch.time_left = self.until.since(now);
         batch.tasks = self.tasks.keys().copied().collect();
-        Held {
+        HeldBatch {
             entry: self.entry,
             next: self.tasks.values().map(|p| p.next).collect(),
             failures: self.tasks.values().map(|p| p.failures).collect(),
--- a/src/dispatch/owner/handover.rs
+++ b/src/dispatch/owner/handover.rs
@@ -14,11 +14,11 @@
         message::{
             Contact,
             Handover,
-            Held,
+            HeldBatch,
             Listing,
             Message,
             Record, //
-            Transferred,
+            TransferredRun,
         },
         queue::Waiting, //
     },
@@ -50,7 +50,7 @@
                 let Some(load) = self.loads.get(&execution.batch) else {
                     continue;
                 };
-                runs.push(Transferred {
+                runs.push(TransferredRun {
                     endpoint: id.clone(),
                     task: *task,
                     run: execution.run,
@@ -153,7 +153,7 @@
 
     /// Tells the entry of a batch that it is here now. If the former owner is gone, and with it what it had to tell, the
     /// entry has taken the batch back: it answers that it doesn't want it, before it places the tasks elsewhere.
-    fn tell_moved(&self, held: &Held, out: &mut Effects) {
+    fn tell_moved(&self, held: &HeldBatch, out: &mut Effects) {
         let Some(own) = &self.own else {
             return;
         };
--- a/src/dispatch/owner/place.rs
+++ b/src/dispatch/owner/place.rs
@@ -23,7 +23,7 @@
             Handle,
             Waiting, //
         },
-        task::Room, //
+        task::Resources, //
     },
     Effects,
     Load,
@@ -47,7 +47,7 @@
 const REVIEW: Span = Span::millis(10);
 
 /// A need and a label for which there is no room, and whether the rack could ever have it.
-type Misfit = (Room, Option<String>, bool);
+type Misfit = (Resources, Option<String>, bool);
 
 impl Owner {
     /// Does what is due: places what waits, looks where something runs, gives up what has lapsed.
@@ -132,7 +132,7 @@
                         continue;
                     }
                     let carried = self.carries(id, load);
-                    match load.suspicion(waiting.index).is_any() {
+                    match load.suspicion(waiting.index).is_present() {
                         // What it waits for is another thing than room.
                         true => stale = true,
                         false => misfits.push((need, label.cloned(), carried)),
@@ -205,7 +205,7 @@
                 .per_endpoint
                 .is_none_or(|most| state.executions.iter().filter(of_step).count() < most as usize);
             let carried = state.carries(&batch.need, batch.label.as_ref());
-            let there = !suspicion.is_any() || state.is_fresh(now);
+            let there = !suspicion.is_present() || state.is_fresh(now);
             there && state.takes(now) && state.free.fits(&batch.need) && carried && spread
         };
         let rack = self.racks.get(&rack)?;
@@ -224,7 +224,7 @@
         let beside = |state: &State| {
             if suspicion.is_strong() {
                 state.executions.len()
-            } else if suspicion.is_any() {
+            } else if suspicion.is_present() {
                 state.doubtful()
             } else {
                 0
--- a/src/dispatch/owner/probe.rs
+++ b/src/dispatch/owner/probe.rs
@@ -93,7 +93,7 @@
                     seen: 0,
                     wait: Span(0),
                 },
-                patience: PROBE_PATIENCE,
+                timeout: PROBE_PATIENCE,
                 fresh: false,
             });
         }
--- a/src/dispatch/owner/room.rs
+++ b/src/dispatch/owner/room.rs
@@ -19,7 +19,7 @@
             Handle,
             Waiting, //
         },
-        task::Room, //
+        task::Resources, //
     },
     Effects,
     Owner,
@@ -104,7 +104,7 @@
     /// Returns the racks with space, and the room of their endpoints that have some.
     ///
     /// What waits there fits in none of it, or it would have been started; tasks of another size that wait elsewhere may.
-    pub fn spacious(&self, now: Time) -> Vec<(RackId, Vec<Room>)> {
+    pub fn spacious(&self, now: Time) -> Vec<(RackId, Vec<Resources>)> {
         let mut found = Vec::new();
         for (id, rack) in &self.racks {
             let states = rack
@@ -112,7 +112,7 @@
                 .iter()
                 .filter_map(|id| self.endpoints.get(id));
             let open = states.filter(|state| state.takes(now) && has_space(state));
-            let rooms: Vec<Room> = open.map(|state| state.free).collect();
+            let rooms: Vec<Resources> = open.map(|state| state.free).collect();
             if !rooms.is_empty() {
                 found.push((*id, rooms));
             }
@@ -121,7 +121,13 @@
     }
 
     /// Gives tasks that wait on a rack to another one that has room and nothing waiting.
-    pub fn spare(&mut self, from: RackId, to: RackId, mut rooms: Vec<Room>, out: &mut Effects) {
+    pub fn spare(
+        &mut self,
+        from: RackId,
+        to: RackId,
+        mut rooms: Vec<Resources>,
+        out: &mut Effects,
+    ) {
         let Some(rack) = self.racks.get(&from) else {
             return;
         };
@@ -133,7 +139,7 @@
             };
             let task = load.task(waiting.index);
             // What is known of crashes under a task is lost where it is placed anew.
-            let fixed = load.batch.tied || load.suspicion(waiting.index).is_any();
+            let fixed = load.batch.tied || load.suspicion(waiting.index).is_present();
             if fixed || self.busy.contains_key(&task) {
                 continue;
             }
@@ -141,7 +147,7 @@
             let Some(room) = rooms.iter_mut().find(|room| room.fits(&need)) else {
                 continue;
             };
-            room.take(&need);
+            room.subtract(&need);
             given.entry(waiting.batch).or_default().push(waiting.index);
         }
         for (handle, tasks) in given {
--- a/src/dispatch/owner/suspects.rs
+++ b/src/dispatch/owner/suspects.rs
@@ -93,7 +93,7 @@
         suspicion.crashes += 1;
         suspicion.sole += u32::from(sole);
         if silent {
-            suspicion.heard();
+            suspicion.on_endpoint_heard();
         }
         let suspicion = *suspicion;
         self.suspect(&task, suspicion);
@@ -123,7 +123,7 @@
         let Some(progress) = self.progress(task, handle) else {
             return;
         };
-        progress.suspicion.heard();
+        progress.suspicion.on_endpoint_heard();
         let suspicion = progress.suspicion;
         self.suspect(&task, suspicion);
         self.release_one(task, handle, now);
--- a/src/dispatch/ownership.rs
+++ b/src/dispatch/ownership.rs
@@ -98,13 +98,13 @@
     /// Tells whether it has listened long enough to claim racks that nobody seems to own.
     fn settled(&self, now: Time) -> bool {
         let known = self.members.all().count();
-        now.since(self.began) >= SETTLE || self.startup.is_common(known, now)
+        now.since(self.started_at) >= SETTLE || self.startup.is_common(known, now)
     }
 
     /// Decides who owns what: gives up what another owns with a higher token, claims what nobody owns.
     pub(super) fn deal(&mut self, now: Time, out: &mut Effects) {
         self.update_owners();
-        let owners = self.owners.clone();
+        let owners = self.rack_owners.clone();
         let lost: Vec<RackId> = self
             .owner
             .racks()
@@ -122,10 +122,11 @@
                 since: now,
                 fenced: true,
             };
-            self.former.insert(rack, former);
+            self.former_owners.insert(rack, former);
         }
-        self.former.retain(|rack, _| !owners.contains_key(rack));
-        if self.draining() {
+        self.former_owners
+            .retain(|rack, _| !owners.contains_key(rack));
+        if self.is_draining() {
             self.hand_over(now, out);
         } else if self.settled(now) {
             self.update_owners();
@@ -135,7 +136,7 @@
     }
 
     fn claim(&mut self, now: Time, out: &mut Effects) {
-        let orphans = self.entry.orphans();
+        let orphans = self.entry.unowned_racks();
         if orphans.is_empty() {
             return;
         }
@@ -165,12 +166,12 @@
         }
         self.owner.list(&self.roster.endpoints, now, out);
         // The others must not place tasks by what the former owner said.
-        self.announced = Time::default();
+        self.announced_at = Time::default();
     }
 
     /// Tells whether a rack that nobody is heard to own can be claimed.
     pub(super) fn is_free(&mut self, rack: RackId, now: Time, out: &mut Effects) -> bool {
-        let Some(former) = self.former.get(&rack).cloned() else {
+        let Some(former) = self.former_owners.get(&rack).cloned() else {
             return true;
         };
         let free = match former.fenced {
@@ -182,7 +183,7 @@
             }
         };
         if free {
-            self.former.remove(&rack);
+            self.former_owners.remove(&rack);
         }
         free
     }
@@ -196,7 +197,7 @@
                 since: now,
                 fenced: false,
             };
-            self.former.insert(claim.rack, former);
+            self.former_owners.insert(claim.rack, former);
         }
     }
 
@@ -225,10 +226,10 @@
     /// Done for each message, this took nine tenths of the processor time of 42 instances with 44 racks.
     pub(super) fn update_owners(&mut self) {
         let claims = (self.members.claims(), self.owner.claims());
-        if self.claims == Some(claims) {
+        if self.claim_counts == Some(claims) {
             return;
         }
-        self.claims = Some(claims);
+        self.claim_counts = Some(claims);
         let owners = self.members.owners();
         let mut contacts: HashMap<RackId, Contact> = HashMap::new();
         for (rack, (name, _)) in &owners {
@@ -239,8 +240,8 @@
         for (rack, _) in self.owner.racks() {
             contacts.insert(rack, self.identity.contact.clone());
         }
-        self.entry.own(&contacts);
-        self.owners = Rc::new(owners);
+        self.entry.set_owners(&contacts);
+        self.rack_owners = Rc::new(owners);
     }
 
     /// Gives a rack away that another member should have: one in its own data centre, or one with less to do.
@@ -249,10 +250,10 @@
     /// centre whose only instance had been restarted owned none of its racks, and when it was cut off they could be
     /// used by neither side.
     pub(super) fn rebalance(&mut self, now: Time, out: &mut Effects) {
-        if self.draining() || now.since(self.rebalanced) < REBALANCE {
+        if self.is_draining() || now.since(self.rebalanced_at) < REBALANCE {
             return;
         }
-        self.rebalanced = now;
+        self.rebalanced_at = now;
         let steady = |c: &Candidate| {
             let member = self.members.get(&c.name);
             member.is_some_and(|m| m.live && now.since(m.since) >= STEADY)
@@ -285,11 +286,11 @@
         let to = member.contact.clone();
         if let Some(handover) = self.owner.hand_over(rack, &to, now, out) {
             let token = handover.token;
-            self.ceded.push((Claim { rack, token }, now));
+            self.handed_over.push((Claim { rack, token }, now));
             out.messages
                 .push((to, Message::Handover(Box::new(handover))));
         }
-        self.announced = Time::default();
+        self.announced_at = Time::default();
     }
 
     /// Gives all racks to members that stay.
@@ -312,8 +313,8 @@
         self.owner
             .take_over(handover, token, &self.roster.endpoints, now, out);
         self.update_owners();
-        self.announced = Time::default();
-        if self.draining() {
+        self.announced_at = Time::default();
+        if self.is_draining() {
             self.hand_over(now, out);
         }
     }
--- a/src/dispatch/reading.rs
+++ b/src/dispatch/reading.rs
@@ -92,7 +92,7 @@
             after: earlier.version,
             version: self.version,
             changed: changed.cloned().collect(),
-            gone: gone
+            removed: gone
                 .filter(|id| !listed.contains_key(id))
                 .cloned()
                 .collect(),
@@ -106,7 +106,7 @@
         }
         let replaced = |id: &Endpoint| change.changed.iter().any(|listing| listing.id == *id);
         let kept = self.endpoints.iter();
-        let kept = kept.filter(|l| !change.gone.contains(&l.id) && !replaced(&l.id));
+        let kept = kept.filter(|l| !change.removed.contains(&l.id) && !replaced(&l.id));
         Some(Self {
             version: change.version,
             endpoints: kept.chain(&change.changed).cloned().collect(),
@@ -117,7 +117,7 @@
 impl Dispatcher {
     /// Tells whether this instance is to read the list of endpoints from the store.
     pub fn reads(&self) -> bool {
-        !self.listed || self.reading.due
+        !self.has_roster || self.reading.due
     }
 
     /// Decides whether to read the list of endpoints.
@@ -145,7 +145,7 @@
     /// Tells the members of the data centre that don't read what has changed on the list of endpoints.
     pub(super) fn tell_change(&self, earlier: &Roster, out: &mut Effects) {
         let change = self.roster.changes_since(earlier);
-        if change.changed.len() + change.gone.len() > LARGEST {
+        if change.changed.len() + change.removed.len() > LARGEST {
             return;
         }
         let follows = |member: &&Member| {
--- a/src/dispatch/requests.rs
+++ b/src/dispatch/requests.rs
@@ -23,7 +23,7 @@
     owner::Effects,
     route::Route,
     task::{
-        Accepted,
+        AcceptedJob,
         Submission, //
     },
     Dispatcher, //
@@ -98,7 +98,7 @@
             return self.entry.refuse(ticket, id, &reason, Span(0), out);
         }
         let job = submission.id;
-        let record = Accepted {
+        let record = AcceptedJob {
             route: route.name.clone(),
             service: route.service.clone(),
             attempts: route.attempts.max(1),
@@ -233,7 +233,7 @@
     }
 
     /// Rejects a job for which there is no room in any useful time, before anything of it is stored.
-    fn rejection(&self, job: JobId, record: &Accepted) -> Option<Verdict> {
+    fn rejection(&self, job: JobId, record: &AcceptedJob) -> Option<Verdict> {
         // What a former coordinator accepted is known when the shard is held.
         let held = self.durable.knowledge(job.shard()) == Some(Knowledge::Held);
         if !held || self.durable.knows(job) {
--- a/src/dispatch/route.rs
+++ b/src/dispatch/route.rs
@@ -17,7 +17,7 @@
     /// The queues.
     pub routes: Vec<Route>,
     /// The services that run their tasks.
-    pub services: Vec<Pool>,
+    pub services: Vec<Service>,
     /// Bounds on callers' connections.
     pub limits: Limits,
 }
@@ -49,7 +49,7 @@
 
 /// A service.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Pool {
+pub struct Service {
     /// Its name.
     pub name: String,
     /// Whether its endpoints refuse what doesn't fit.
@@ -62,30 +62,30 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Limits {
     /// Bytes of the headers of a request.
-    pub headers: usize,
+    pub max_header_bytes: usize,
     /// Bytes of the body of a request.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// For the headers of a request to come whole.
-    pub receive: Span,
+    pub header_timeout: Span,
     /// For an idle connection to stay open.
-    pub idle: Span,
+    pub idle_timeout: Span,
 }
 
 impl Default for Limits {
     /// Stands in until the first configuration: what the platform's examples show.
     fn default() -> Self {
         Self {
-            headers: 16 << 10,
-            body: 256 << 10,
-            receive: Span::seconds(3),
-            idle: Span::seconds(15),
+            max_header_bytes: 16 << 10,
+            max_body_bytes: 256 << 10,
+            header_timeout: Span::seconds(3),
+            idle_timeout: Span::seconds(15),
         }
     }
 }
 
 impl Configuration {
     /// Finds the queue of a request, and the rest of its path: the host and the longest prefix decide.
-    pub fn route<'a, 'p>(&'a self, host: &str, path: &'p str) -> Option<(&'a Route, &'p str)> {
+    pub fn find_route<'a, 'p>(&'a self, host: &str, path: &'p str) -> Option<(&'a Route, &'p str)> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let fits = |route: &&Route| {
             route.host.eq_ignore_ascii_case(host) && path.starts_with(&route.prefix)
--- a/src/dispatch/task.rs
+++ b/src/dispatch/task.rs
@@ -10,7 +10,7 @@
 
 /// What a task takes of an endpoint, or what an endpoint has.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Room {
+pub struct Resources {
     /// Thousandths of a core.
     pub cpu: u64,
     /// Mebibytes of memory.
@@ -19,21 +19,21 @@
     pub gpu: u64,
 }
 
-impl Room {
+impl Resources {
     /// Tells whether `need` fits in.
-    pub fn fits(&self, need: &Room) -> bool {
+    pub fn fits(&self, need: &Resources) -> bool {
         self.cpu >= need.cpu && self.memory >= need.memory && self.gpu >= need.gpu
     }
 
     /// Takes `need` out, down to nothing.
-    pub fn take(&mut self, need: &Room) {
+    pub fn subtract(&mut self, need: &Resources) {
         self.cpu = self.cpu.saturating_sub(need.cpu);
         self.memory = self.memory.saturating_sub(need.memory);
         self.gpu = self.gpu.saturating_sub(need.gpu);
     }
 
     /// Counts how many times `need` fits in, at most `most`.
-    pub fn times(&self, need: &Room, most: u64) -> u64 {
+    pub fn times(&self, need: &Resources, most: u64) -> u64 {
         let times = |have: u64, want: u64| have.checked_div(want).unwrap_or(most);
         times(self.cpu, need.cpu)
             .min(times(self.memory, need.memory))
@@ -49,7 +49,7 @@
     /// How many tasks.
     pub count: u32,
     /// What each takes.
-    pub need: Room,
+    pub need: Resources,
     /// The caller's rough estimate of a task's duration.
     pub estimate: Span,
     /// Steps before this one, by their place, all of whose tasks must be done first.
@@ -104,7 +104,7 @@
 
 /// A job as it was accepted and stored.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Accepted {
+pub struct AcceptedJob {
     /// What its caller handed in.
     pub submission: Submission,
     /// The queue that it came by.
--- a/src/instance/calls.rs
+++ b/src/instance/calls.rs
@@ -63,7 +63,7 @@
             endpoint,
             address,
             order,
-            patience,
+            timeout: patience,
             fresh,
         } = output
         else {
@@ -76,7 +76,7 @@
             let reply = timeout(patience.duration(), attempt).await;
             let reply = reply.unwrap_or(Reply::Silent);
             hub.gauges.call(&order, &reply, now().since(sent));
-            hub.feed(Input::Called { call, sent, reply });
+            hub.feed(Input::EndpointReplied { call, sent, reply });
         });
     }
 
--- a/src/instance/feeds.rs
+++ b/src/instance/feeds.rs
@@ -295,7 +295,7 @@
             continue;
         }
         let read = client.follow(record::ENDPOINTS, version).await;
-        hub.feed(Input::Read(read.is_ok()));
+        hub.feed(Input::RosterRead(read.is_ok()));
         match read {
             Ok((rows, at)) => {
                 cache.borrow_mut().answered(now());
@@ -310,7 +310,7 @@
         }
         let roster = cache.borrow_mut().take(now());
         if let Some(roster) = roster.filter(|_| version.is_some()) {
-            hub.feed(Input::Listed(roster));
+            hub.feed(Input::RosterListed(roster));
         }
         sleep(ENDPOINTS).await;
     }
@@ -370,15 +370,15 @@
         .is_err()
     {
         // Without the store only the seeds can lead to peers.
-        hub.feed(Input::Found(seeds.clone()));
+        hub.feed(Input::MembersFound(seeds.clone()));
         sleep(AGAIN).await;
     }
     let mut found = false;
     loop {
-        if !found || hub.look(|dispatcher| dispatcher.alone()) {
+        if !found || hub.look(|dispatcher| dispatcher.is_alone()) {
             if let Ok((rows, _)) = client.table(record::INSTANCES).await {
                 found = true;
-                hub.feed(Input::Found(contacts(&client, rows)));
+                hub.feed(Input::MembersFound(contacts(&client, rows)));
             }
         }
         sleep(LONELY).await;
--- a/src/instance/front.rs
+++ b/src/instance/front.rs
@@ -72,7 +72,7 @@
             Limits,
             Route, //
         },
-        PARTING, //
+        CONNECTION_GRACE, //
     },
     platform::ingress,
     prelude::*,
@@ -213,7 +213,7 @@
         builder
             .timer(TokioTimer::new())
             .header_read_timeout(None)
-            .max_buf_size(limits.headers.max(LEAST_BUFFER));
+            .max_buf_size(limits.max_header_bytes.max(LEAST_BUFFER));
         let connection = builder.serve_connection(TokioIo::new(stream), service);
         let mut connection = std::pin::pin!(connection);
         loop {
@@ -250,7 +250,7 @@
     /// kept until that came, it might stay for good. A request that has come whole is served first.
     async fn unfinished(&self, state: &Connection, since: Option<Time>) {
         loop {
-            sleep(self.limits().receive.duration()).await;
+            sleep(self.limits().header_timeout.duration()).await;
             if state.idle.get() == since {
                 return;
             }
@@ -261,9 +261,9 @@
     async fn due(&self, state: &Connection) -> &'static str {
         loop {
             // On a leaving instance nothing that came would be taken; its caller finds another one sooner this way.
-            let (idle, reason) = match self.hub.look(|d| d.closed(now())) {
-                true => (PARTING, "the instance leaves"),
-                false => (self.limits().idle, "it was idle"),
+            let (idle, reason) = match self.hub.look(|d| d.refuses_jobs(now())) {
+                true => (CONNECTION_GRACE, "the instance leaves"),
+                false => (self.limits().idle_timeout, "it was idle"),
             };
             let rest = match state.idle.get() {
                 Some(since) => (since + idle).since(now()),
@@ -300,7 +300,7 @@
 }
 
 async fn answer(hub: &Rc<Hub>, request: Request<Incoming>) -> Answered {
-    let leaving = hub.look(|dispatcher| dispatcher.draining());
+    let leaving = hub.look(|dispatcher| dispatcher.is_draining());
     let mut response = respond(hub, request).await;
     if leaving {
         let close = HeaderValue::from_static("close");
@@ -315,7 +315,7 @@
     let host = host.unwrap_or_default().to_owned();
     let found = hub.look(|dispatcher| {
         let configuration = dispatcher.configuration()?;
-        let route = configuration.route(&host, &path);
+        let route = configuration.find_route(&host, &path);
         Some(route.map(|(route, rest)| (route.clone(), rest.to_owned())))
     });
     let (route, rest) = match found {
@@ -324,7 +324,7 @@
         Some(Some(found)) => found,
     };
     if rest.is_empty() && request.method() == Method::GET {
-        let pending = hub.look(|dispatcher| dispatcher.pending(&route.name));
+        let pending = hub.look(|dispatcher| dispatcher.count_pending(&route.name));
         return reply(StatusCode::OK, ingress::queue(pending));
     }
     let Ok(id) = rest.parse::<JobId>() else {
@@ -333,12 +333,12 @@
     };
     match *request.method() {
         Method::POST => submit(hub, request, &route, id, host, path).await,
-        Method::GET if hub.look(|d| d.knows(id)) => {
+        Method::GET if hub.look(|d| d.has_job(id)) => {
             reply(StatusCode::OK, ingress::state(JobState::Running))
         }
         Method::GET => ask(hub, id, Question::State).await,
         Method::DELETE => {
-            let known = hub.look(|d| d.knows(id));
+            let known = hub.look(|d| d.has_job(id));
             hub.feed(Input::Cancelled(id));
             match known {
                 true => reply(StatusCode::OK, Vec::new()),
@@ -402,7 +402,7 @@
         hub: hub.clone(),
         ticket,
     };
-    hub.feed(Input::Asked {
+    hub.feed(Input::JobRequested {
         ticket,
         job,
         question,
@@ -433,8 +433,8 @@
 }
 
 async fn read(body: Incoming, limits: &Limits) -> Result<Bytes, StatusCode> {
-    let whole = Limited::new(body, limits.body).collect();
-    match timeout(limits.receive.duration(), whole).await {
+    let whole = Limited::new(body, limits.max_body_bytes).collect();
+    match timeout(limits.header_timeout.duration(), whole).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(_)) => Err(StatusCode::PAYLOAD_TOO_LARGE),
         Err(_) => Err(StatusCode::REQUEST_TIMEOUT),
@@ -489,7 +489,7 @@
 
 fn watched(hub: &Hub, path: &str) -> Response<Full<Bytes>> {
     if path == "/metrics" {
-        let standing = hub.look(|dispatcher| dispatcher.standing());
+        let standing = hub.look(|dispatcher| dispatcher.stats());
         return match hub.gauges.render(standing) {
             Ok(text) => {
                 let mut response = reply(StatusCode::OK, text.into_bytes());
@@ -500,7 +500,7 @@
             Err(error) => failure(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
         };
     }
-    match (path, hub.look(|dispatcher| dispatcher.ready())) {
+    match (path, hub.look(|dispatcher| dispatcher.is_ready())) {
         (ingress::READY, true) => reply(StatusCode::OK, Vec::new()),
         (ingress::READY, false) => failure(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
         _ => failure(StatusCode::NOT_FOUND, "there is /metrics and the readiness"),
--- a/src/instance/gauges.rs
+++ b/src/instance/gauges.rs
@@ -22,7 +22,7 @@
             Order,
             Reply, //
         },
-        Standing, //
+        Stats, //
     },
     metrics::registry::Registry,
     prelude::*,
@@ -157,7 +157,7 @@
     /// # Errors
     ///
     /// Fails where the writer does.
-    pub fn render(&self, standing: Standing) -> Result<String, fmt::Error> {
+    pub fn render(&self, standing: Stats) -> Result<String, fmt::Error> {
         let set = |kind: &str, value: usize| {
             self.standing
                 .get_or_create(&kind_of(kind))
--- a/src/instance/hub.rs
+++ b/src/instance/hub.rs
@@ -126,9 +126,9 @@
                 incarnation,
                 session,
             } => self.peers.session(&to, incarnation, session),
-            Output::Forget(address) => self.calls.forget(&address),
+            Output::Disconnect(address) => self.calls.forget(&address),
             Output::Log(record) => self.log(&record),
-            Output::Closed => self.closing.notify_waiters(),
+            Output::CloseIdleCallers => self.closing.notify_waiters(),
             Output::Drained => self.drained.notify_one(),
         }
     }
--- a/src/instance/inbox.rs
+++ b/src/instance/inbox.rs
@@ -40,7 +40,7 @@
 
     /// Tells whether an envelope came before; else it counts from now on.
     pub fn repeated(&mut self, sender: &Sender, serial: u64) -> bool {
-        if sender.to != 0 && sender.to != self.own {
+        if sender.receiver_incarnation != 0 && sender.receiver_incarnation != self.own {
             return false;
         }
         let last = Last {
@@ -48,7 +48,7 @@
             session: sender.session,
             serial,
         };
-        let key = (sender.contact.name.clone(), sender.to);
+        let key = (sender.contact.name.clone(), sender.receiver_incarnation);
         if let Some(known) = self.last.get(&key) {
             let same = (known.incarnation, known.session) == (last.incarnation, last.session);
             if same && serial <= known.serial {
--- a/src/instance/peers.rs
+++ b/src/instance/peers.rs
@@ -175,7 +175,7 @@
             contact: self.identity.contact.clone(),
             centre: self.identity.centre.clone(),
             incarnation: self.identity.incarnation,
-            to: link.map_or(0, |link| link.incarnation),
+            receiver_incarnation: link.map_or(0, |link| link.incarnation),
             session: link.map_or(0, |link| link.session),
             sent: now,
         }
--- a/src/instance/rows.rs
+++ b/src/instance/rows.rs
@@ -73,7 +73,7 @@
                 StoreReply::Refused => "refused",
                 StoreReply::Silent => "silent",
             });
-            hub.feed(Input::Stored { call, reply });
+            hub.feed(Input::StoreReplied { call, reply });
         });
     }
 
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -14,7 +14,7 @@
         id::JobId,
         message::JobState,
         task::{
-            Room,
+            Resources,
             Step,
             Submission, //
         }, //
@@ -137,7 +137,7 @@
     let unsupported = kinds.iter().find(|(asked, _)| *asked);
     Ok(Step {
         count: step.count,
-        need: Room {
+        need: Resources {
             cpu: step.cpu,
             memory: step.mem_mb,
             gpu: step.gpu,
--- a/src/platform/record.rs
+++ b/src/platform/record.rs
@@ -21,10 +21,10 @@
         route::{
             Configuration,
             Limits,
-            Pool,
             Route, //
+            Service,
         },
-        task::Room, //
+        task::Resources, //
     },
     prelude::*,
 };
@@ -126,12 +126,14 @@
         routes: body.routes.into_iter().map(route).collect(),
         services: body.services.into_iter().map(pool).collect(),
         limits: Limits {
-            headers: limits.max_header_bytes.unwrap_or(default.headers),
-            body: limits.max_body_bytes.unwrap_or(default.body),
-            receive: limits
+            max_header_bytes: limits.max_header_bytes.unwrap_or(default.max_header_bytes),
+            max_body_bytes: limits.max_body_bytes.unwrap_or(default.max_body_bytes),
+            header_timeout: limits
                 .header_timeout_ms
-                .map_or(default.receive, Span::millis),
-            idle: limits.idle_timeout_ms.map_or(default.idle, Span::millis),
+                .map_or(default.header_timeout, Span::millis),
+            idle_timeout: limits
+                .idle_timeout_ms
+                .map_or(default.idle_timeout, Span::millis),
         },
     })
 }
@@ -151,8 +153,8 @@
     }
 }
 
-fn pool(body: ServiceBody) -> Pool {
-    Pool {
+fn pool(body: ServiceBody) -> Service {
+    Service {
         name: body.name,
         guarded: body.admission_check,
         connections: body.max_connections,
@@ -212,7 +214,7 @@
         centre: body.zone,
         rack: body.labels.get(1).cloned().unwrap_or_default(),
         labels: body.labels,
-        capacity: Room {
+        capacity: Resources {
             cpu: body.capacity.cpu,
             memory: body.capacity.mem_mb,
             gpu: body.capacity.gpu,
--- a/src/trace/line.rs
+++ b/src/trace/line.rs
@@ -47,9 +47,9 @@
 pub struct Id(pub JobId);
 
 impl TryFrom<String> for Id {
-    type Error = id::Malformed;
+    type Error = id::JobIdError;
 
-    fn try_from(text: String) -> Result<Self, id::Malformed> {
+    fn try_from(text: String) -> Result<Self, id::JobIdError> {
         text.parse().map(Self)
     }
 }
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -180,7 +180,7 @@
     let configuration = json!({"version": 7, "routes": [{"name": "r", "hostname": "h", "prefix": "/p/",
         "service": "s", "timeout_ms": 1500, "target_duration_ms": 60, "stretch": 1.6}]});
     let read = record::configuration(configuration.to_string().as_bytes()).unwrap();
-    let (route, rest) = read.route("H:8161", "/p/5c").unwrap();
+    let (route, rest) = read.find_route("H:8161", "/p/5c").unwrap();
     assert_eq!((route.timeout, rest), (Span::millis(1_500), "5c"));
     assert_eq!(route.objective(Span::millis(100)), Span::millis(220));
     let fault = record::configuration(br#"{"version":7,"routes":[{"name":"r"}]}"#).unwrap_err();
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -31,7 +31,7 @@
         },
         Dispatcher,
         Identity,
-        PARTING, //
+        CONNECTION_GRACE, //
     },
     prelude::*, //
 };
@@ -328,7 +328,7 @@
         let now = begun + Span::millis(tick * 10);
         for output in dispatcher.step(now, Input::Tick) {
             match output {
-                Output::Closed => closed = Some(now),
+                Output::CloseIdleCallers => closed = Some(now),
                 Output::Drained => drained = drained.or(Some(now)),
                 _ => {}
             }
@@ -336,7 +336,7 @@
     }
     let (closed, drained) = (closed.unwrap(), drained.unwrap());
     assert!(
-        drained >= closed + PARTING + PARTING,
+        drained >= closed + CONNECTION_GRACE + CONNECTION_GRACE,
         "idle connections are closed before it"
     );
 }
--- a/tests/dispatch/endpoint.rs
+++ b/tests/dispatch/endpoint.rs
@@ -24,7 +24,7 @@
             Reply,
             Running, //
         },
-        task::Room,
+        task::Resources,
     },
     prelude::*,
 };
@@ -196,7 +196,7 @@
     }
 
     /// Tells how much is taken of it, by those that are being stopped too.
-    pub(crate) fn taken(&self, needs: &HashMap<TaskId, Room>) -> u64 {
+    pub(crate) fn taken(&self, needs: &HashMap<TaskId, Resources>) -> u64 {
         self.running.keys().map(|task| needs[task].cpu).sum()
     }
 
@@ -216,10 +216,10 @@
         }
     }
 
-    fn room(&self, needs: &HashMap<TaskId, Room>) -> Room {
+    fn room(&self, needs: &HashMap<TaskId, Resources>) -> Resources {
         let mut room = self.listing.capacity;
         for task in self.running.keys() {
-            room.take(&needs[task]);
+            room.subtract(&needs[task]);
         }
         room
     }
@@ -228,7 +228,7 @@
     pub(crate) fn obey(
         &mut self,
         order: &Order,
-        needs: &HashMap<TaskId, Room>,
+        needs: &HashMap<TaskId, Resources>,
         takes: Span,
         fails: bool,
         now: Time,
--- a/tests/dispatch/world.rs
+++ b/tests/dispatch/world.rs
@@ -48,7 +48,7 @@
             Route, //
         },
         task::{
-            Room,
+            Resources,
             Step,
             Submission, //
         },
@@ -168,7 +168,7 @@
     serial: u64,
     random: SmallRng,
     faults: Faults,
-    needs: HashMap<TaskId, Room>,
+    needs: HashMap<TaskId, Resources>,
     takes: HashMap<JobId, Span>,
     cut: HashSet<usize>,
     /// Pairs of instances that don't reach each other, the lower one in front.
@@ -260,7 +260,7 @@
                 centre: centre(i / 4),
                 rack: format!("r{}", i / 4),
                 labels: vec!["a".to_owned(), format!("r{}", i / 4)],
-                capacity: Room {
+                capacity: Resources {
                     cpu: 4_000,
                     memory: 4_000,
                     gpu: 0,
@@ -361,8 +361,8 @@
         if !self.turned_away.contains(&i) {
             self.feed(i, Input::Evacuated(self.evacuation.clone()));
         }
-        self.feed(i, Input::Listed(self.roster.clone()));
-        self.feed(i, Input::Found(contacts));
+        self.feed(i, Input::RosterListed(self.roster.clone()));
+        self.feed(i, Input::MembersFound(contacts));
         let life = self.hosts[i].life;
         self.at(TICK, Event::Tick(i, life));
     }
@@ -385,7 +385,7 @@
             contact: host.contact.clone(),
             centre: host.centre.clone(),
             incarnation: host.life,
-            to: incarnation,
+            receiver_incarnation: incarnation,
             session,
             sent: self.now,
         }
@@ -406,9 +406,9 @@
                 call,
                 endpoint,
                 order,
-                patience,
+                timeout,
                 ..
-            } => self.call(i, call, &endpoint, order, patience),
+            } => self.call(i, call, &endpoint, order, timeout),
             Output::Send(to, message) => {
                 let Some(to_index) = self.index(&to.name) else {
                     return;
@@ -474,7 +474,7 @@
                     self.at(way, Event::Store(i, life, call, request, true));
                 }
             }
-            Output::Forget(_) | Output::Closed => {}
+            Output::Disconnect(_) | Output::CloseIdleCallers => {}
         }
     }
 
@@ -615,7 +615,7 @@
                     return self.at(rest, Event::Reply(i, life, call, sent, reply));
                 }
                 let reply = *reply;
-                self.feed(i, Input::Called { call, sent, reply });
+                self.feed(i, Input::EndpointReplied { call, sent, reply });
             }
             Event::Store(i, life, call, request, answered) => {
                 let reply = match self.away {
@@ -636,7 +636,7 @@
                     return self.at(rest, Event::Stored(i, life, call, reply));
                 }
                 let reply = *reply;
-                self.feed(i, Input::Stored { call, reply });
+                self.feed(i, Input::StoreReplied { call, reply });
             }
             Event::StoreAway(away) => self.away = away,
             Event::Submit(i, job, tasks, cpu, takes) => self.submit(i, job, tasks, cpu, takes),
@@ -773,7 +773,7 @@
         self.list();
         for i in 0..self.hosts.len() {
             if !self.frozen(i) {
-                self.feed(i, Input::Listed(self.roster.clone()));
+                self.feed(i, Input::RosterListed(self.roster.clone()));
             }
         }
     }
@@ -791,7 +791,7 @@
         };
         self.jobs.entry(job).or_insert(seen);
         self.takes.insert(job, takes);
-        let need = Room {
+        let need = Resources {
             cpu,
             memory: 64,
             gpu: 0,
@@ -978,7 +978,7 @@
         let question = Question::State;
         self.feed(
             i,
-            Input::Asked {
+            Input::JobRequested {
                 ticket,
                 job,
                 question,
@@ -1131,7 +1131,7 @@
 
     pub(crate) fn racks_of(&self, i: usize) -> usize {
         let dispatcher = self.hosts[i].dispatcher.as_ref();
-        dispatcher.map_or(0, |dispatcher| dispatcher.standing().racks)
+        dispatcher.map_or(0, |dispatcher| dispatcher.stats().racks)
     }
 
     pub(crate) fn count(&self, answer: impl Fn(&Answer) -> bool) -> usize {
--- a/tests/entry.rs
+++ b/tests/entry.rs
@@ -26,8 +26,8 @@
         owner::Effects,
         route::Route,
         task::{
-            Accepted,
-            Room,
+            AcceptedJob,
+            Resources,
             Step,
             Submission, //
         }, //
@@ -42,7 +42,7 @@
         name: "owner".parse().unwrap(),
         address: "owner:1".to_owned(),
     };
-    let capacity = Room {
+    let capacity = Resources {
         cpu: 8_000,
         memory: 8_000,
         gpu: 0,
@@ -61,21 +61,21 @@
     let rack = listing.rack_id();
     let mut entry = Entry::new(0, &"own".parse().unwrap(), "a");
     entry.list(&[listing]);
-    entry.own(&HashMap::from([(rack, owner.clone())]));
+    entry.set_owners(&HashMap::from([(rack, owner.clone())]));
     let vacancy = Vacancy {
         rack,
         free: vec![capacity],
         movable: 0,
         backlog: 0,
     };
-    entry.rooms(&owner.name, vec![vacancy]);
+    entry.update_rooms(&owner.name, vec![vacancy]);
     (entry, owner)
 }
 
 /// Makes an entry with racks of eight endpoints, one owner each: the first is its own instance, all of the same data centre. Each
 /// endpoint has room for one task, on as many of a rack's endpoints as `free` says.
 fn fleet(free: &[usize]) -> Entry {
-    let room = Room {
+    let room = Resources {
         cpu: 1_000,
         memory: 8_000,
         gpu: 0,
@@ -105,19 +105,19 @@
     };
     let racks = (0..free.len()).map(|i| (listings[i * 8].rack_id(), owner(i)));
     let owners: HashMap<_, _> = racks.collect();
-    entry.own(&owners);
+    entry.set_owners(&owners);
     for (i, free) in free.iter().enumerate() {
         let vacancy = Vacancy {
             rack: listings[i * 8].rack_id(),
             // A rack without room is still one that takes tasks.
             free: vec![room; *free]
                 .into_iter()
-                .chain([Room::default()])
+                .chain([Resources::default()])
                 .collect(),
             movable: 0,
             backlog: 8_000,
         };
-        entry.rooms(&owner(i).name, vec![vacancy]);
+        entry.update_rooms(&owner(i).name, vec![vacancy]);
     }
     entry
 }
@@ -129,7 +129,7 @@
 fn submit_as(entry: &mut Entry, id: JobId, tasks: u32) -> Vec<Batch> {
     let step = Step {
         count: tasks,
-        need: Room {
+        need: Resources {
             cpu: 1_000,
             memory: 1,
             gpu: 0,
@@ -370,7 +370,7 @@
 fn stored(entry: &mut Entry) -> Batch {
     let step = Step {
         count: 1,
-        need: Room {
+        need: Resources {
             cpu: 1_000,
             memory: 64,
             gpu: 0,
@@ -385,7 +385,7 @@
         best_effort: false,
         unsupported: None,
     };
-    let record = Accepted {
+    let record = AcceptedJob {
         submission,
         route: "queue".to_owned(),
         service: "cells".to_owned(),
@@ -394,8 +394,8 @@
         objective: Span::seconds(1),
     };
     let mut out = Effects::default();
-    entry.run(JobId(7), &record, &Progress::begin(&record), NOW, NOW);
-    entry.begin(NOW, &mut out);
+    entry.run_stored(JobId(7), &record, &Progress::begin(&record), NOW, NOW);
+    entry.start_due_stored(NOW, &mut out);
     batches(&out).remove(0)
 }
 
@@ -412,12 +412,12 @@
     let batch = stored(&mut entry);
     for other in [None, Some(batch.serial + 1)] {
         let mut out = Effects::default();
-        entry.task_failed(task, other, NOW);
+        entry.on_task_failed(task, other, NOW);
         entry.work(NOW + Span::seconds(3), &mut out);
         assert_eq!(batches(&out).len(), 0, "its run goes on");
     }
     let mut out = Effects::default();
-    entry.task_failed(task, Some(batch.serial), NOW);
+    entry.on_task_failed(task, Some(batch.serial), NOW);
     entry.work(NOW, &mut out);
     assert_eq!(batches(&out).len(), 1, "its own run failed");
 }
--- a/tests/fleet/documents.rs
+++ b/tests/fleet/documents.rs
@@ -5,8 +5,8 @@
         message::Input,
         route::{
             Configuration,
-            Pool,
             Route, //
+            Service,
         },
     },
     prelude::*,
@@ -39,9 +39,9 @@
     Configuration {
         version,
         routes: (0..ROUTES).map(route).collect(),
-        services: vec![Pool {
+        services: vec![Service {
             name: "cells".to_owned(),
-            ..Pool::default()
+            ..Service::default()
         }],
         ..Configuration::default()
     }
--- a/tests/fleet/readers.rs
+++ b/tests/fleet/readers.rs
@@ -50,9 +50,9 @@
     while fleet.now < end {
         for i in readers(fleet) {
             let reached = !away.contains(&i);
-            fleet.feed(i, Input::Read(reached));
+            fleet.feed(i, Input::RosterRead(reached));
             if reached && fleet.hosts[i].roster() != roster {
-                fleet.feed(i, Input::Listed(roster.clone()));
+                fleet.feed(i, Input::RosterListed(roster.clone()));
             }
         }
         fleet.run(READS);
--- a/tests/fleet/watch.rs
+++ b/tests/fleet/watch.rs
@@ -81,7 +81,7 @@
         },
         centre: format!("centre-{}", i % CENTRES),
         incarnation: 1,
-        to: 0,
+        receiver_incarnation: 0,
         session: 0,
         sent,
     }
--- a/tests/fleet/world.rs
+++ b/tests/fleet/world.rs
@@ -101,7 +101,7 @@
             sent: vec![0; count],
         };
         for i in 0..count {
-            let found = Input::Found(fleet.names.clone());
+            let found = Input::MembersFound(fleet.names.clone());
             fleet.feed(i, found);
         }
         fleet.run(Span::seconds(1));
@@ -129,7 +129,7 @@
             contact: self.names[i].clone(),
             centre: centre(i, self.centres),
             incarnation: 1,
-            to: incarnation,
+            receiver_incarnation: incarnation,
             session,
             sent: self.now,
         }
@@ -214,7 +214,7 @@
 
     /// Counts the peers that an instance takes for alive.
     pub(crate) fn peers(&self, i: usize) -> usize {
-        self.hosts[i].standing().peers
+        self.hosts[i].stats().peers
     }
 }
 
--- a/tests/inbox.rs
+++ b/tests/inbox.rs
@@ -21,7 +21,7 @@
         },
         centre: "a".to_owned(),
         incarnation: 5,
-        to,
+        receiver_incarnation: to,
         session,
         sent: Time(1),
     }
--- a/tests/owner.rs
+++ b/tests/owner.rs
@@ -39,7 +39,7 @@
             Owner, //
         },
         queue::Handle,
-        task::Room,
+        task::Resources,
         Dispatcher,
         Identity, //
     },
@@ -64,7 +64,7 @@
         centre: "a".to_owned(),
         rack: "r".to_owned(),
         labels: vec!["a".to_owned(), "r".to_owned()],
-        capacity: Room {
+        capacity: Resources {
             cpu: slots * 1_000,
             memory: 1_000,
             gpu: 0,
@@ -81,7 +81,7 @@
         step: 0,
         tasks,
         moves: 0,
-        need: Room {
+        need: Resources {
             cpu: 1_000,
             memory: 1,
             gpu: 0,
@@ -97,7 +97,7 @@
         stored: false,
         slack: Some(Span::seconds(1)),
         useful: Span::seconds(2),
-        left: Span::seconds(3),
+        time_left: Span::seconds(3),
     }
 }
 
@@ -286,7 +286,7 @@
     let mut out = Effects::default();
     bench.owner.called(look.unwrap(), now, reply, now, &mut out);
     let to = RackId::of("cells", "a", "other");
-    let room = Room {
+    let room = Resources {
         cpu: 4_000,
         memory: 100,
         gpu: 0,
@@ -419,16 +419,16 @@
         version: 1,
         endpoints: vec![listing(1)],
     };
-    dispatcher.step(START, Input::Listed(roster));
+    dispatcher.step(START, Input::RosterListed(roster));
     let mut now = START;
     for _ in 0..100 {
         now = now + Span::millis(10);
         dispatcher.step(now, Input::Tick);
     }
-    assert_eq!(dispatcher.standing().racks, 1);
+    assert_eq!(dispatcher.stats().racks, 1);
     now = now + Span::seconds(3);
     let outputs = dispatcher.step(now, Input::Tick);
-    assert_eq!(dispatcher.standing().racks, 0);
+    assert_eq!(dispatcher.stats().racks, 0);
     assert!(!outputs.iter().any(|o| matches!(o, Output::Call { .. })));
 }
 
@@ -479,7 +479,7 @@
     let own = contact("own");
     let mut out = Effects::default();
     let wide = |serial: u64, cpu: u64| Batch {
-        need: Room {
+        need: Resources {
             cpu,
             memory: 1,
             gpu: 0,
--- a/tests/roster.rs
+++ b/tests/roster.rs
@@ -8,7 +8,7 @@
             Roster, //
         },
         roster::Cache,
-        task::Room, //
+        task::Resources, //
     },
     prelude::*,
 };
@@ -26,7 +26,7 @@
         centre: "a".to_owned(),
         rack: "r1".to_owned(),
         labels: vec!["a".to_owned(), "r1".to_owned()],
-        capacity: Room::default(),
+        capacity: Resources::default(),
         draining: false,
     }
 }
