--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -137,19 +137,19 @@
     /// Jobs in progress.
     pub jobs: usize,
     /// Tasks that wait on its racks.
-    pub waiting: usize,
+    pub waiting_tasks: usize,
     /// Runs on its endpoints.
     pub runs: usize,
     /// Endpoints that take tasks.
-    pub open: usize,
+    pub open_endpoints: usize,
     /// Racks that it owns.
     pub racks: usize,
     /// Live peers.
     pub peers: usize,
     /// The configuration's version.
-    pub configuration: u64,
+    pub configuration_version: u64,
     /// Data centres that are evacuated.
-    pub evacuated: usize,
+    pub evacuated_centres: usize,
 }
 
 /// All state of an instance.
@@ -301,16 +301,16 @@
 
     /// Returns what it has and does, in numbers.
     pub fn stats(&self) -> Stats {
-        let (waiting, runs, open) = self.owner.counts();
+        let (waiting_tasks, runs, open_endpoints) = self.owner.counts();
         Stats {
             jobs: self.entry.len(),
-            waiting,
+            waiting_tasks,
             runs,
-            open,
+            open_endpoints,
             racks: self.owner.racks().count(),
             peers: self.members.live().count(),
-            configuration: self.configuration.as_ref().map_or(0, |c| c.version),
-            evacuated: self.evacuation.centres.len(),
+            configuration_version: self.configuration.as_ref().map_or(0, |c| c.version),
+            evacuated_centres: self.evacuation.centres.len(),
         }
     }
 
@@ -604,7 +604,7 @@
         let member = self.members.get(name);
         let is = member.map(|m| (m.live, m.incarnation, m.session));
         if is.map(|i| (i.1, i.2)) != was.map(|w| (w.1, w.2)) {
-            out.outputs.push(Output::Session {
+            out.outputs.push(Output::BeginSession {
                 to: from.contact.clone(),
                 incarnation: from.incarnation,
                 session: is.map_or(0, |(_, _, session)| session),
@@ -720,7 +720,7 @@
         self.act(acts, now, out);
         self.owner.void(&self.identity.contact.name);
         for member in self.members.void(now) {
-            out.outputs.push(Output::Session {
+            out.outputs.push(Output::BeginSession {
                 to: member.contact,
                 incarnation: member.incarnation,
                 session: member.session,
@@ -744,7 +744,7 @@
             let heard = member.heard.unwrap_or(now);
             out.outputs
                 .push(Output::Log(record.with("silent_ms", now.since(heard))));
-            out.outputs.push(Output::Session {
+            out.outputs.push(Output::BeginSession {
                 to: member.contact,
                 incarnation: member.incarnation,
                 session: member.session,
--- a/src/dispatch/documents.rs
+++ b/src/dispatch/documents.rs
@@ -6,7 +6,7 @@
 //! 34 instances and 1,500 routes. Asked for, it crosses once, whatever their number.
 
 use super::{
-    id::weight,
+    id::keyed_hash,
     member::Member,
     message::{
         Document,
@@ -117,7 +117,7 @@
         // All who lack it choose differently, so that no peer has to serve them all.
         let preference = |holder: &Holder| {
             let pair = format!("{own} {}", holder.name);
-            (near && holder.far, weight(u64::from(attempts), &pair))
+            (near && holder.far, keyed_hash(u64::from(attempts), &pair))
         };
         holders.sort_by_cached_key(preference);
         let chosen = holders.first()?;
--- a/src/dispatch/durable.rs
+++ b/src/dispatch/durable.rs
@@ -37,7 +37,7 @@
         Question,
         Record,
         RunEnd,
-        StoreCall,
+        StoreCallId,
         StoreReply,
         Verdict, //
     },
@@ -76,7 +76,7 @@
     /// Names one life of the instance in lock rows.
     own: String,
     shards: BTreeMap<ShardId, Shard>,
-    calls: HashMap<StoreCall, ShardId>,
+    calls: HashMap<StoreCallId, ShardId>,
     serial: u64,
     /// When a member was lost last.
     lost: Option<Time>,
@@ -248,7 +248,7 @@
                 continue;
             };
             self.serial += 1;
-            let call = StoreCall(self.serial);
+            let call = StoreCallId(self.serial);
             shard.sent = Some(now);
             self.calls.insert(call, *id);
             out.outputs.push(Output::Store { call, request });
@@ -259,7 +259,7 @@
     /// Takes an answer of the store.
     pub fn stored(
         &mut self,
-        call: StoreCall,
+        call: StoreCallId,
         reply: StoreReply,
         now: Time,
         out: &mut Effects,
--- a/src/dispatch/endpoint/backoff.rs
+++ b/src/dispatch/endpoint/backoff.rs
@@ -3,7 +3,7 @@
 //! One that refuses connections, or resets them, does so at once. Called again at once, a stop that has to arrive was sent thousands
 //! of times a second, each over a new connection.
 
-use super::super::id::weight;
+use super::super::id::keyed_hash;
 use crate::prelude::*;
 
 /// The pause after the first call that wasn't answered.
@@ -44,7 +44,8 @@
     pub(super) fn pause(self, endpoint: &Endpoint) -> Span {
         let doubled = FIRST.0 << self.failures.saturating_sub(1).min(MOST_DOUBLED);
         let (least, most) = SPREAD;
-        let drawn = least + weight(u64::from(self.failures), endpoint.as_str()) % (most - least);
+        let drawn =
+            least + keyed_hash(u64::from(self.failures), endpoint.as_str()) % (most - least);
         Span(doubled.min(LONGEST.0) * drawn / 1_000)
     }
 }
--- a/src/dispatch/entry/rack.rs
+++ b/src/dispatch/entry/rack.rs
@@ -7,7 +7,7 @@
 
 use super::super::{
     id::{
-        weight,
+        keyed_hash,
         JobId,
         RackId, //
     },
@@ -98,7 +98,7 @@
                 !rack.is_of(demand.own),
                 !chosen.contains_key(id),
                 Reverse(room.min(demand.rest)),
-                weight(id.0 ^ demand.job.0, ""),
+                keyed_hash(id.0 ^ demand.job.0, ""),
             )
         };
         let best = fit.min_by_key(|(id, rack)| key(id, rack));
--- a/src/dispatch/id.rs
+++ b/src/dispatch/id.rs
@@ -62,8 +62,8 @@
 
     /// Weighs a member as the shard's coordinator: the highest weight of all wins.
     pub fn weight(self, member: &str) -> u64 {
-        mix(fnv(
-            fnv(FNV_OFFSET, &self.0.to_le_bytes()),
+        mix(fnv1a(
+            fnv1a(FNV_OFFSET, &self.0.to_le_bytes()),
             member.as_bytes(),
         ))
     }
@@ -190,14 +190,14 @@
 impl RackId {
     /// Takes the hash of the names.
     pub fn of(service: &str, centre: &str, rack: &str) -> Self {
-        let hash = fnv(FNV_OFFSET, service.as_bytes());
-        let hash = fnv(fnv(hash, &[0]), centre.as_bytes());
-        Self(fnv(fnv(hash, &[0]), rack.as_bytes()))
+        let hash = fnv1a(FNV_OFFSET, service.as_bytes());
+        let hash = fnv1a(fnv1a(hash, &[0]), centre.as_bytes());
+        Self(fnv1a(fnv1a(hash, &[0]), rack.as_bytes()))
     }
 
     /// Weighs a member as the rack's owner: the highest weight of all members wins (rendezvous hashing).
     pub fn weight(self, member: &str) -> u64 {
-        weight(self.0, member)
+        keyed_hash(self.0, member)
     }
 }
 
@@ -212,15 +212,15 @@
 
 /// Hashes by FNV-1a: instances of different builds must agree on the result, which the standard library's
 /// hashers don't promise.
-pub fn fnv(start: u64, bytes: &[u8]) -> u64 {
+pub fn fnv1a(start: u64, bytes: &[u8]) -> u64 {
     bytes.iter().fold(start, |hash, b| {
         (hash ^ u64::from(*b)).wrapping_mul(FNV_PRIME)
     })
 }
 
 /// Weighs a member for something that is named by a number: the highest weight of all members wins (rendezvous hashing).
-pub fn weight(of: u64, member: &str) -> u64 {
-    mix(fnv(of ^ FNV_OFFSET, member.as_bytes()))
+pub fn keyed_hash(of: u64, member: &str) -> u64 {
+    mix(fnv1a(of ^ FNV_OFFSET, member.as_bytes()))
 }
 
 /// Spreads the bits of a hash (the finaliser of MurmurHash3): FNV-1a alone hardly moves the high bits for
--- a/src/dispatch/message.rs
+++ b/src/dispatch/message.rs
@@ -45,7 +45,7 @@
         Value, //
     },
     store::{
-        StoreCall,
+        StoreCallId,
         StoreReply,
         StoreRequest, //
     },
@@ -195,7 +195,7 @@
     /// A call to the store has ended.
     StoreReplied {
         /// The call.
-        call: StoreCall,
+        call: StoreCallId,
         /// How it ended.
         reply: StoreReply,
     },
@@ -256,7 +256,7 @@
     /// Call the store.
     Store {
         /// Names the call in its answer.
-        call: StoreCall,
+        call: StoreCallId,
         /// What for.
         request: StoreRequest,
     },
@@ -265,7 +265,7 @@
     /// Send a heartbeat to some peers; any of these may be lost.
     Heartbeat(Vec<Contact>, Heartbeat),
     /// Forget what has not left for a peer, and begin a session with it.
-    Session {
+    BeginSession {
         /// The peer.
         to: Contact,
         /// Its life, zero where it isn't known.
--- a/src/dispatch/message/store.rs
+++ b/src/dispatch/message/store.rs
@@ -4,7 +4,7 @@
 
 /// Names a call to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct StoreCall(pub u64);
+pub struct StoreCallId(pub u64);
 
 /// What the store is asked for; rows are those of one shard.
 #[derive(Debug, Clone, PartialEq)]
--- a/src/dispatch/message/suspicion.rs
+++ b/src/dispatch/message/suspicion.rs
@@ -11,7 +11,7 @@
     /// How many have crashed.
     pub crashes: u32,
     /// In how many of these it was the only one there that had come under suspicion before.
-    pub sole: u32,
+    pub sole_crashes: u32,
     /// How many have fallen silent, and haven't been heard since.
     pub silences: u32,
     /// How many of these refused connections, as one does whose process has ended.
@@ -32,8 +32,8 @@
 
     /// Tells whether the task is to blame. One that shared both crashes with another may be as innocent as that: it runs once more. A
     /// third crash is enough, since the platform bounds the starts after it.
-    pub fn is_proved(self) -> bool {
-        let least = if self.sole > 0 {
+    pub fn is_conclusive(self) -> bool {
+        let least = if self.sole_crashes > 0 {
             CRASHES
         } else {
             SHARED_CRASHES
--- a/src/dispatch/owner/suspects.rs
+++ b/src/dispatch/owner/suspects.rs
@@ -91,7 +91,7 @@
         };
         let suspicion = &mut progress.suspicion;
         suspicion.crashes += 1;
-        suspicion.sole += u32::from(sole);
+        suspicion.sole_crashes += u32::from(sole);
         if silent {
             suspicion.on_endpoint_heard();
         }
@@ -101,8 +101,8 @@
         let record = record.with("task", task.to_string());
         let record = record.with("endpoint", id.as_str());
         let record = record.with("crashes", suspicion.crashes);
-        out.log(record.with("sole", suspicion.sole));
-        if suspicion.is_proved() {
+        out.log(record.with("sole", suspicion.sole_crashes));
+        if suspicion.is_conclusive() {
             self.finish(batch, Outcome::Crashed, out);
         } else if suspicion.silences == 0 {
             self.release_one(task, batch, now);
--- a/src/dispatch/ownership.rs
+++ b/src/dispatch/ownership.rs
@@ -7,7 +7,7 @@
 
 use super::{
     id::{
-        fnv,
+        fnv1a,
         Epoch,
         RackId,
         Token, //
@@ -218,7 +218,7 @@
     pub(super) fn next_token(&mut self) -> Token {
         self.epoch = Epoch(self.epoch.max(self.members.epoch()).0 + 1);
         let name = self.identity.contact.name.as_str().as_bytes();
-        Token::new(self.epoch, fnv(self.identity.incarnation, name))
+        Token::new(self.epoch, fnv1a(self.identity.incarnation, name))
     }
 
     /// Finds the owner of each rack anew if claims have changed since it did so last.
--- a/src/dispatch/reading.rs
+++ b/src/dispatch/reading.rs
@@ -10,7 +10,7 @@
 };
 
 use super::{
-    id::weight,
+    id::keyed_hash,
     member::Member,
     message::{
         Listing,
@@ -161,5 +161,5 @@
 
 /// Orders the instances of a data centre: the strongest read first, since the rows fill a weak machine's link.
 fn preference(share: u32, name: &Instance) -> (Reverse<u32>, u64) {
-    (Reverse(share), weight(0, name.as_str()))
+    (Reverse(share), keyed_hash(0, name.as_str()))
 }
--- a/src/dispatch/watch.rs
+++ b/src/dispatch/watch.rs
@@ -9,7 +9,7 @@
 use std::collections::HashSet;
 
 use super::{
-    id::weight,
+    id::keyed_hash,
     member::Member, //
 };
 use crate::prelude::*;
@@ -130,5 +130,5 @@
 /// Draws the weight of a pair, the same for both.
 fn pair(one: &Instance, other: &Instance) -> u64 {
     let (first, second) = (one.min(other), one.max(other));
-    weight(0, &format!("{first} {second}"))
+    keyed_hash(0, &format!("{first} {second}"))
 }
--- a/src/instance/gauges.rs
+++ b/src/instance/gauges.rs
@@ -164,13 +164,13 @@
                 .set(value as i64);
         };
         set("jobs", standing.jobs);
-        set("waiting_tasks", standing.waiting);
+        set("waiting_tasks", standing.waiting_tasks);
         set("runs", standing.runs);
-        set("open_endpoints", standing.open);
+        set("open_endpoints", standing.open_endpoints);
         set("racks", standing.racks);
         set("peers", standing.peers);
-        set("configuration", standing.configuration as usize);
-        set("evacuated", standing.evacuated);
+        set("configuration", standing.configuration_version as usize);
+        set("evacuated", standing.evacuated_centres);
         self.registry.render()
     }
 }
--- a/src/instance/hub.rs
+++ b/src/instance/hub.rs
@@ -121,7 +121,7 @@
                 self.heartbeats.send(self, &to, &heartbeat);
             }
             Output::Store { call, request } => self.rows.begin(self, call, request),
-            Output::Session {
+            Output::BeginSession {
                 to,
                 incarnation,
                 session,
--- a/src/instance/rows.rs
+++ b/src/instance/rows.rs
@@ -18,7 +18,7 @@
     dispatch::message::{
         Input,
         Record,
-        StoreCall,
+        StoreCallId,
         StoreReply,
         StoreRequest, //
     },
@@ -58,7 +58,7 @@
     }
 
     /// Begins a call; its answer goes to the dispatcher.
-    pub fn begin(&self, hub: &Rc<Hub>, call: StoreCall, request: StoreRequest) {
+    pub fn begin(&self, hub: &Rc<Hub>, call: StoreCallId, request: StoreRequest) {
         let hub = hub.clone();
         spawn_local(async move {
             let attempt = hub.rows.exchange(&request);
--- a/tests/dispatch/world.rs
+++ b/tests/dispatch/world.rs
@@ -38,7 +38,7 @@
             Reply,
             Roster,
             Sender,
-            StoreCall,
+            StoreCallId,
             StoreReply,
             StoreRequest,
             Ticket, //
@@ -99,8 +99,8 @@
 enum Event {
     Tick(usize, u64),
     Deliver(usize, u64, Box<Delivery>),
-    Store(usize, u64, StoreCall, Box<StoreRequest>, bool),
-    Stored(usize, u64, StoreCall, Box<StoreReply>),
+    Store(usize, u64, StoreCallId, Box<StoreRequest>, bool),
+    Stored(usize, u64, StoreCallId, Box<StoreReply>),
     StoreAway(bool),
     Order(usize, usize, u64, CallId, Time, Box<Order>, bool),
     Reply(usize, u64, CallId, Time, Box<Reply>),
@@ -436,7 +436,7 @@
                     self.post(i, to_index, delay, delivery);
                 }
             }
-            Output::Session {
+            Output::BeginSession {
                 to,
                 incarnation,
                 session,
--- a/tests/fleet/world.rs
+++ b/tests/fleet/world.rs
@@ -153,7 +153,7 @@
                     self.beat(i, &to, heartbeat.clone());
                 }
             }
-            Output::Session {
+            Output::BeginSession {
                 to,
                 incarnation,
                 session,
