--- a/src/dispatch/durable.rs
+++ b/src/dispatch/durable.rs
@@ -37,12 +37,12 @@
         Question,
         Record,
         RunEnd,
-        StoreCall,
+        StoreCallId,
         StoreReply,
         Verdict, //
     },
     owner::Effects,
-    task::Accepted, //
+    task::AcceptedJob, //
 };
 use crate::prelude::*;
 
@@ -76,7 +76,7 @@
     /// Names one life of the instance in lock rows.
     own: String,
     shards: BTreeMap<ShardId, Shard>,
-    calls: HashMap<StoreCall, ShardId>,
+    calls: HashMap<StoreCallId, ShardId>,
     serial: u64,
     /// When a member was lost last.
     lost: Option<Time>,
@@ -204,7 +204,7 @@
     }
 
     /// Returns what was asked for, and how far it has come, of a job that has not ended.
-    pub fn open_job(&self, job: JobId) -> Option<(&Accepted, &Progress)> {
+    pub fn open_job(&self, job: JobId) -> Option<(&AcceptedJob, &Progress)> {
         let job = self.shards.get(&job.shard())?.jobs.get(&job)?;
         Some((job.record.as_deref()?, &job.progress))
     }
@@ -248,7 +248,7 @@
                 continue;
             };
             self.serial += 1;
-            let call = StoreCall(self.serial);
+            let call = StoreCallId(self.serial);
             shard.sent = Some(now);
             self.calls.insert(call, *id);
             out.outputs.push(Output::Store { call, request });
@@ -259,7 +259,7 @@
     /// Takes an answer of the store.
     pub fn on_store_reply(
         &mut self,
-        call: StoreCall,
+        call: StoreCallId,
         reply: StoreReply,
         now: Time,
         out: &mut Effects,
--- a/src/dispatch/id.rs
+++ b/src/dispatch/id.rs
@@ -20,7 +20,7 @@
 /// Why a text is no job identifier.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("a job identifier has {JOB_DIGITS} hexadecimal digits")]
-pub struct Malformed;
+pub struct JobIdError;
 
 /// A job's identifier, chosen by its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -33,16 +33,16 @@
 }
 
 impl FromStr for JobId {
-    type Err = Malformed;
+    type Err = JobIdError;
 
-    fn from_str(text: &str) -> Result<Self, Malformed> {
+    fn from_str(text: &str) -> Result<Self, JobIdError> {
         let digits = text.len() == JOB_DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit());
         if !digits {
-            return Err(Malformed);
+            return Err(JobIdError);
         }
         u64::from_str_radix(text, 16)
             .map(Self)
-            .map_err(|_| Malformed)
+            .map_err(|_| JobIdError)
     }
 }
 
@@ -62,8 +62,8 @@
 
     /// Weighs a member as the shard's coordinator: the highest weight of all wins.
     pub fn weight(self, member: &str) -> u64 {
-        mix(fnv(
-            fnv(FNV_OFFSET, &self.0.to_le_bytes()),
+        mix(fnv1a(
+            fnv1a(FNV_OFFSET, &self.0.to_le_bytes()),
             member.as_bytes(),
         ))
     }
@@ -113,7 +113,7 @@
     }
 
     /// Returns a number well above this one, for a task whose earlier numbers are not known.
-    pub fn beyond(self) -> Self {
+    pub fn skip_ahead(self) -> Self {
         Self(self.0.saturating_mul(2).saturating_add(1))
     }
 }
@@ -190,14 +190,14 @@
 impl RackId {
     /// Takes the hash of the names.
     pub fn of(service: &str, centre: &str, rack: &str) -> Self {
-        let hash = fnv(FNV_OFFSET, service.as_bytes());
-        let hash = fnv(fnv(hash, &[0]), centre.as_bytes());
-        Self(fnv(fnv(hash, &[0]), rack.as_bytes()))
+        let hash = fnv1a(FNV_OFFSET, service.as_bytes());
+        let hash = fnv1a(fnv1a(hash, &[0]), centre.as_bytes());
+        Self(fnv1a(fnv1a(hash, &[0]), rack.as_bytes()))
     }
 
     /// Weighs a member as the rack's owner: the highest weight of all members wins (rendezvous hashing).
     pub fn weight(self, member: &str) -> u64 {
-        weight(self.0, member)
+        keyed_hash(self.0, member)
     }
 }
 
@@ -212,15 +212,15 @@
 
 /// Hashes by FNV-1a: instances of different builds must agree on the result, which the standard library's
 /// hashers don't promise.
-pub fn fnv(start: u64, bytes: &[u8]) -> u64 {
+pub fn fnv1a(start: u64, bytes: &[u8]) -> u64 {
     bytes.iter().fold(start, |hash, b| {
         (hash ^ u64::from(*b)).wrapping_mul(FNV_PRIME)
     })
 }
 
 /// Weighs a member for something that is named by a number: the highest weight of all members wins (rendezvous hashing).
-pub fn weight(of: u64, member: &str) -> u64 {
-    mix(fnv(of ^ FNV_OFFSET, member.as_bytes()))
+pub fn keyed_hash(of: u64, member: &str) -> u64 {
+    mix(fnv1a(of ^ FNV_OFFSET, member.as_bytes()))
 }
 
 /// Spreads the bits of a hash (the finaliser of MurmurHash3): FNV-1a alone hardly moves the high bits for
--- a/src/dispatch/owner/suspects.rs
+++ b/src/dispatch/owner/suspects.rs
@@ -91,9 +91,9 @@
         };
         let suspicion = &mut progress.suspicion;
         suspicion.crashes += 1;
-        suspicion.sole += u32::from(sole);
+        suspicion.sole_crashes += u32::from(sole);
         if silent {
-            suspicion.heard();
+            suspicion.on_endpoint_heard();
         }
         let suspicion = *suspicion;
         self.suspect(&task, suspicion);
@@ -101,8 +101,8 @@
         let record = record.with("task", task.to_string());
         let record = record.with("endpoint", id.as_str());
         let record = record.with("crashes", suspicion.crashes);
-        out.log(record.with("sole", suspicion.sole));
-        if suspicion.is_proved() {
+        out.log(record.with("sole", suspicion.sole_crashes));
+        if suspicion.is_conclusive() {
             self.finish(batch, Outcome::Crashed, out);
         } else if suspicion.silences == 0 {
             self.release_one(task, batch, now);
@@ -123,7 +123,7 @@
         let Some(progress) = self.progress(task, handle) else {
             return;
         };
-        progress.suspicion.heard();
+        progress.suspicion.on_endpoint_heard();
         let suspicion = progress.suspicion;
         self.suspect(&task, suspicion);
         self.release_one(task, handle, now);
--- a/src/instance/gauges.rs
+++ b/src/instance/gauges.rs
@@ -22,7 +22,7 @@
             Order,
             Reply, //
         },
-        Standing, //
+        Stats, //
     },
     metrics::registry::Registry,
     prelude::*,
@@ -157,20 +157,20 @@
     /// # Errors
     ///
     /// Fails where the writer does.
-    pub fn render(&self, standing: Standing) -> Result<String, fmt::Error> {
+    pub fn render(&self, standing: Stats) -> Result<String, fmt::Error> {
         let set = |kind: &str, value: usize| {
             self.standing
                 .get_or_create(&kind_of(kind))
                 .set(value as i64);
         };
         set("jobs", standing.jobs);
-        set("waiting_tasks", standing.waiting);
+        set("waiting_tasks", standing.waiting_tasks);
         set("runs", standing.runs);
-        set("open_endpoints", standing.open);
+        set("open_endpoints", standing.open_endpoints);
         set("racks", standing.racks);
         set("peers", standing.peers);
-        set("configuration", standing.configuration as usize);
-        set("evacuated", standing.evacuated);
+        set("configuration", standing.configuration_version as usize);
+        set("evacuated", standing.evacuated_centres);
         self.registry.render()
     }
 }
--- a/src/instance/hub.rs
+++ b/src/instance/hub.rs
@@ -121,14 +121,14 @@
                 self.heartbeats.send(self, &to, &heartbeat);
             }
             Output::Store { call, request } => self.rows.begin(self, call, request),
-            Output::Session {
+            Output::BeginSession {
                 to,
                 incarnation,
                 session,
             } => self.peers.session(&to, incarnation, session),
-            Output::Forget(address) => self.calls.forget(&address),
+            Output::Disconnect(address) => self.calls.forget(&address),
             Output::Log(record) => self.log(&record),
-            Output::Closed => self.closing.notify_waiters(),
+            Output::CloseIdleCallers => self.closing.notify_waiters(),
             Output::Drained => self.drained.notify_one(),
         }
     }
