--- a/src/dispatch/endpoint.rs
+++ b/src/dispatch/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint as its owner sees it: what runs there, until when its leases last, whether it answers.
+//! An owner's view of an endpoint: its runs, the expiry of its leases, and whether it answers.
 
 mod backoff;
 mod clock;
@@ -43,245 +43,247 @@
 };
 use crate::prelude::*;
 
-/// The lease that a look gives to everything on an endpoint: the longest that the platform allows
-/// (`max_hold_ms`). A longer one outlives its owner's death by more, a shorter one costs runs whenever the owner
-/// is slow.
+/// The lease that a poll gives to all runs on an endpoint: the longest that the platform allows (`max_hold_ms`).
+/// A longer lease would outlive a dead owner by more, a shorter one would lose runs whenever the owner is slow.
 pub const LEASE: Span = Span::millis(1_000);
 
-/// The lease that a start carries. A start that arrives after it has passed is refused, so this bounds how long
-/// a start without an answer stays in doubt; the look that follows the start extends it.
+/// The lease that a start carries. An endpoint refuses a start that arrives after its expiry, so that this bounds
+/// how long an unanswered start is in doubt. The poll that follows extends the lease.
 pub const START_LEASE: Span = Span::millis(400);
 
-/// How long a look waits for an end: an eighth of the lease. While the answer to a look is lost, so are the ends
-/// that it would have told; with a quarter of the lease, one lost answer cost a short task its time.
-pub const LOOK_WAIT: Span = Span::millis(120);
+/// How long a poll waits at the endpoint for a run to end. Ends are lost with a lost answer, so a longer wait
+/// would delay them by more.
+pub const POLL_WAIT: Span = Span::millis(120);
 
-/// An endpoint that has answered something within this span isn't silent, although the answer to a look is lost.
-const HEARD: Span = Span::millis(200);
+/// An endpoint that answered any call within this time doesn't become silent when a poll fails.
+const ANSWER_GRACE: Span = Span::millis(200);
 
-/// An endpoint that has answered something within this span was there when a start left: half of the time that a run takes to be given up
-/// at an endpoint which has fallen silent, so that others which fell silent with it aren't taken for being there.
-const FRESH: Span = Span::millis(500);
+/// An endpoint that answered any call within this time counts as reachable when a start is sent: half of the time
+/// until runs on a silent endpoint expire.
+const RECENT_ANSWER: Span = Span::millis(500);
 
-/// Between looks at an endpoint that doesn't answer, and at one that is being cleared.
-const LOOK_AGAIN: Span = Span::millis(50);
+/// Time between polls of an endpoint that refuses them, or that has unknown runs.
+const POLL_RETRY: Span = Span::millis(50);
 
-/// Between looks at an endpoint that lists ends which are being stored: half of a write's time.
-const LOOK_HELD: Span = Span::millis(15);
+/// Time between polls of an endpoint that lists ends that are being stored: half of the time that a write takes.
+const POLL_UNSTORED: Span = Span::millis(15);
 
-/// Between looks at an endpoint where nothing runs: its clock may be 2 % slow, which makes 100 ms of doubt.
-const LOOK_IDLE: Span = Span::seconds(5);
+/// Time between polls of an endpoint without runs. Its clock may be 2 % slow, which makes its reading uncertain
+/// by 100 ms.
+const POLL_IDLE: Span = Span::seconds(5);
 
-/// How often a start is sent before its run is barred and placed elsewhere.
-pub const START_TRIES: u8 = 3;
+/// How often a start is sent before its run is stopped and its task placed elsewhere.
+pub const MAX_START_SENDS: u8 = 3;
 
-/// How long an endpoint that refuses as unwell gets no new task.
-const UNWELL: Span = Span::millis(500);
+/// How long an endpoint that refuses a start as unwell gets no new task.
+const UNWELL_PAUSE: Span = Span::millis(500);
 
-/// How long an endpoint that has no room although it should gets no new task: its next look tells.
-const FULL: Span = Span::millis(30);
+/// How long an endpoint that reports no room gets no new task. The next poll tells what runs there.
+const FULL_PAUSE: Span = Span::millis(30);
 
-/// How many runs must fail in a row, of different jobs, before an endpoint counts as failing: one in five
-/// hundred sound runs fails, so three in a row are no chance.
-const FAILURES: u32 = 3;
+/// How many runs must fail in a row, of different jobs, before the endpoint is ejected. About one in five hundred
+/// runs fails on a sound endpoint.
+const MAX_FAILURES: u32 = 3;
 
-/// How long a failing endpoint rests before it is tried with one task, doubled each time up to the second.
-const REST: (Span, Span) = (Span::millis(1_000), Span::seconds(8));
+/// The first and the longest ejection of a failing endpoint; each one is twice as long as the last. After it, the
+/// endpoint is on probation with one task.
+const EJECTION: (Span, Span) = (Span::millis(1_000), Span::seconds(8));
 
-/// An endpoint that crashed under a run, or may have.
+/// A crash of an endpoint under a run, confirmed or not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Crash {
     /// The run's task.
     pub task: TaskId,
-    /// Its batch.
+    /// The task's batch.
     pub batch: Handle,
-    /// Whether it was the only one there that had come under suspicion before: of all that ran there it alone was at the other crash too.
+    /// Whether all other jobs' runs on the endpoint were cleared as the cause.
     pub sole: bool,
 }
 
-/// Something that an owner must act on.
+/// An event that the owner must handle.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// A run is done, and its endpoint lists it as the end of that number.
+    /// A run is done. The last value is the end's serial number at the endpoint.
     Done(TaskId, Handle, Run, u64),
     /// A run failed.
     Failed(TaskId, Handle),
-    /// A run is gone without a result; it is to be started again, with this number at least.
-    Gone(TaskId, Handle, Run),
-    /// A run is given up on an endpoint that has fallen silent: it may have crashed under the run. See [`Event::Gone`].
-    Lapsed(TaskId, Handle, Run),
-    /// The endpoint crashed under a run. See [`Event::Gone`].
+    /// A run ended without a result. The task is to be started again, with this run number at least.
+    Lost(TaskId, Handle, Run),
+    /// A run expired on a silent endpoint, which may have crashed under it. See [`Event::Lost`].
+    Expired(TaskId, Handle, Run),
+    /// The endpoint crashed under a run. See [`Event::Lost`].
     Crashed(Crash, Run),
-    /// An endpoint that had fallen silent under a task had crashed.
-    Convicted(Crash),
-    /// An endpoint that had fallen silent under a task has answered: it hadn't crashed.
-    Acquitted(TaskId, Handle),
-    /// A run ended whose end must be stored, or may have to be: the endpoint lists it until [`State::noted`].
+    /// An endpoint that had fallen silent under a task did crash.
+    CrashConfirmed(Crash),
+    /// An endpoint that had fallen silent under a task answered without having restarted.
+    CrashRuledOut(TaskId, Handle),
+    /// A run ended and its end may have to be stored. The endpoint lists the end until [`State::on_end_stored`].
     Ended {
         /// The task.
         task: TaskId,
         /// The run.
         run: Run,
-        /// Whether it is done; else it failed.
+        /// Whether the run is done; otherwise it failed.
         done: bool,
-        /// The end's number.
+        /// The end's serial number.
         serial: u64,
-        /// Its batch, where it is known.
+        /// The task's batch, if the owner knows it.
         batch: Option<Handle>,
     },
-    /// A run stands still.
-    Still(TaskId, Handle),
-    /// A run that nobody wanted is gone.
-    Cleared(TaskId),
-    /// Another owner has a higher token.
+    /// A run makes no progress.
+    Stalled(TaskId, Handle),
+    /// A run that was no longer wanted has ended.
+    Discarded(TaskId),
+    /// Another owner has a higher fencing token.
     Fenced,
-    /// Another endpoint answers at its address.
-    Reborn,
+    /// Another endpoint answers at the address.
+    Replaced,
 }
 
-/// How far an endpoint can be used.
+/// Whether an endpoint can be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// Runs that the owner doesn't know may go on there.
+    /// Newly claimed: it may have runs that the owner doesn't know.
     Claimed,
-    /// It takes tasks.
+    /// Accepts tasks.
     Open,
-    /// It doesn't answer.
+    /// Doesn't answer.
     Silent,
 }
 
-/// An endpoint and what its owner knows of it.
+/// The state of an endpoint as its owner knows it.
 #[derive(Debug)]
 pub struct State {
-    /// As the platform lists it.
+    /// The platform's entry for it.
     pub listing: Listing,
-    /// Whether the platform lists it no more.
+    /// Whether the platform no longer lists it.
     pub delisted: bool,
     /// Whether its data centre is evacuated.
     pub evacuated: bool,
-    /// Whether the last call to it could not be sent, since it took no connection.
-    pub refuses: bool,
-    /// The latest life of it that is known.
+    /// Whether it refused a connection for the last call.
+    pub refuses_connections: bool,
+    /// The latest known life (incarnation).
     life: Life,
-    /// When that began to be known: what left before may have been answered by a former life.
-    renewed: Time,
-    /// Tasks whose runs were given up since it fell silent.
-    abandoned: Vec<Crash>,
-    /// The owner's token.
+    /// When that life became known. Calls sent before may have reached a former life.
+    life_since: Time,
+    /// Runs that expired while it is silent.
+    unconfirmed_crashes: Vec<Crash>,
+    /// The owner's fencing token.
     pub token: Token,
-    /// How far it can be used.
+    /// Whether it can be used.
     pub standing: Standing,
-    /// What runs there.
+    /// Its runs.
     pub executions: BTreeMap<TaskId, Execution>,
-    /// What is free.
+    /// Its free room.
     pub free: Room,
-    /// Until when it gets no task, and why that is.
-    rest: Time,
-    /// How many runs failed in a row, and of which job the last was.
+    /// Until when it gets no new task.
+    ejected_until: Time,
+    /// The number of consecutive failed runs, and the job of the last one.
     failures: (u32, u64),
-    /// How long the next rest is.
-    penalty: Span,
-    /// Whether it is tried with one task.
+    /// The length of the next ejection.
+    next_ejection: Span,
+    /// Whether it gets one task at a time after an ejection.
     probation: bool,
-    /// The longest that one of its runs was seen to take from one percent to a higher one; none where that was never seen.
-    gap: Option<Span>,
-    /// When some run on it came along last.
-    moved: Time,
-    unknown: BTreeSet<(Name, Run)>,
+    /// The longest observed time between two reports of progress of one run; none until a run has reported some.
+    longest_progress_gap: Option<Span>,
+    /// When one of its runs last made progress.
+    last_progress: Time,
+    unknown_runs: BTreeSet<(Name, Run)>,
     reading: Option<Reading>,
-    /// When every lease that it may have been given has passed.
-    lapse: Time,
-    seen: u64,
-    /// Ends that the endpoint must not forget yet.
-    held: BTreeSet<u64>,
-    /// Of these, those that it may forget when its lease has passed.
-    late: BTreeSet<u64>,
-    told: u64,
-    /// Whether a look is wanted although nothing seems to run.
-    unsure: bool,
-    look: Option<CallId>,
+    /// When all leases that it may have been given have expired.
+    leases_end: Time,
+    last_end: u64,
+    /// Ends that the endpoint must keep until they are stored.
+    unstored_ends: BTreeSet<u64>,
+    /// Ends among these that it may forget once its lease has expired.
+    late_ends: BTreeSet<u64>,
+    acknowledged_end: u64,
+    /// Whether a poll is needed although no run is known.
+    poll_wanted: bool,
+    pending_poll: Option<CallId>,
     backoff: Backoff,
-    next_look: Time,
-    answered: Time,
+    next_poll: Time,
+    last_answer: Time,
 }
 
 impl State {
-    /// Claims an endpoint; runs that are handed over with it are added by [`State::adopt`].
+    /// Returns the state of a newly claimed endpoint. Runs that are handed over with it are added by
+    /// [`State::adopt`].
     pub fn claim(listing: Listing, token: Token, now: Time) -> Self {
         Self {
             free: listing.capacity,
             life: listing.life,
-            renewed: Time::default(),
-            abandoned: Vec::new(),
+            life_since: Time::default(),
+            unconfirmed_crashes: Vec::new(),
             listing,
             delisted: false,
             evacuated: false,
-            refuses: false,
+            refuses_connections: false,
             token,
             standing: Standing::Claimed,
             executions: BTreeMap::new(),
-            rest: Time::default(),
+            ejected_until: Time::default(),
             failures: (0, 0),
-            penalty: REST.0,
+            next_ejection: EJECTION.0,
             probation: false,
-            gap: None,
-            moved: now,
-            unknown: BTreeSet::new(),
+            longest_progress_gap: None,
+            last_progress: now,
+            unknown_runs: BTreeSet::new(),
             reading: None,
-            lapse: now + LEASE + Span::millis(50),
-            seen: 0,
-            held: BTreeSet::new(),
-            late: BTreeSet::new(),
-            told: 0,
-            unsure: false,
-            look: None,
+            leases_end: now + LEASE + Span::millis(50),
+            last_end: 0,
+            unstored_ends: BTreeSet::new(),
+            late_ends: BTreeSet::new(),
+            acknowledged_end: 0,
+            poll_wanted: false,
+            pending_poll: None,
             backoff: Backoff::default(),
-            next_look: now,
-            answered: Time::default(),
+            next_poll: now,
+            last_answer: Time::default(),
         }
     }
 
-    /// Tells whether a task may be started here now.
-    pub fn takes(&self, now: Time) -> bool {
+    /// Returns whether a task may start here now.
+    pub fn accepts_tasks(&self, now: Time) -> bool {
         self.standing == Standing::Open
-            && self.stays()
+            && self.is_in_service()
             && self.reading.is_some()
-            && now >= self.rest
-            && self.late.is_empty()
+            && now >= self.ejected_until
+            && self.late_ends.is_empty()
             && (!self.probation || self.executions.is_empty())
-            && !self.has_suspect()
+            && !self.has_strong_suspect()
     }
 
-    /// Tells whether tasks may be started here at all.
-    fn stays(&self) -> bool {
+    /// Returns whether the endpoint is neither draining nor delisted nor evacuated.
+    fn is_in_service(&self) -> bool {
         !self.listing.draining && !self.delisted && !self.evacuated
     }
 
-    /// Tells whether a task that needs this much, and a label, could ever be started here.
-    pub fn carries(&self, need: &Room, label: Option<&String>) -> bool {
+    /// Returns whether a task with this need and label could ever run here.
+    pub fn can_run(&self, need: &Room, label: Option<&String>) -> bool {
         let labelled = label.is_none_or(|label| self.listing.labels.contains(label));
-        self.stays() && labelled && self.listing.capacity.fits(need)
+        self.is_in_service() && labelled && self.listing.capacity.fits(need)
     }
 
-    /// Tells whether it has answered something just now.
-    pub fn is_fresh(&self, now: Time) -> bool {
-        now.since(self.answered) < FRESH
+    /// Returns whether it answered any call recently.
+    pub fn has_answered_recently(&self, now: Time) -> bool {
+        now.since(self.last_answer) < RECENT_ANSWER
     }
 
-    /// Lets a look leave at once, if it hasn't answered anything just now.
-    pub fn freshen(&mut self, now: Time) {
-        if self.standing == Standing::Open && !self.is_fresh(now) {
-            self.next_look = now;
-            self.unsure = true;
+    /// Makes a poll due now if an open endpoint hasn't answered recently.
+    pub fn poll_if_stale(&mut self, now: Time) {
+        if self.standing == Standing::Open && !self.has_answered_recently(now) {
+            self.next_poll = now;
+            self.poll_wanted = true;
         }
     }
 
-    /// Takes over a run of the former owner.
+    /// Adopts a run of the former owner.
     pub fn adopt(&mut self, task: TaskId, mut execution: Execution, now: Time) {
         execution.phase = Phase::Running;
-        // Its start may still be on its way. Not listed by the first looks, it counts as running until its
-        // lease would have passed.
-        execution.answered = Some(now + START_LEASE);
+        // Its start may still be in transit. The run counts as present until the start's lease would have
+        // expired, even if polls don't list it.
+        execution.answered_at = Some(now + START_LEASE);
         self.add(task, execution);
     }
 
@@ -290,7 +292,7 @@
         self.executions.insert(task, execution);
     }
 
-    /// Starts a run.
+    /// Adds a run and returns the order to start it, or `None` without a reading of the endpoint's clock.
     pub fn start(
         &mut self,
         task: TaskId,
@@ -299,21 +301,21 @@
         now: Time,
     ) -> Option<Order> {
         let run = execution.run;
-        execution.reached = self.is_fresh(now);
+        execution.reached = self.has_answered_recently(now);
         self.add(task, execution);
-        self.next_look = self.next_look.min(now);
-        self.start_again(task, run, spec, now)
+        self.next_poll = self.next_poll.min(now);
+        self.start_order(task, run, spec, now)
     }
 
-    /// Sends the start of a run again: an endpoint that has it already says so.
-    pub fn start_again(
+    /// Returns the order to start a run. It may be sent repeatedly: an endpoint accepts it once.
+    pub fn start_order(
         &mut self,
         task: TaskId,
         run: Run,
         spec: String,
         now: Time,
     ) -> Option<Order> {
-        let lease = self.lease(START_LEASE, now)?;
+        let lease = self.grant_lease(START_LEASE, now)?;
         Some(Order::Start {
             task,
             run,
@@ -323,7 +325,7 @@
         })
     }
 
-    /// Begins the stop of a run.
+    /// Marks a run as stopping and returns the order to stop it, or `None` if it is stopping already or unknown.
     pub fn stop(&mut self, task: TaskId, fate: Fate) -> Option<Order> {
         let execution = self.executions.get_mut(&task)?;
         if execution.phase == Phase::Stopping {
@@ -334,15 +336,15 @@
         }
         execution.phase = Phase::Stopping;
         execution.fate = fate;
-        execution.tries = 0;
-        execution.answered = None;
-        execution.retry = None;
+        execution.sends = 0;
+        execution.answered_at = None;
+        execution.retry_at = None;
         let run = execution.run;
-        Some(self.stop_again(Name::Known(task), run))
+        Some(self.stop_order(Name::Known(task), run))
     }
 
-    /// Orders a stop.
-    pub fn stop_again(&self, task: Name, run: Run) -> Order {
+    /// Returns the order to stop a run.
+    pub fn stop_order(&self, task: Name, run: Run) -> Order {
         Order::Stop {
             task,
             run,
@@ -350,106 +352,110 @@
         }
     }
 
-    /// Returns a lease that ends `span` from now on the endpoint's clock, and takes note of it.
-    fn lease(&mut self, span: Span, now: Time) -> Option<u64> {
+    /// Returns a lease that ends `span` from now on the endpoint's clock, and records its expiry.
+    fn grant_lease(&mut self, span: Span, now: Time) -> Option<u64> {
         let reading = self.reading?;
-        let until = reading.most(now) + span.as_millis();
-        self.lapse = self.lapse.max(reading.passed(until));
+        let until = reading.latest(now) + span.as_millis();
+        self.leases_end = self.leases_end.max(reading.surely_passed_at(until));
         Some(until)
     }
 
-    /// Returns the look that is due.
+    /// Returns the poll that is due, or `None`.
     ///
-    /// Leases are extended only where every run is known and all stops are answered: a look also extends what a
-    /// dead instance started.
-    pub fn look(&mut self, call: CallId, now: Time) -> Option<Order> {
-        if self.look.is_some() || now < self.next_look {
+    /// A poll extends the lease of every run on the endpoint, those of a dead instance included. So it carries a
+    /// lease only if all runs are known and all stops are confirmed.
+    pub fn poll(&mut self, call: CallId, now: Time) -> Option<Order> {
+        if self.pending_poll.is_some() || now < self.next_poll {
             return None;
         }
         self.forget_late(now);
-        let quiet = self.executions.is_empty() && self.standing == Standing::Open;
-        let told = self.told >= self.forgettable();
-        let fresh = self
+        let idle = self.executions.is_empty() && self.standing == Standing::Open;
+        let acknowledged = self.acknowledged_end >= self.forgettable();
+        let reading_recent = self
             .reading
-            .is_some_and(|r| now.since(r.received) < LOOK_IDLE);
-        if quiet && told && fresh && !self.unsure {
-            // Not due again before a start, or before the reading of its clock is too old.
-            self.next_look = self.reading.map_or(now, |r| r.received + LOOK_IDLE);
+            .is_some_and(|r| now.since(r.received) < POLL_IDLE);
+        if idle && acknowledged && reading_recent && !self.poll_wanted {
+            // No poll is due before a start, or before the reading of its clock is too old.
+            self.next_poll = self.reading.map_or(now, |r| r.received + POLL_IDLE);
             return None;
         }
-        let stuck = |execution: &Execution| {
-            execution.phase == Phase::Stopping && execution.answered.is_none()
+        let stop_unconfirmed = |execution: &Execution| {
+            execution.phase == Phase::Stopping && execution.answered_at.is_none()
         };
         let extend = self.standing == Standing::Open
-            && !quiet
-            && self.unknown.is_empty()
-            && !self.executions.values().any(stuck);
+            && !idle
+            && self.unknown_runs.is_empty()
+            && !self.executions.values().any(stop_unconfirmed);
         let lease = match extend {
-            true => self.lease(LEASE, now),
+            true => self.grant_lease(LEASE, now),
             false => None,
         };
         let wait = match extend {
-            true => LOOK_WAIT,
+            true => POLL_WAIT,
             false => Span(0),
         };
-        self.unsure = false;
-        self.look = Some(call);
-        self.told = self.forgettable();
+        self.poll_wanted = false;
+        self.pending_poll = Some(call);
+        self.acknowledged_end = self.forgettable();
         Some(Order::Look {
             lease,
             token: self.token,
-            seen: self.told,
+            seen: self.acknowledged_end,
             wait,
         })
     }
 
-    /// Returns the number of the last end up to which the endpoint may forget all.
+    /// Returns the serial number up to which the endpoint may forget ends.
     fn forgettable(&self) -> u64 {
-        self.held.first().map_or(self.seen, |held| held - 1)
+        self.unstored_ends
+            .first()
+            .map_or(self.last_end, |held| held - 1)
     }
 
-    /// Lets the endpoint forget an end of one life of it.
-    pub fn noted(&mut self, life: Life, serial: u64, now: Time) {
-        if life == self.life && self.held.remove(&serial) {
-            self.next_look = self.next_look.min(now);
+    /// Lets the endpoint forget an end of the given life.
+    pub fn on_end_stored(&mut self, life: Life, serial: u64, now: Time) {
+        if life == self.life && self.unstored_ends.remove(&serial) {
+            self.next_poll = self.next_poll.min(now);
         }
     }
 
-    /// Lets the endpoint forget an end once its lease has passed. Until then it gets no new task, so that it does pass.
-    pub fn noted_late(&mut self, life: Life, serial: u64) {
-        if life == self.life && self.held.contains(&serial) {
-            self.late.insert(serial);
+    /// Lets the endpoint forget an end after its lease has expired. It gets no new task until then, so that the
+    /// lease isn't extended.
+    pub fn on_late_end_stored(&mut self, life: Life, serial: u64) {
+        if life == self.life && self.unstored_ends.contains(&serial) {
+            self.late_ends.insert(serial);
         }
     }
 
-    /// Lets the endpoint forget what it may after its lease has passed.
+    /// Releases the late ends once the lease has expired.
     fn forget_late(&mut self, now: Time) {
-        if !self.late.is_empty() && now > self.lapse {
-            for serial in std::mem::take(&mut self.late) {
-                self.held.remove(&serial);
+        if !self.late_ends.is_empty() && now > self.leases_end {
+            for serial in std::mem::take(&mut self.late_ends) {
+                self.unstored_ends.remove(&serial);
             }
         }
     }
 
-    /// Tells when the next look is due at the latest.
-    pub fn next_look(&self) -> Time {
-        self.next_look
+    /// Returns when the next poll is due at the latest.
+    pub fn next_poll(&self) -> Time {
+        self.next_poll
     }
 
-    /// Takes note of an answer to a start or a stop: its endpoint lives, and its clock was read.
-    pub fn answered(&mut self, clock: u64, sent: Time, now: Time) {
-        if sent >= self.renewed {
-            self.read(clock, sent, now);
+    /// Handles an answer to a start or a stop; `clock` is the endpoint's, in ms. Ignored if the call was sent to
+    /// a former life.
+    pub fn on_answer(&mut self, clock: u64, sent: Time, now: Time) {
+        if sent >= self.life_since {
+            self.record_answer(clock, sent, now);
         }
     }
 
-    fn read(&mut self, clock: u64, sent: Time, now: Time) {
-        self.answered = now;
-        self.refuses = false;
-        self.backoff.answered();
-        let better = |r: Reading| now.since(r.received) > Span::seconds(1);
-        let narrow = |r: Reading| now.since(sent) <= r.received.since(r.sent);
-        if self.reading.is_none_or(|r| better(r) || narrow(r)) {
+    fn record_answer(&mut self, clock: u64, sent: Time, now: Time) {
+        self.last_answer = now;
+        self.refuses_connections = false;
+        self.backoff.reset();
+        let outdated = |r: Reading| now.since(r.received) > Span::seconds(1);
+        let narrower = |r: Reading| now.since(sent) <= r.received.since(r.sent);
+        if self.reading.is_none_or(|r| outdated(r) || narrower(r)) {
             self.reading = Some(Reading {
                 clock,
                 sent,
@@ -458,66 +464,72 @@
         }
     }
 
-    /// Takes note of what runs there and what has ended; returns what to act on, and unknown to stop.
-    pub fn looked(
+    /// Handles the answer to a poll. Returns events for the owner, and unknown runs to stop.
+    pub fn on_poll_answer(
         &mut self,
         call: CallId,
         sent: Time,
         lists: Lists,
         now: Time,
     ) -> (Vec<Event>, Vec<(Name, Run)>) {
-        if self.look == Some(call) {
-            self.look = None;
+        if self.pending_poll == Some(call) {
+            self.pending_poll = None;
         }
         if lists.life.is_before(self.life) {
-            self.next_look = now;
+            self.next_poll = now;
             return (Vec::new(), Vec::new());
         }
         let mut events = match lists.life == self.life {
-            true => self.acquit(),
-            false => self.live(lists.life, now),
+            true => self.rule_out_crashes(),
+            false => self.update_life(lists.life, now),
         };
-        self.read(lists.clock, sent, now);
+        self.record_answer(lists.clock, sent, now);
         let Lists { running, ended, .. } = lists;
         for end in ended {
-            if end.serial > self.seen {
-                self.seen = end.serial;
-                self.end(&end, &mut events, now);
+            if end.serial > self.last_end {
+                self.last_end = end.serial;
+                self.process_end(&end, &mut events, now);
             }
         }
         let mut listed = HashSet::with_capacity(running.len());
         let mut unknown = BTreeSet::new();
         for entry in running {
             match &entry.task {
-                Name::Known(task) if self.knows(task, entry.run) => {
+                Name::Known(task) if self.has_run(task, entry.run) => {
                     listed.insert(*task);
-                    self.confirm(task);
-                    self.pace(task, entry.percent, now, &mut events);
+                    self.on_listed(task);
+                    self.update_progress(task, entry.percent, now, &mut events);
                 }
                 _ => {
                     unknown.insert((entry.task, entry.run));
                 }
             }
         }
-        self.vanish(&listed, sent, &mut events);
-        let order: Vec<_> = unknown.iter().cloned().collect();
-        self.unknown = unknown;
-        let clear = self.unknown.is_empty();
+        self.remove_unlisted(&listed, sent, &mut events);
+        let to_stop: Vec<_> = unknown.iter().cloned().collect();
+        self.unknown_runs = unknown;
+        let clear = self.unknown_runs.is_empty();
         self.standing = match clear {
             true => Standing::Open,
             false => Standing::Claimed,
         };
-        self.next_look = match (clear, self.held.is_empty()) {
+        self.next_poll = match (clear, self.unstored_ends.is_empty()) {
             (true, true) => now,
-            // Its list isn't empty, so that it doesn't wait with its answer.
-            (true, false) => now + LOOK_HELD,
-            (false, _) => now + LOOK_AGAIN,
+            // The list has an end, so that the endpoint answers without waiting.
+            (true, false) => now + POLL_UNSTORED,
+            (false, _) => now + POLL_RETRY,
         };
-        (events, order)
+        (events, to_stop)
     }
 
-    /// Takes note of how a run comes along.
-    fn pace(&mut self, task: &TaskId, percent: Option<u8>, now: Time, events: &mut Vec<Event>) {
+    /// Records a run's progress, and finds whether it is stalled.
+    fn update_progress(
+        &mut self,
+        task: &TaskId,
+        percent: Option<u8>,
+        now: Time,
+        events: &mut Vec<Event>,
+    ) {
         let Some(execution) = self.executions.get_mut(task) else {
             return;
         };
@@ -525,21 +537,24 @@
             return;
         };
         if let Some(gap) = execution.progress.record(percent, now) {
-            self.moved = now;
-            self.gap = self.gap.max(Some(gap));
+            self.last_progress = now;
+            self.longest_progress_gap = self.longest_progress_gap.max(Some(gap));
         }
-        if execution.progress.is_stalled(self.gap, now) {
-            events.push(Event::Still(*task, execution.batch));
+        if execution
+            .progress
+            .is_stalled(self.longest_progress_gap, now)
+        {
+            events.push(Event::Stalled(*task, execution.batch));
         }
     }
 
-    fn knows(&self, task: &TaskId, run: Run) -> bool {
+    fn has_run(&self, task: &TaskId, run: Run) -> bool {
         self.executions
             .get(task)
             .is_some_and(|execution| execution.run == run)
     }
 
-    fn end(&mut self, end: &Ended, events: &mut Vec<Event>, now: Time) {
+    fn process_end(&mut self, end: &Ended, events: &mut Vec<Event>, now: Time) {
         let Name::Known(task) = &end.task else {
             return;
         };
@@ -551,10 +566,10 @@
             serial: end.serial,
             batch,
         };
-        if !self.knows(task, end.run) {
-            // Another instance started it, and died before it heard this.
+        if !self.has_run(task, end.run) {
+            // Another instance started it and died before it learned of this end.
             if ended {
-                self.held.insert(end.serial);
+                self.unstored_ends.insert(end.serial);
                 events.push(event(None));
             }
             return;
@@ -563,43 +578,43 @@
             return;
         };
         match end.end {
-            End::Done => self.sound(now),
-            End::Failed => self.failed(task.job.0, now),
+            End::Done => self.record_success(now),
+            End::Failed => self.record_failure(task.job.0, now),
             _ => {}
         }
         if execution.stored && ended {
-            self.held.insert(end.serial);
+            self.unstored_ends.insert(end.serial);
             events.push(event(Some(execution.batch)));
             return;
         }
         events.push(match (end.end, execution.fate) {
-            (_, Fate::Drop) => Event::Cleared(*task),
+            (_, Fate::Drop) => Event::Discarded(*task),
             (End::Done, _) => Event::Done(*task, execution.batch, end.run, end.serial),
             (End::Failed, _) => Event::Failed(*task, execution.batch),
-            _ => Event::Gone(*task, execution.batch, execution.run.next()),
+            _ => Event::Lost(*task, execution.batch, execution.run.next()),
         });
     }
 
-    /// Finds runs that were there before the look left and that it doesn't list.
-    fn vanish(&mut self, listed: &HashSet<TaskId>, sent: Time, events: &mut Vec<Event>) {
-        let gone = |(task, execution): (&TaskId, &Execution)| {
-            let settled = execution.answered.is_some_and(|at| at < sent);
+    /// Removes runs that were confirmed before the poll was sent and that its answer doesn't list.
+    fn remove_unlisted(&mut self, listed: &HashSet<TaskId>, sent: Time, events: &mut Vec<Event>) {
+        let unlisted = |(task, execution): (&TaskId, &Execution)| {
+            let settled = execution.answered_at.is_some_and(|at| at < sent);
             (settled && !listed.contains(task)).then_some(*task)
         };
-        let gone: Vec<TaskId> = self.executions.iter().filter_map(gone).collect();
-        for task in gone {
-            self.lose(task, events);
+        let unlisted: Vec<TaskId> = self.executions.iter().filter_map(unlisted).collect();
+        for task in unlisted {
+            self.remove_lost(task, events);
         }
     }
 
-    /// Takes a run out that is gone without a result.
-    pub fn lose(&mut self, task: TaskId, events: &mut Vec<Event>) {
+    /// Removes a run that ended without a result.
+    pub fn remove_lost(&mut self, task: TaskId, events: &mut Vec<Event>) {
         if let Some(execution) = self.remove(&task) {
             let (batch, next) = (execution.batch, execution.run.next());
-            events.push(match (execution.fate, execution.crashed) {
-                (Fate::Drop, _) => Event::Cleared(task),
-                (Fate::Again, None) => Event::Gone(task, batch, next),
-                (Fate::Again, Some(sole)) => {
+            events.push(match (execution.fate, execution.lost_in_crash) {
+                (Fate::Drop, _) => Event::Discarded(task),
+                (Fate::Restart, None) => Event::Lost(task, batch, next),
+                (Fate::Restart, Some(sole)) => {
                     let crash = Crash { task, batch, sole };
                     Event::Crashed(crash, next)
                 }
@@ -609,20 +624,20 @@
 
     fn remove(&mut self, task: &TaskId) -> Option<Execution> {
         let execution = self.executions.remove(task)?;
-        self.measure();
+        self.update_free();
         Some(execution)
     }
 
-    /// Takes what the platform lists of it now. Its capacity may have shrunk or grown while tasks run on it: one that is started
-    /// beyond what it has now would bring an endpoint that doesn't guard its capacity over it.
-    pub fn list(&mut self, listing: Listing) {
+    /// Updates the platform's entry. A changed capacity changes the free room, so that no start exceeds the
+    /// capacity of an endpoint that doesn't enforce it.
+    pub fn update_listing(&mut self, listing: Listing) {
         self.delisted = false;
         self.listing = listing;
-        self.measure();
+        self.update_free();
     }
 
-    /// Works out what is free; what is being stopped takes its room until its end is listed.
-    fn measure(&mut self) {
+    /// Recalculates the free room. A run that is being stopped takes its room until the endpoint lists its end.
+    fn update_free(&mut self) {
         let mut free = self.listing.capacity;
         for execution in self.executions.values() {
             free.take(&execution.need);
@@ -630,62 +645,63 @@
         self.free = free;
     }
 
-    /// Takes note that a start was carried out.
-    pub fn started(&mut self, task: &TaskId, run: Run, now: Time) {
+    /// Records that a start was confirmed.
+    pub fn on_started(&mut self, task: &TaskId, run: Run, now: Time) {
         if let Some(execution) = self.executions.get_mut(task) {
             if execution.run == run && execution.phase == Phase::Starting {
                 execution.phase = Phase::Running;
-                execution.answered = Some(now);
+                execution.answered_at = Some(now);
                 execution.reached = true;
             }
         }
     }
 
-    /// Takes note that a stop was carried out: the run is barred, and not listed from now on.
-    pub fn stopped(&mut self, task: &TaskId, run: Run, now: Time) {
+    /// Records that a stop was confirmed: the endpoint won't start the run any more, and the next poll doesn't
+    /// list it.
+    pub fn on_stopped(&mut self, task: &TaskId, run: Run, now: Time) {
         if let Some(execution) = self.executions.get_mut(task) {
             if execution.run == run && execution.phase == Phase::Stopping {
-                execution.answered = Some(now);
-                self.next_look = now;
+                execution.answered_at = Some(now);
+                self.next_poll = now;
             }
         }
     }
 
-    /// Takes note that a call got no answer, or none that can be read.
-    pub fn unanswered(&mut self, reply: &Reply) {
-        self.refuses = *reply == Reply::Unsent;
-        self.backoff.failed();
+    /// Records a call without an answer, or with a malformed one.
+    pub fn on_unanswered(&mut self, reply: &Reply) {
+        self.refuses_connections = *reply == Reply::Unsent;
+        self.backoff.record_failure();
     }
 
-    /// Sends the start or the stop of a run again after a pause.
-    pub fn retry(&mut self, task: TaskId, now: Time) {
-        let at = now + self.backoff.pause(&self.listing.id);
+    /// Schedules a retry of a run's start or stop after a backoff.
+    pub fn schedule_retry(&mut self, task: TaskId, now: Time) {
+        let at = now + self.backoff.delay(&self.listing.id);
         if let Some(execution) = self.executions.get_mut(&task) {
-            execution.retry = Some(at);
+            execution.retry_at = Some(at);
         }
     }
 
-    /// Returns the tasks whose start or stop is to be sent again now.
-    pub fn retries(&mut self, now: Time) -> Vec<TaskId> {
+    /// Returns the tasks whose start or stop is due to be resent, and clears their retries.
+    pub fn take_due_retries(&mut self, now: Time) -> Vec<TaskId> {
         let mut due = Vec::new();
         for (task, execution) in &mut self.executions {
-            if execution.retry.is_some_and(|at| at <= now) {
-                execution.retry = None;
+            if execution.retry_at.is_some_and(|at| at <= now) {
+                execution.retry_at = None;
                 due.push(*task);
             }
         }
         due
     }
 
-    /// Takes note that a look got no answer.
-    pub fn silent(&mut self, call: CallId, now: Time) {
-        if self.look == Some(call) {
-            self.look = None;
-            self.next_look = match self.standing {
+    /// Handles a poll without an answer. The endpoint becomes silent unless it answered another call recently.
+    pub fn on_poll_unanswered(&mut self, call: CallId, now: Time) {
+        if self.pending_poll == Some(call) {
+            self.pending_poll = None;
+            self.next_poll = match self.standing {
                 Standing::Open if self.backoff.is_first() => now,
-                _ => now + self.backoff.pause(&self.listing.id),
+                _ => now + self.backoff.delay(&self.listing.id),
             };
-            let heard = now.since(self.answered) < HEARD;
+            let heard = now.since(self.last_answer) < ANSWER_GRACE;
             self.standing = match self.standing {
                 Standing::Open if !heard => Standing::Silent,
                 other => other,
@@ -693,86 +709,95 @@
         }
     }
 
-    /// Takes note that a look was refused.
-    pub fn unlooked(&mut self, call: CallId, now: Time) {
-        if self.look == Some(call) {
-            self.look = None;
-            self.next_look = now + LOOK_AGAIN;
+    /// Handles a refused poll.
+    pub fn on_poll_refused(&mut self, call: CallId, now: Time) {
+        if self.pending_poll == Some(call) {
+            self.pending_poll = None;
+            self.next_poll = now + POLL_RETRY;
         }
     }
 
-    fn lose_all(&mut self, events: &mut Vec<Event>) {
+    fn remove_all(&mut self, events: &mut Vec<Event>) {
         let tasks: Vec<TaskId> = self.executions.keys().copied().collect();
         for task in tasks {
-            self.lose(task, events);
+            self.remove_lost(task, events);
         }
     }
 
-    /// Rests an endpoint that refuses as unwell.
-    pub fn unwell(&mut self, now: Time) {
-        self.rest = self.rest.max(now + UNWELL);
+    /// Pauses placement on an endpoint that refuses a start as unwell.
+    pub fn on_unwell(&mut self, now: Time) {
+        self.ejected_until = self.ejected_until.max(now + UNWELL_PAUSE);
     }
 
-    /// Rests an endpoint that has no room although it should; what it runs is looked up.
-    pub fn full(&mut self, now: Time) {
-        self.rest = self.rest.max(now + FULL);
-        self.next_look = now;
-        self.unsure = true;
+    /// Pauses placement on an endpoint that reports no room, and polls it for its runs.
+    pub fn on_full(&mut self, now: Time) {
+        self.ejected_until = self.ejected_until.max(now + FULL_PAUSE);
+        self.next_poll = now;
+        self.poll_wanted = true;
     }
 
-    fn sound(&mut self, now: Time) {
-        self.moved = now;
+    fn record_success(&mut self, now: Time) {
+        self.last_progress = now;
         self.failures = (0, 0);
         self.probation = false;
-        self.penalty = REST.0;
+        self.next_ejection = EJECTION.0;
     }
 
-    /// Counts a failed run: one job that fails everywhere is no sign of a failing endpoint.
-    fn failed(&mut self, job: u64, now: Time) {
+    /// Records a failed run. Consecutive failures of one job count once: a job that fails everywhere is no sign
+    /// of a faulty endpoint.
+    fn record_failure(&mut self, job: u64, now: Time) {
         if self.failures.1 == job {
             return;
         }
         self.failures = (self.failures.0 + 1, job);
-        if self.failures.0 >= FAILURES || self.probation {
-            self.rest(now);
+        if self.failures.0 >= MAX_FAILURES || self.probation {
+            self.eject(now);
         }
     }
 
-    /// Lets it get no task for a while, and then one to try it with.
-    pub fn rest(&mut self, now: Time) {
-        self.rest = now + self.penalty;
-        self.penalty = Span((self.penalty.0 * 2).min(REST.1 .0));
+    /// Ejects the endpoint for a time, and puts it on probation afterwards.
+    pub fn eject(&mut self, now: Time) {
+        self.ejected_until = now + self.next_ejection;
+        self.next_ejection = Span((self.next_ejection.0 * 2).min(EJECTION.1 .0));
         self.probation = true;
     }
 
-    /// Tells whether it doesn't rest yet, and nothing on it has come along for as long as a run stands still.
-    pub fn stands_still(&self, task: &TaskId, now: Time) -> bool {
+    /// Returns whether the endpoint isn't ejected, and none of its runs has made progress within the task's stall
+    /// timeout.
+    pub fn is_stalled(&self, task: &TaskId, now: Time) -> bool {
         let run = self.executions.get(task);
-        let patience = run.and_then(|run| run.progress.stall_timeout(self.gap));
-        now >= self.rest && patience.is_some_and(|span| now.since(self.moved) > span)
+        let timeout = run.and_then(|run| run.progress.stall_timeout(self.longest_progress_gap));
+        now >= self.ejected_until
+            && timeout.is_some_and(|span| now.since(self.last_progress) > span)
     }
 
-    /// Decides what a refused start means.
-    pub fn refused(&mut self, task: TaskId, run: Run, refusal: Refusal, now: Time) -> Refused {
+    /// Handles a refused start, and returns what the owner has to do.
+    pub fn on_start_refused(
+        &mut self,
+        task: TaskId,
+        run: Run,
+        refusal: Refusal,
+        now: Time,
+    ) -> Reaction {
         let Some(execution) = self.executions.get_mut(&task) else {
-            return Refused::Nothing;
+            return Reaction::Ignore;
         };
         if execution.run != run || execution.phase != Phase::Starting {
-            return Refused::Nothing;
+            return Reaction::Ignore;
         }
         if refusal == Refusal::Fenced {
-            return Refused::Fenced;
+            return Reaction::Yield;
         }
-        if execution.doubt && refusal == Refusal::Old {
-            // The earlier copy of this start was carried out, and its run may have ended: the next look tells.
+        if execution.duplicate_possible && refusal == Refusal::Old {
+            // An earlier copy of the start was accepted, and its run may have ended. The next poll tells.
             execution.phase = Phase::Running;
-            execution.answered = Some(now);
-            self.next_look = now;
-            return Refused::Nothing;
+            execution.answered_at = Some(now);
+            self.next_poll = now;
+            return Reaction::Ignore;
         }
-        if execution.doubt {
-            // The earlier copy may still arrive; only a stop bars it.
-            return Refused::Stop;
+        if execution.duplicate_possible {
+            // An earlier copy may still arrive, and only a stop prevents that.
+            return Reaction::Stop;
         }
         let batch = execution.batch;
         let next = match refusal {
@@ -781,24 +806,24 @@
         };
         self.remove(&task);
         match refusal {
-            Refusal::Full => self.full(now),
+            Refusal::Full => self.on_full(now),
             Refusal::Late => self.reading = None,
             _ => {}
         }
-        self.next_look = now;
-        Refused::Again(batch, next)
+        self.next_poll = now;
+        Reaction::Requeue(batch, next)
     }
 }
 
-/// What a refused start means.
+/// What an owner has to do after a refused start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refused {
-    /// It was taken care of.
-    Nothing,
-    /// The run must be barred before the task is placed again.
+pub enum Reaction {
+    /// Nothing.
+    Ignore,
+    /// Stop the run before the task is placed again.
     Stop,
-    /// The task can be placed again, with this run.
-    Again(Handle, Run),
-    /// Another owner has a higher token.
-    Fenced,
+    /// Queue the task again, with this run number.
+    Requeue(Handle, Run),
+    /// Yield the rack: another owner has a higher fencing token.
+    Yield,
 }
--- a/src/dispatch/endpoint/backoff.rs
+++ b/src/dispatch/endpoint/backoff.rs
@@ -1,50 +1,52 @@
-//! How long an endpoint is left alone that doesn't answer.
+//! Exponential backoff for calls to an endpoint that doesn't answer.
 //!
-//! One that refuses connections, or resets them, does so at once. Called again at once, a stop that has to arrive was sent thousands
-//! of times a second, each over a new connection.
+//! An endpoint that refuses or resets connections does so at once. Without a delay, a stop that must arrive would
+//! be resent thousands of times a second.
 
 use super::super::id::weight;
 use crate::prelude::*;
 
-/// The pause after the first call that wasn't answered.
-const FIRST: Span = Span::millis(25);
+/// The delay after the first failed call.
+const FIRST_DELAY: Span = Span::millis(25);
 
-/// The longest pause: an endpoint that is back is found within this, a fifth of the longest lease.
-const LONGEST: Span = Span::millis(200);
+/// The longest delay: a fifth of the longest lease, so that a recovered endpoint is found within it.
+const MAX_DELAY: Span = Span::millis(200);
 
-/// How often the pause is doubled at the most, so that it is a number still.
-const MOST_DOUBLED: u32 = 8;
+/// How often the delay is doubled at most, so that the shift doesn't overflow.
+const MAX_DOUBLINGS: u32 = 8;
 
-/// The least and the most that a pause is drawn at, in parts of a thousand: endpoints that fail together aren't called together.
-const SPREAD: (u64, u64) = (750, 1_250);
+/// The range of the jitter, in thousandths of the delay, so that endpoints that fail together aren't called
+/// together.
+const JITTER_PERMILLE: (u64, u64) = (750, 1_250);
 
-/// Counts calls to an endpoint that weren't answered, one after the other.
+/// The number of consecutive failed calls to an endpoint.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Backoff {
     failures: u32,
 }
 
 impl Backoff {
-    /// Takes note of an answer.
-    pub(super) fn answered(&mut self) {
+    /// Resets the count after an answer.
+    pub(super) fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// Takes note of a call without one.
-    pub(super) fn failed(&mut self) {
+    /// Counts a call without an answer.
+    pub(super) fn record_failure(&mut self) {
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// Tells whether no call, or only one, has failed since the last answer: that may be its connection's fault.
+    /// Returns whether at most one call has failed since the last answer. A single failure may be due to a broken
+    /// connection.
     pub(super) fn is_first(self) -> bool {
         self.failures <= 1
     }
 
-    /// Returns how long to wait before the next call.
-    pub(super) fn pause(self, endpoint: &Endpoint) -> Span {
-        let doubled = FIRST.0 << self.failures.saturating_sub(1).min(MOST_DOUBLED);
-        let (least, most) = SPREAD;
-        let drawn = least + weight(u64::from(self.failures), endpoint.as_str()) % (most - least);
-        Span(doubled.min(LONGEST.0) * drawn / 1_000)
+    /// Returns the delay before the next call.
+    pub(super) fn delay(self, endpoint: &Endpoint) -> Span {
+        let doubled = FIRST_DELAY.0 << self.failures.saturating_sub(1).min(MAX_DOUBLINGS);
+        let (min, max) = JITTER_PERMILLE;
+        let permille = min + weight(u64::from(self.failures), endpoint.as_str()) % (max - min);
+        Span(doubled.min(MAX_DELAY.0) * permille / 1_000)
     }
 }
--- a/src/dispatch/endpoint/execution.rs
+++ b/src/dispatch/endpoint/execution.rs
@@ -1,4 +1,4 @@
-//! A run on an endpoint.
+//! A run of a task on an endpoint.
 
 use super::super::{
     id::Run,
@@ -9,61 +9,63 @@
 };
 use crate::prelude::*;
 
-/// What a run waits for.
+/// The phase of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// The answer to its start.
+    /// The start isn't confirmed.
     Starting,
-    /// Its end.
+    /// The start is confirmed.
     Running,
-    /// Its stop.
+    /// A stop was sent, and the end isn't known.
     Stopping,
 }
 
-/// What becomes of the task when its run has ended otherwise than done.
+/// What happens to the task when its run ends without a result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fate {
-    /// It is started again.
-    Again,
-    /// Nobody wants it any more.
+    /// The task is started again.
+    Restart,
+    /// The task is dropped: it is no longer wanted.
     Drop,
 }
 
-/// A run on the endpoint.
+/// A run of a task on an endpoint.
 #[derive(Debug, Clone)]
 pub struct Execution {
-    /// Its batch.
+    /// The task's batch.
     pub batch: Handle,
-    /// The run.
+    /// The run's number.
     pub run: Run,
-    /// What it takes.
+    /// The room that it takes.
     pub need: Room,
-    /// What it waits for.
+    /// Its phase.
     pub phase: Phase,
-    /// See [`Fate`].
+    /// What happens to the task if the run ends without a result.
     pub fate: Fate,
-    /// When its start, or its stop, was answered.
-    pub(super) answered: Option<Time>,
-    /// How often its start was sent, or its stop.
-    pub tries: u8,
-    /// How it comes along.
+    /// When its start, or its stop, was confirmed.
+    pub(super) answered_at: Option<Time>,
+    /// How often its start, or its stop, was sent.
+    pub sends: u8,
+    /// Its progress.
     pub progress: Tracker,
-    /// Whether an earlier start of this run may still arrive.
-    pub doubt: bool,
+    /// Whether an earlier copy of its start may still arrive.
+    pub duplicate_possible: bool,
     /// Whether its end must be stored before the endpoint forgets it.
     pub stored: bool,
-    /// What is known of endpoints that crashed under its task, or may have.
+    /// Evidence that the task crashes endpoints.
     pub suspicion: Suspicion,
-    /// Whether the endpoint had it, as far as can be known: it had answered just before the start left, or answered the start.
+    /// Whether the endpoint can be assumed to have the run: it answered just before the start was sent, or
+    /// confirmed the start.
     pub(super) reached: bool,
-    /// Whether it was the sole suspect, where the endpoint began anew after its start had left and hasn't listed it since.
-    pub(super) crashed: Option<bool>,
-    /// When its start or its stop is sent again, where that had no answer.
-    pub(super) retry: Option<Time>,
+    /// Set if the endpoint restarted after the start was sent and hasn't listed the run since. The value tells
+    /// whether the task was the sole suspect.
+    pub(super) lost_in_crash: Option<bool>,
+    /// When its start or stop is resent.
+    pub(super) retry_at: Option<Time>,
 }
 
 impl Execution {
-    /// Makes a run whose start is about to leave.
+    /// Returns a run whose start is about to be sent.
     pub fn new(batch: Handle, run: Run, need: Room, estimate: Span) -> Self {
         Self {
             progress: Tracker::new(estimate),
@@ -71,15 +73,15 @@
             run,
             need,
             phase: Phase::Starting,
-            fate: Fate::Again,
-            answered: None,
-            tries: 1,
-            doubt: false,
+            fate: Fate::Restart,
+            answered_at: None,
+            sends: 1,
+            duplicate_possible: false,
             stored: false,
             suspicion: Suspicion::default(),
             reached: false,
-            crashed: None,
-            retry: None,
+            lost_in_crash: None,
+            retry_at: None,
         }
     }
 }
--- a/src/dispatch/endpoint/life.rs
+++ b/src/dispatch/endpoint/life.rs
@@ -1,8 +1,8 @@
-//! Lives of an endpoint: how a new one is found, and what that means for runs of the one before.
+//! Lives (incarnations) of an endpoint: detection of a restart, and its consequences for runs.
 //!
-//! An endpoint may start again under the name that it had. It has forgotten everything then: its runs are gone, and its clock and the
-//! numbers of its ends begin anew. Taken for the same life, its new ends were dropped unread, since their numbers were low, and what
-//! had run there seemed to run on.
+//! An endpoint that restarts under the same name has forgotten everything: its runs are lost, and its clock and
+//! the serial numbers of its ends start again. If the restart went unnoticed, its new ends would be ignored for
+//! their low numbers, and lost runs would seem to go on.
 
 use std::collections::BTreeSet;
 
@@ -20,95 +20,96 @@
     Fate,
     Standing,
     State,
+    EJECTION, //
     LEASE,
-    REST, //
 };
 use crate::prelude::*;
 
-/// How long after the last lease of a life its runs have surely ended.
-const PASSED: Span = Span::millis(50);
+/// Margin after the last lease of a life, by which all of its runs have ended.
+const LEASE_MARGIN: Span = Span::millis(50);
 
 impl State {
-    /// Returns the latest life that is known.
+    /// Returns the latest known life.
     pub fn life(&self) -> Life {
         self.life
     }
 
-    /// Takes note of the life that its row or its answer names; a later one than was known proves that it crashed.
-    pub fn live(&mut self, life: Life, now: Time) -> Vec<Event> {
+    /// Updates the life from the platform's list or from an answer. A later life proves that the endpoint
+    /// crashed.
+    pub fn update_life(&mut self, life: Life, now: Time) -> Vec<Event> {
         let renewed = self.life.is_before(life);
         if life.is_known() && !life.is_before(self.life) {
             self.life = life;
         }
         match renewed {
-            true => self.renew(now),
+            true => self.start_new_life(now),
             false => Vec::new(),
         }
     }
 
-    /// Begins anew with an endpoint that knows nothing of before.
+    /// Resets the state for a restarted endpoint.
     ///
-    /// A run whose start was on its way may be of the new life, so that none is given up before the endpoint has told what runs
-    /// there; those that it doesn't list then were crashed.
-    fn renew(&mut self, now: Time) -> Vec<Event> {
-        self.crash();
-        (self.seen, self.told) = (0, 0);
-        self.held.clear();
-        self.late.clear();
-        self.unknown.clear();
-        // Without a reading of its clock nothing is started: a deadline on the former life's clock may be hours away on this one.
+    /// A run whose start was in transit may belong to the new life. So runs are removed only after the first
+    /// answer, which lists what runs there; the others were lost in the crash.
+    fn start_new_life(&mut self, now: Time) -> Vec<Event> {
+        self.mark_crashed();
+        (self.last_end, self.acknowledged_end) = (0, 0);
+        self.unstored_ends.clear();
+        self.late_ends.clear();
+        self.unknown_runs.clear();
+        // Starts need a new clock reading: a deadline on the former life's clock may be hours ahead on this one.
         self.reading = None;
-        self.renewed = now;
-        self.lapse = now + LEASE + PASSED;
+        self.life_since = now;
+        self.leases_end = now + LEASE + LEASE_MARGIN;
         self.standing = Standing::Claimed;
-        self.next_look = now;
-        self.rest = Time::default();
-        (self.failures, self.penalty, self.probation) = ((0, 0), REST.0, false);
-        self.convict()
+        self.next_poll = now;
+        self.ejected_until = Time::default();
+        (self.failures, self.next_ejection, self.probation) = ((0, 0), EJECTION.0, false);
+        self.confirm_crashes()
     }
 
-    /// Takes note that another endpoint answers at its address, so that it has crashed, unless it was about to leave.
-    pub fn replaced(&mut self) -> Vec<Event> {
+    /// Handles another endpoint at its address: it has crashed, unless it was draining.
+    pub fn on_replaced(&mut self) -> Vec<Event> {
         let mut events = Vec::new();
         if !self.listing.draining {
-            self.crash();
-            events = self.convict();
+            self.mark_crashed();
+            events = self.confirm_crashes();
         }
-        self.lose_all(&mut events);
+        self.remove_all(&mut events);
         events
     }
 
-    /// Gives its runs up when it is silent and every lease has passed.
-    pub fn lapse(&mut self, now: Time) -> Vec<Event> {
-        if self.standing != Standing::Silent || now <= self.lapse {
+    /// Removes the runs of a silent endpoint once all of its leases have expired.
+    pub fn expire_runs(&mut self, now: Time) -> Vec<Event> {
+        if self.standing != Standing::Silent || now <= self.leases_end {
             return Vec::new();
         }
         let mut events = Vec::new();
         let suspects = self.sole_suspects();
-        self.lose_all(&mut events);
+        self.remove_all(&mut events);
         for event in &mut events {
-            if let Event::Gone(task, batch, next) = *event {
+            if let Event::Lost(task, batch, next) = *event {
                 let sole = suspects.contains(&task);
-                self.abandoned.push(Crash { task, batch, sole });
-                *event = Event::Lapsed(task, batch, next);
+                self.unconfirmed_crashes.push(Crash { task, batch, sole });
+                *event = Event::Expired(task, batch, next);
             }
         }
         events
     }
 
-    /// Marks all runs as lost with a life of the endpoint.
-    fn crash(&mut self) {
+    /// Marks all runs as lost in a crash.
+    fn mark_crashed(&mut self) {
         let suspects = self.sole_suspects();
         for (task, execution) in &mut self.executions {
-            execution.crashed = Some(suspects.contains(task));
+            execution.lost_in_crash = Some(suspects.contains(task));
         }
     }
 
-    /// Finds the tasks here of which it is known that the runs of other jobs beside them are no suspects.
+    /// Returns the tasks here whose neighbours of other jobs are all cleared.
     ///
-    /// Nothing joins a strong suspect, so that other runs beside it had been going on without a crash. A weak one may be joined by a task
-    /// that crashes endpoints for the first time, so that it must have no other job's run beside it. A run that may never have reached
-    /// the endpoint, which was cut off before and began anew behind the cut, has crashed nothing.
+    /// Nothing starts beside a strong suspect, so other runs beside it have survived longer. A weak suspect may
+    /// be joined by a task that crashes its first endpoint, so no other job may run beside it. A run that may not
+    /// have reached the endpoint can't have crashed it.
     fn sole_suspects(&self) -> BTreeSet<TaskId> {
         let harmless = |suspicion: Suspicion, other: &Execution| {
             suspicion.is_strong() && !other.suspicion.is_any()
@@ -127,42 +128,45 @@
         sole.map(|(task, _)| *task).collect()
     }
 
-    fn convict(&mut self) -> Vec<Event> {
-        self.abandoned.drain(..).map(Event::Convicted).collect()
+    fn confirm_crashes(&mut self) -> Vec<Event> {
+        self.unconfirmed_crashes
+            .drain(..)
+            .map(Event::CrashConfirmed)
+            .collect()
     }
 
-    /// Takes note that it answers in the life that is known: it hadn't crashed.
-    pub(super) fn acquit(&mut self) -> Vec<Event> {
-        let acquitted = |crash: Crash| Event::Acquitted(crash.task, crash.batch);
-        self.abandoned.drain(..).map(acquitted).collect()
+    /// Clears the suspicion from expired runs: the endpoint answers in its known life, so it didn't crash.
+    pub(super) fn rule_out_crashes(&mut self) -> Vec<Event> {
+        let cleared = |crash: Crash| Event::CrashRuledOut(crash.task, crash.batch);
+        self.unconfirmed_crashes.drain(..).map(cleared).collect()
     }
 
-    /// Takes note that the endpoint lists a run: its start reached the present life.
-    pub(super) fn confirm(&mut self, task: &TaskId) {
+    /// Records that the endpoint lists a run: its start reached the current life.
+    pub(super) fn on_listed(&mut self, task: &TaskId) {
         if let Some(execution) = self.executions.get_mut(task) {
-            execution.crashed = None;
+            execution.lost_in_crash = None;
             execution.reached = true;
         }
     }
 
-    /// Takes note of what has come to be known of crashes under a run's task.
-    pub fn suspect(&mut self, task: &TaskId, suspicion: Suspicion) {
+    /// Sets the evidence that a run's task crashes endpoints.
+    pub fn set_suspicion(&mut self, task: &TaskId, suspicion: Suspicion) {
         if let Some(execution) = self.executions.get_mut(task) {
             execution.suspicion = suspicion;
         }
     }
 
-    /// Counts the runs here of tasks under which endpoints may have crashed.
-    pub fn doubtful(&self) -> usize {
+    /// Returns the number of runs here whose tasks are suspects.
+    pub fn count_suspects(&self) -> usize {
         let executions = self.executions.values();
         let doubtful = executions.filter(|execution| execution.suspicion.is_any());
         doubtful.count()
     }
 
-    /// Tells whether a task runs here that endpoints may have crashed under. It runs alone: what ran beside it would be lost
-    /// with it, and be suspected itself.
-    pub fn has_suspect(&self) -> bool {
+    /// Returns whether a wanted run here belongs to a strong suspect. It runs alone, as its neighbours would be
+    /// lost with it and become suspects too.
+    pub fn has_strong_suspect(&self) -> bool {
         let mut executions = self.executions.values();
-        executions.any(|run| run.suspicion.is_strong() && run.fate == Fate::Again)
+        executions.any(|run| run.suspicion.is_strong() && run.fate == Fate::Restart)
     }
 }
--- a/src/dispatch/owner.rs
+++ b/src/dispatch/owner.rs
@@ -1,4 +1,4 @@
-//! The owner of racks: the only one that starts, stops and looks at their endpoints.
+//! Ownership of racks: an owner alone starts, stops and polls the endpoints of its racks.
 
 mod answer;
 mod ends;
@@ -51,9 +51,9 @@
         Suspicion, //
     },
     queue::{
-        Claim,
         Handle,
         Queue,
+        Rank,
         Waiting, //
     },
     timeout::Estimator,
@@ -66,18 +66,18 @@
     token: Token,
     endpoints: Vec<Endpoint>,
     queue: Queue,
-    /// Whether its room has changed since it was told.
-    changed: bool,
-    /// How many of its endpoints took tasks when it was told.
-    open: usize,
-    /// Whether it had space then.
-    spacious: bool,
-    /// When its queue is gone through next, if nothing happens before that may let a task start.
+    /// Whether its free room has changed since the last update to other instances.
+    room_changed: bool,
+    /// The number of its endpoints that accepted tasks at the last update.
+    reported_open: usize,
+    /// Whether it had space for other racks' tasks at the last update.
+    reported_space: bool,
+    /// When its queue is reviewed next, unless an event calls for an earlier review.
     next_review: Time,
 }
 
 impl Rack {
-    /// Takes note that a task may be able to start: one has come, or something was heard of an endpoint.
+    /// Requests a review of the queue: a task has arrived, or the state of an endpoint has changed.
     fn review_now(&mut self) {
         self.next_review = Time::default();
     }
@@ -85,36 +85,36 @@
 
 /// A batch that this instance runs.
 #[derive(Debug)]
-struct Load {
+struct Assignment {
     entry: Contact,
     batch: Batch,
     /// When a task must start to be on time.
     due: Time,
-    /// When an answer is of little use.
-    useful: Time,
-    /// When nobody waits any more.
-    until: Time,
-    tasks: BTreeMap<u32, Progress>,
-    /// Tasks that are done. The report names them: were it to stand for all that was sent, a task that was sent
-    /// back in a message which got lost would count as done.
+    /// After this, an answer has so little use that an unstarted batch is given up.
+    useful_until: Time,
+    /// When the caller stops waiting.
+    deadline: Time,
+    tasks: BTreeMap<u32, TaskState>,
+    /// Indices of tasks that are done. Reports name them, as tasks that were returned in a lost message must not
+    /// count as done.
     done: Vec<u32>,
     started: bool,
 }
 
-/// A task that is not done.
+/// The state of a task that is not done.
 #[derive(Debug, Clone)]
-struct Progress {
+struct TaskState {
     next: Run,
     failures: u32,
-    /// How often it was taken from an endpoint where it stood still.
+    /// How often it was moved away from an endpoint where it stalled.
     restarts: u32,
-    /// Whether endpoints crash under it.
+    /// Evidence that the task crashes endpoints.
     suspicion: Suspicion,
-    /// Where its last run failed.
+    /// The endpoint where its last run failed.
     failed_on: Option<Endpoint>,
 }
 
-impl Default for Progress {
+impl Default for TaskState {
     fn default() -> Self {
         Self {
             next: Run::FIRST,
@@ -126,53 +126,55 @@
     }
 }
 
-/// What a call was for.
+/// The purpose of a call to an endpoint.
 #[derive(Debug, Clone, PartialEq)]
 enum Purpose {
     Start(TaskId, Run),
     Stop(Name, Run),
-    Look,
+    Poll,
     Probe(RackId),
 }
 
 /// The racks that an instance owns, and the batches that it runs there.
 #[derive(Debug, Default)]
 pub struct Owner {
-    /// Its instance, which it names to the entries of batches that come with a rack.
+    /// This instance, as named in messages to the entries of batches that arrive with a rack.
     own: Option<Instance>,
     racks: BTreeMap<RackId, Rack>,
     endpoints: BTreeMap<Endpoint, State>,
-    loads: BTreeMap<Handle, Load>,
+    assignments: BTreeMap<Handle, Assignment>,
     by_entry: HashMap<(Instance, u64), Handle>,
-    /// Where a run of a task is, wanted or not: no other one is started before it has ended.
-    busy: HashMap<TaskId, Endpoint>,
-    calls: HashMap<CallId, (Endpoint, Purpose)>,
+    /// The endpoint of each task's current run, including runs that are being stopped. A task isn't started while
+    /// it is listed here, so that it never runs twice at a time.
+    run_locations: HashMap<TaskId, Endpoint>,
+    pending_calls: HashMap<CallId, (Endpoint, Purpose)>,
     probes: HashMap<RackId, Probe>,
-    /// Racks that were fenced off, with the token that was too low.
+    /// Racks lost to an owner with a higher fencing token, with this instance's rejected token.
     fenced: Vec<(RackId, Token)>,
-    /// Entries that are heard: a task is started only for one of these.
-    present: HashSet<Instance>,
-    /// Entries that were heard once and are not any more.
-    gone: HashSet<Instance>,
+    /// Entries with a current heartbeat. Tasks start only for these.
+    live_entries: HashSet<Instance>,
+    /// Entries that had a heartbeat and lost it.
+    lost_entries: HashSet<Instance>,
     given_up: GivenUp,
-    /// Data centres where nothing may be started.
+    /// Data centres where no task may start.
     evacuated: BTreeSet<String>,
-    /// Tasks that wait until more is known of the endpoints that may have crashed under them, with the latest time of that.
-    detained: BTreeMap<TaskId, (Time, Handle)>,
-    /// Ends that endpoints list until they are stored, with the time at which each was reported last.
-    ends: BTreeMap<(Endpoint, Life, u64), (RunEnd, Option<Time>)>,
+    /// Tasks that wait until it is clear whether endpoints crashed under them, with the time at which they are
+    /// released at the latest.
+    held_back: BTreeMap<TaskId, (Time, Handle)>,
+    /// Ends that endpoints keep until they are stored, with the time of the last report.
+    unstored_ends: BTreeMap<(Endpoint, Life, u64), (RunEnd, Option<Time>)>,
     call_timeout: Estimator,
-    handles: u64,
-    serial: u64,
-    claims: u64,
+    last_handle: u64,
+    last_call: u64,
+    rack_changes: u64,
 }
 
-/// Where an owner puts what it wants done.
+/// The effects that an owner asks for.
 #[derive(Debug, Default)]
 pub struct Effects {
-    /// For the outside.
+    /// Calls, log records and other outputs.
     pub outputs: Vec<Output>,
-    /// For entries, by name; its own instance's among them.
+    /// Messages to entries, including this instance's own.
     pub messages: Vec<(Contact, Message)>,
 }
 
@@ -181,17 +183,17 @@
         self.outputs.push(Output::Log(record));
     }
 
-    fn tell(&mut self, to: &Contact, message: Message) {
+    fn send(&mut self, to: &Contact, message: Message) {
         self.messages.push((to.clone(), message));
     }
 }
 
 impl Owner {
-    /// Makes one without racks; an instance always hears its own entry.
+    /// Returns an owner without racks. Its own instance counts as a live entry.
     pub fn new(own: &Instance) -> Self {
         Self {
             own: Some(own.clone()),
-            present: HashSet::from([own.clone()]),
+            live_entries: HashSet::from([own.clone()]),
             ..Self::default()
         }
     }
@@ -201,110 +203,112 @@
         self.racks.iter().map(|(rack, state)| (*rack, state.token))
     }
 
-    /// Counts the changes of the racks that it owns.
+    /// Returns a counter that grows with each claim and each loss of a rack.
     pub fn rack_changes(&self) -> u64 {
-        self.claims
+        self.rack_changes
     }
 
-    /// Tells whether it owns a rack.
+    /// Returns whether this instance owns a rack.
     pub fn owns(&self, rack: RackId) -> bool {
         self.racks.contains_key(&rack)
     }
 
-    /// Tells whether nothing waits or runs.
+    /// Returns whether it runs no batch.
     pub fn is_idle(&self) -> bool {
-        self.loads.is_empty()
+        self.assignments.is_empty()
     }
 
-    /// Claims a rack.
+    /// Claims a rack with a fencing token.
     pub fn claim(&mut self, rack: RackId, token: Token, out: &mut Effects) {
         out.log(Record::new("rack_claimed").with("rack", rack.to_string()));
-        let fresh = Rack {
+        let new_rack = Rack {
             token,
             endpoints: Vec::new(),
             queue: Queue::default(),
-            changed: true,
-            open: 0,
-            spacious: false,
+            room_changed: true,
+            reported_open: 0,
+            reported_space: false,
             next_review: Time::default(),
         };
-        self.racks.entry(rack).or_insert(fresh).token = token;
-        self.claims += 1;
+        self.racks.entry(rack).or_insert(new_rack).token = token;
+        self.rack_changes += 1;
     }
 
-    /// Gives a rack up that another owner has fenced off; its batches go back to their entries.
-    pub fn yield_rack(&mut self, rack: RackId, why: &str, out: &mut Effects) {
+    /// Gives up a rack that another instance owns, and returns its batches to their entries.
+    pub fn yield_rack(&mut self, rack: RackId, reason: &str, out: &mut Effects) {
         let Some(state) = self.racks.remove(&rack) else {
             return;
         };
-        self.claims += 1;
+        self.rack_changes += 1;
         let record = Record::new("rack_yielded").with("rack", rack.to_string());
-        out.log(record.with("reason", why));
+        out.log(record.with("reason", reason));
         for id in &state.endpoints {
-            self.forget(id);
+            self.remove_endpoint_state(id);
         }
-        let handles = self.loads_of(rack);
+        let handles = self.assignments_of(rack);
         for handle in handles {
-            self.give_back(handle, out);
+            self.return_batch(handle, out);
         }
     }
 
-    fn forget(&mut self, id: &Endpoint) {
+    fn remove_endpoint_state(&mut self, id: &Endpoint) {
         if let Some(state) = self.endpoints.remove(id) {
             for task in state.executions.keys() {
-                self.busy.remove(task);
+                self.run_locations.remove(task);
             }
         }
     }
 
-    fn loads_of(&self, rack: RackId) -> Vec<Handle> {
-        let of = |(handle, load): (&Handle, &Load)| (load.batch.rack == rack).then_some(*handle);
-        let mut handles: Vec<Handle> = self.loads.iter().filter_map(of).collect();
+    fn assignments_of(&self, rack: RackId) -> Vec<Handle> {
+        let of = |(handle, assignment): (&Handle, &Assignment)| {
+            (assignment.batch.rack == rack).then_some(*handle)
+        };
+        let mut handles: Vec<Handle> = self.assignments.iter().filter_map(of).collect();
         handles.sort_unstable();
         handles
     }
 
-    fn give_back(&mut self, handle: Handle, out: &mut Effects) {
-        if let Some(load) = self.remove_load(handle) {
-            load.send_back(out);
+    fn return_batch(&mut self, handle: Handle, out: &mut Effects) {
+        if let Some(assignment) = self.remove_assignment(handle) {
+            assignment.return_to_entry(out);
         }
     }
 
-    fn remove_load(&mut self, handle: Handle) -> Option<Load> {
-        let load = self.loads.remove(&handle)?;
-        let key = (load.entry.name.clone(), load.batch.serial);
+    fn remove_assignment(&mut self, handle: Handle) -> Option<Assignment> {
+        let assignment = self.assignments.remove(&handle)?;
+        let key = (assignment.entry.name.clone(), assignment.batch.serial);
         if self.by_entry.get(&key) == Some(&handle) {
             self.by_entry.remove(&key);
         }
-        self.unqueue(handle, &load);
-        Some(load)
+        self.dequeue(handle, &assignment);
+        Some(assignment)
     }
 
-    fn unqueue(&mut self, handle: Handle, load: &Load) {
-        if let Some(rack) = self.racks.get_mut(&load.batch.rack) {
-            for index in load.tasks.keys() {
+    fn dequeue(&mut self, handle: Handle, assignment: &Assignment) {
+        if let Some(rack) = self.racks.get_mut(&assignment.batch.rack) {
+            for index in assignment.tasks.keys() {
                 let batch = handle;
                 rack.queue.remove(Waiting {
                     batch,
                     index: *index,
                 });
             }
-            rack.changed = true;
+            rack.room_changed = true;
         }
     }
 
-    /// Gives everything up, after the process stood still: others have taken over what it had.
+    /// Drops all state after a pause of the process: other instances have taken over its racks.
     pub fn reset(&mut self, own: &Instance) {
-        // Answers to calls of before are for calls that are not known any more.
+        // Call IDs continue, so that answers to earlier calls are ignored.
         *self = Self {
-            serial: self.serial,
-            claims: self.claims + 1,
+            last_call: self.last_call,
+            rack_changes: self.rack_changes + 1,
             evacuated: std::mem::take(&mut self.evacuated),
             ..Self::new(own)
         };
     }
 
-    /// Takes note of the endpoints that the platform lists.
+    /// Updates the endpoints of owned racks to the platform's current list.
     pub fn update_endpoints(&mut self, listings: &[Listing], now: Time, out: &mut Effects) {
         for state in self.endpoints.values_mut() {
             state.delisted = true;
@@ -314,15 +318,15 @@
             let Some(rack) = self.racks.get_mut(&listing.rack_id()) else {
                 continue;
             };
-            rack.changed = true;
+            rack.room_changed = true;
             rack.review_now();
             if let Some(state) = self.endpoints.get_mut(&listing.id) {
                 if listing.draining && !state.listing.draining {
                     let record = Record::new("endpoint_leaving");
                     out.log(record.with("endpoint", listing.id.as_str()));
                 }
-                state.list(listing.clone());
-                let events = state.live(listing.life, now);
+                state.update_listing(listing.clone());
+                let events = state.update_life(listing.life, now);
                 renewed.push((listing.id.clone(), events));
                 continue;
             }
@@ -332,46 +336,46 @@
             rack.endpoints.push(listing.id.clone());
         }
         for (id, events) in renewed {
-            self.act(&id, events, now, out);
+            self.handle_events(&id, events, now, out);
         }
         let idle = |state: &State| state.delisted && state.executions.is_empty();
-        let gone: Vec<Endpoint> = self
+        let removed: Vec<Endpoint> = self
             .endpoints
             .iter()
             .filter(|(_, state)| idle(state))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in gone {
-            self.drop_endpoint(&id, out);
+        for id in removed {
+            self.remove_endpoint(&id, out);
         }
     }
 
-    /// Starts nothing in these data centres from now on; what runs there ends by itself.
+    /// Sets the data centres where no task may start. Current runs go on to their end.
     pub fn set_evacuated_centres(&mut self, centres: &BTreeSet<String>) {
         self.evacuated.clone_from(centres);
         for state in self.endpoints.values_mut() {
             state.evacuated = centres.contains(&state.listing.centre);
         }
         for rack in self.racks.values_mut() {
-            rack.changed = true;
+            rack.room_changed = true;
             rack.review_now();
         }
     }
 
-    fn drop_endpoint(&mut self, id: &Endpoint, out: &mut Effects) {
+    fn remove_endpoint(&mut self, id: &Endpoint, out: &mut Effects) {
         out.log(Record::new("endpoint_gone").with("endpoint", id.as_str()));
         if let Some(state) = self.endpoints.get(id) {
             out.outputs
                 .push(Output::Forget(state.listing.address.clone()));
         }
-        self.forget(id);
+        self.remove_endpoint_state(id);
         for rack in self.racks.values_mut() {
-            rack.endpoints.retain(|known| known != id);
-            rack.changed = true;
+            rack.endpoints.retain(|other| other != id);
+            rack.room_changed = true;
         }
     }
 
-    /// Sends a batch back of which nothing was started.
+    /// Returns a batch, none of which was started, to its entry.
     pub fn decline(&self, entry: &Contact, batch: Batch, out: &mut Effects) {
         let message = Message::Returned {
             serial: batch.serial,
@@ -379,15 +383,19 @@
             started: false,
             cause: Cause::Lost,
         };
-        out.tell(entry, message);
+        out.send(entry, message);
     }
 
     /// Returns the entries of the batches that it runs.
     pub fn entries(&self) -> HashSet<&Instance> {
-        self.loads.values().map(|load| &load.entry.name).collect()
+        self.assignments
+            .values()
+            .map(|assignment| &assignment.entry.name)
+            .collect()
     }
 
-    /// Takes a batch in.
+    /// Accepts a batch and queues its tasks. Returns it to its entry if the rack isn't owned here, and ignores a
+    /// duplicate.
     pub fn accept(&mut self, entry: &Contact, batch: Batch, now: Time, out: &mut Effects) {
         let key = (entry.name.clone(), batch.serial);
         if self.by_entry.contains_key(&key) {
@@ -396,114 +404,117 @@
         if !self.racks.contains_key(&batch.rack) {
             return self.decline(entry, batch, out);
         }
-        let fresh = |index: &u32| (*index, Progress::default());
-        let tasks = batch.tasks.iter().map(fresh).collect();
-        self.load(entry, batch, tasks, false, now);
+        let unstarted = |index: &u32| (*index, TaskState::default());
+        let tasks = batch.tasks.iter().map(unstarted).collect();
+        self.add_assignment(entry, batch, tasks, false, now);
     }
 
-    fn load(
+    fn add_assignment(
         &mut self,
         entry: &Contact,
         batch: Batch,
-        tasks: BTreeMap<u32, Progress>,
+        tasks: BTreeMap<u32, TaskState>,
         started: bool,
         now: Time,
     ) -> Handle {
-        self.handles += 1;
-        let handle = Handle(self.handles);
+        self.last_handle += 1;
+        let handle = Handle(self.last_handle);
         let key = (entry.name.clone(), batch.serial);
         self.by_entry.insert(key, handle);
-        let load = Load {
+        let assignment = Assignment {
             entry: entry.clone(),
             due: batch.slack.map_or(now, |slack| now + slack),
-            useful: now + batch.useful,
-            until: now + batch.left,
+            useful_until: now + batch.useful,
+            deadline: now + batch.left,
             batch,
             tasks,
             done: Vec::new(),
             started,
         };
-        for index in load.tasks.keys() {
-            self.enqueue(handle, &load, *index, now);
+        for index in assignment.tasks.keys() {
+            self.enqueue(handle, &assignment, *index, now);
         }
-        self.loads.insert(handle, load);
+        self.assignments.insert(handle, assignment);
         handle
     }
 
-    fn enqueue(&mut self, batch: Handle, load: &Load, index: u32, now: Time) {
-        if let Some(rack) = self.racks.get_mut(&load.batch.rack) {
+    fn enqueue(&mut self, batch: Handle, assignment: &Assignment, index: u32, now: Time) {
+        if let Some(rack) = self.racks.get_mut(&assignment.batch.rack) {
             let waiting = Waiting { batch, index };
-            let claim = Claim {
-                due: load.due,
-                priority: load.batch.priority,
-                job: load.batch.work,
-                work: load.batch.need.cpu * load.batch.estimate.as_millis() / 1_000,
+            let rank = Rank {
+                due: assignment.due,
+                priority: assignment.batch.priority,
+                job: assignment.batch.work,
+                work: assignment.batch.need.cpu * assignment.batch.estimate.as_millis() / 1_000,
             };
-            rack.queue.push(waiting, claim, now);
-            rack.changed = true;
+            rack.queue.push(waiting, rank, now);
+            rack.room_changed = true;
             rack.review_now();
         }
     }
 
-    /// Drops a batch as its entry asked, and tells whether a start of it ever left.
+    /// Cancels a batch for its entry, and reports whether any start of it was sent.
     ///
-    /// One that has been handed over, or is still on its way here with its rack, says nothing of what was started of it:
-    /// told "none", its entry told the caller that nothing was run. It is dropped when it comes.
+    /// A batch that was handed over, or is still in transit with its rack, is reported as unknown rather than as
+    /// not started: its entry would otherwise tell the caller that nothing ran. A batch that arrives after its
+    /// cancellation is dropped.
     pub fn cancel(&mut self, entry: &Contact, serial: u64, now: Time, out: &mut Effects) {
         let key = (entry.name.clone(), serial);
         let Some(handle) = self.by_entry.get(&key).copied() else {
             self.given_up.add(key, now);
-            return out.tell(entry, Message::Unknown(vec![serial]));
+            return out.send(entry, Message::Unknown(vec![serial]));
         };
-        let started = self.drop_load(handle, out);
+        let started = self.drop_assignment(handle, out);
         let message = Message::Report {
             serial,
             outcome: Outcome::Dropped,
             done: Vec::new(),
             started,
         };
-        out.tell(entry, message);
+        out.send(entry, message);
     }
 
-    /// Takes note that an entry is heard.
+    /// Marks an entry as live, so that its tasks may start.
     pub fn mark_entry_alive(&mut self, entry: &Instance) {
-        if !self.present.contains(entry) {
-            self.present.insert(entry.clone());
-            self.gone.remove(entry);
+        if !self.live_entries.contains(entry) {
+            self.live_entries.insert(entry.clone());
+            self.lost_entries.remove(entry);
             self.racks.values_mut().for_each(Rack::review_now);
         }
     }
 
-    /// Stops all that an instance had here, which is gone or has begun anew.
+    /// Drops all batches of an entry that is lost or has restarted.
     pub fn drop_entry(&mut self, entry: &Instance, out: &mut Effects) {
-        if self.present.remove(entry) {
-            self.gone.insert(entry.clone());
+        if self.live_entries.remove(entry) {
+            self.lost_entries.insert(entry.clone());
         }
-        let of = |(handle, load): (&Handle, &Load)| (load.entry.name == *entry).then_some(*handle);
-        let mut handles: Vec<Handle> = self.loads.iter().filter_map(of).collect();
+        let of = |(handle, assignment): (&Handle, &Assignment)| {
+            (assignment.entry.name == *entry).then_some(*handle)
+        };
+        let mut handles: Vec<Handle> = self.assignments.iter().filter_map(of).collect();
         handles.sort_unstable();
         for handle in handles {
-            let job = self.loads[&handle].batch.job;
+            let job = self.assignments[&handle].batch.job;
             let record = Record::new("batch_abandoned").job(job);
             out.log(record.with("entry", entry.as_str()));
-            self.drop_load(handle, out);
+            self.drop_assignment(handle, out);
         }
     }
 
-    /// Drops a batch's tasks and stops its runs; returns whether a start ever left.
-    fn drop_load(&mut self, handle: Handle, out: &mut Effects) -> bool {
-        let Some(load) = self.remove_load(handle) else {
+    /// Drops a batch and stops its runs. Returns whether any start of it was sent.
+    fn drop_assignment(&mut self, handle: Handle, out: &mut Effects) -> bool {
+        let Some(assignment) = self.remove_assignment(handle) else {
             return false;
         };
-        for index in load.tasks.keys() {
-            let task = load.task(*index);
-            self.stop(task, handle, Fate::Drop, out);
+        for index in assignment.tasks.keys() {
+            let task = assignment.task_id(*index);
+            self.stop_run(task, handle, Fate::Drop, out);
         }
-        load.started
+        assignment.started
     }
 
-    fn stop(&mut self, task: TaskId, handle: Handle, fate: Fate, out: &mut Effects) {
-        let Some(id) = self.busy.get(&task).cloned() else {
+    fn stop_run(&mut self, task: TaskId, handle: Handle, fate: Fate, out: &mut Effects) {
+        let Some(id) = self.run_locations.get(&task).cloned() else {
             return;
         };
         let Some(state) = self.endpoints.get_mut(&id) else {
@@ -521,34 +532,34 @@
                 return;
             };
             let purpose = Purpose::Stop(task.clone(), *run);
-            self.call(&id, order, purpose, false, out);
+            self.call_endpoint(&id, order, purpose, false, out);
         }
     }
 
-    fn call(
+    fn call_endpoint(
         &mut self,
         id: &Endpoint,
         order: Order,
         purpose: Purpose,
-        fresh: bool,
+        new_connection: bool,
         out: &mut Effects,
     ) {
-        let call = self.next_call();
-        self.send(call, id, order, purpose, fresh, out);
+        let call = self.next_call_id();
+        self.send_call(call, id, order, purpose, new_connection, out);
     }
 
-    fn next_call(&mut self) -> CallId {
-        self.serial += 1;
-        CallId(self.serial)
+    fn next_call_id(&mut self) -> CallId {
+        self.last_call += 1;
+        CallId(self.last_call)
     }
 
-    fn send(
+    fn send_call(
         &mut self,
         call: CallId,
         id: &Endpoint,
         order: Order,
         purpose: Purpose,
-        fresh: bool,
+        new_connection: bool,
         out: &mut Effects,
     ) {
         let Some(state) = self.endpoints.get(id) else {
@@ -558,36 +569,36 @@
             Order::Look { wait, .. } => *wait,
             _ => Span(0),
         };
-        let patience = wait + self.call_timeout.timeout();
-        self.calls.insert(call, (id.clone(), purpose));
+        let timeout = wait + self.call_timeout.timeout();
+        self.pending_calls.insert(call, (id.clone(), purpose));
         out.outputs.push(Output::Call {
             call,
             endpoint: id.clone(),
             address: state.listing.address.clone(),
             order,
-            patience,
-            fresh,
+            patience: timeout,
+            fresh: new_connection,
         });
     }
 
     fn finish(&mut self, handle: Handle, outcome: Outcome, out: &mut Effects) {
-        let told = self.loads.get(&handle).map(|load| {
-            let serial = load.batch.serial;
-            (load.entry.clone(), serial, load.done.clone())
+        let report = self.assignments.get(&handle).map(|assignment| {
+            let serial = assignment.batch.serial;
+            (assignment.entry.clone(), serial, assignment.done.clone())
         });
-        let started = self.drop_load(handle, out);
-        if let Some((entry, serial, done)) = told {
+        let started = self.drop_assignment(handle, out);
+        if let Some((entry, serial, done)) = report {
             let message = Message::Report {
                 serial,
                 outcome,
                 done,
                 started,
             };
-            out.tell(&entry, message);
+            out.send(&entry, message);
         }
     }
 
-    /// Answers which batches of an entry are not here.
+    /// Reports to an entry which of the given batches are not here.
     pub fn report_unknown_batches(&self, entry: &Contact, serials: Vec<u64>, out: &mut Effects) {
         let unknown = |serial: &u64| {
             let key = (entry.name.clone(), *serial);
@@ -595,14 +606,14 @@
         };
         let unknown: Vec<u64> = serials.into_iter().filter(unknown).collect();
         if !unknown.is_empty() {
-            out.tell(entry, Message::Unknown(unknown));
+            out.send(entry, Message::Unknown(unknown));
         }
     }
 }
 
-impl Load {
-    /// Tells its entry that it isn't run here any more, and what of it has ended: that would be run again.
-    fn send_back(&self, out: &mut Effects) {
+impl Assignment {
+    /// Returns the unfinished tasks to the entry, and reports those that are done, so that they don't run again.
+    fn return_to_entry(&self, out: &mut Effects) {
         let serial = self.batch.serial;
         let message = Message::Returned {
             serial,
@@ -610,7 +621,7 @@
             started: self.started,
             cause: Cause::Lost,
         };
-        out.tell(&self.entry, message);
+        out.send(&self.entry, message);
         if !self.done.is_empty() {
             let message = Message::Report {
                 serial,
@@ -618,11 +629,11 @@
                 done: self.done.clone(),
                 started: true,
             };
-            out.tell(&self.entry, message);
+            out.send(&self.entry, message);
         }
     }
 
-    fn task(&self, index: u32) -> TaskId {
+    fn task_id(&self, index: u32) -> TaskId {
         TaskId {
             job: self.batch.job,
             step: self.batch.step,
@@ -630,17 +641,17 @@
         }
     }
 
-    /// Returns what is known of endpoints that crashed, or may have, under a task.
+    /// Returns the evidence that a task crashes endpoints.
     fn suspicion(&self, index: u32) -> Suspicion {
-        let progress = self.tasks.get(&index);
-        progress.map_or_else(Suspicion::default, |progress| progress.suspicion)
+        let task_state = self.tasks.get(&index);
+        task_state.map_or_else(Suspicion::default, |task_state| task_state.suspicion)
     }
 
-    fn held(self, now: Time) -> Held {
+    fn into_held(self, now: Time) -> Held {
         let mut batch = self.batch;
         batch.slack = (self.due > now).then(|| self.due.since(now));
-        batch.useful = self.useful.since(now);
-        batch.left = self.until.since(now);
+        batch.useful = self.useful_until.since(now);
+        batch.left = self.deadline.since(now);
         batch.tasks = self.tasks.keys().copied().collect();
         Held {
             entry: self.entry,
--- a/src/dispatch/owner/answer.rs
+++ b/src/dispatch/owner/answer.rs
@@ -1,4 +1,4 @@
-//! What answers of endpoints, and their absence, mean for tasks.
+//! Handling of endpoints' answers to calls, and of calls without an answer.
 
 use super::{
     super::{
@@ -6,10 +6,10 @@
             Event,
             Fate,
             Phase,
-            Refused,
+            Reaction,
             Standing,
             State,
-            START_TRIES, //
+            MAX_START_SENDS, //
         },
         id::{
             Run,
@@ -35,7 +35,7 @@
 use crate::prelude::*;
 
 impl Owner {
-    /// Takes the answer of an endpoint, or its absence.
+    /// Handles the reply to a call, or its failure. Replies to unknown calls are ignored.
     pub fn on_reply(
         &mut self,
         call: CallId,
@@ -44,11 +44,11 @@
         now: Time,
         out: &mut Effects,
     ) {
-        let Some((id, purpose)) = self.calls.remove(&call) else {
+        let Some((id, purpose)) = self.pending_calls.remove(&call) else {
             return;
         };
         if let Purpose::Probe(rack) = purpose {
-            return self.probed(rack, call, &reply);
+            return self.on_probe_reply(rack, call, &reply);
         }
         self.review_rack_of(&id);
         let Some(state) = self.endpoints.get_mut(&id) else {
@@ -56,50 +56,51 @@
         };
         match &reply {
             Reply::Done { clock } | Reply::Refused { clock, .. } => {
-                state.answered(*clock, sent, now);
+                state.on_answer(*clock, sent, now);
             }
             Reply::Looked(_) => {}
             _ => {
                 if reply == Reply::Silent {
                     self.call_timeout.record_timeout();
                 }
-                return self.unanswered(call, &id, purpose, reply, now, out);
+                return self.on_unanswered(call, &id, purpose, reply, now, out);
             }
         }
-        if purpose != Purpose::Look {
+        if purpose != Purpose::Poll {
             self.call_timeout.record(now.since(sent));
         }
         let events = match (purpose, reply) {
-            (Purpose::Look, Reply::Looked(lists)) => {
-                let (events, unknown) = state.looked(call, sent, lists, now);
+            (Purpose::Poll, Reply::Looked(lists)) => {
+                let (events, unknown) = state.on_poll_answer(call, sent, lists, now);
                 for (task, run) in unknown {
                     self.stop_unknown(&id, task, run, out);
                 }
                 events
             }
-            (Purpose::Look, Reply::Refused { refusal, .. }) => {
-                state.unlooked(call, now);
+            (Purpose::Poll, Reply::Refused { refusal, .. }) => {
+                state.on_poll_refused(call, now);
                 fenced(refusal)
             }
             (Purpose::Start(task, run), Reply::Refused { refusal, .. }) => {
-                return self.start_refused(&id, task, run, refusal, now, out);
+                return self.on_start_refused(&id, task, run, refusal, now, out);
             }
             (Purpose::Start(task, run), _) => {
-                state.started(&task, run, now);
+                state.on_started(&task, run, now);
                 Vec::new()
             }
             (Purpose::Stop(_, _), Reply::Refused { refusal, .. }) if refusal == Refusal::Fenced => {
                 fenced(refusal)
             }
             (Purpose::Stop(Name::Known(task), run), _) => {
-                state.stopped(&task, run, now);
+                state.on_stopped(&task, run, now);
                 Vec::new()
             }
             _ => Vec::new(),
         };
-        self.act(&id, events, now, out);
+        self.handle_events(&id, events, now, out);
     }
 
+    /// Stops a run that this owner doesn't know: a former owner left it.
     pub(super) fn stop_unknown(&mut self, id: &Endpoint, task: Name, run: Run, out: &mut Effects) {
         let Some(state) = self.endpoints.get(id) else {
             return;
@@ -110,11 +111,11 @@
         };
         let record = Record::new("unknown_run_stopped").with("endpoint", id.as_str());
         out.log(record.with("task", name).with("run", run.0));
-        let order = state.stop_again(task.clone(), run);
-        self.call(id, order, Purpose::Stop(task, run), false, out);
+        let order = state.stop_order(task.clone(), run);
+        self.call_endpoint(id, order, Purpose::Stop(task, run), false, out);
     }
 
-    pub(super) fn start_refused(
+    pub(super) fn on_start_refused(
         &mut self,
         id: &Endpoint,
         task: TaskId,
@@ -129,24 +130,24 @@
         let record = Record::new("start_refused").job(task.job);
         let record = record.with("endpoint", id.as_str());
         out.log(record.with("reason", format!("{refusal:?}")));
-        match state.refused(task, run, refusal, now) {
-            Refused::Nothing => {}
-            Refused::Stop => {
+        match state.on_start_refused(task, run, refusal, now) {
+            Reaction::Ignore => {}
+            Reaction::Stop => {
                 let handle = state.executions.get(&task).map(|execution| execution.batch);
                 if let Some(handle) = handle {
-                    self.stop(task, handle, Fate::Again, out);
+                    self.stop_run(task, handle, Fate::Restart, out);
                 }
             }
-            Refused::Again(handle, next) => {
-                self.busy.remove(&task);
-                self.again(task, handle, next, now);
+            Reaction::Requeue(handle, next) => {
+                self.run_locations.remove(&task);
+                self.requeue(task, handle, next, now);
             }
-            Refused::Fenced => self.act(id, vec![Event::Fenced], now, out),
+            Reaction::Yield => self.handle_events(id, vec![Event::Fenced], now, out),
         }
     }
 
-    /// Deals with a call that has no proper answer.
-    pub(super) fn unanswered(
+    /// Handles a call that failed, timed out or got a malformed answer.
+    pub(super) fn on_unanswered(
         &mut self,
         call: CallId,
         id: &Endpoint,
@@ -159,28 +160,28 @@
             return;
         };
         if reply == Reply::Reborn {
-            return self.act(id, vec![Event::Reborn], now, out);
+            return self.handle_events(id, vec![Event::Replaced], now, out);
         }
         if reply != Reply::Unwell {
-            state.unanswered(&reply);
+            state.on_unanswered(&reply);
         }
         if let Reply::Malformed(fault) = &reply {
             let record = Record::new("endpoint_malformed").with("endpoint", id.as_str());
             out.log(record.with("fault", fault.clone()));
         }
         match purpose {
-            Purpose::Look => {
+            Purpose::Poll => {
                 if state.standing == Standing::Open {
                     let record = Record::new("endpoint_silent").with("endpoint", id.as_str());
                     out.log(record.with("reply", format!("{reply:?}")));
                 }
                 match reply {
-                    Reply::Unwell | Reply::Malformed(_) => state.unlooked(call, now),
-                    _ => state.silent(call, now),
+                    Reply::Unwell | Reply::Malformed(_) => state.on_poll_refused(call, now),
+                    _ => state.on_poll_unanswered(call, now),
                 }
-                self.touch(id);
+                self.mark_changed(id);
             }
-            Purpose::Start(task, run) => self.start_unanswered(id, task, run, reply, now, out),
+            Purpose::Start(task, run) => self.on_start_unanswered(id, task, run, reply, now, out),
             Purpose::Stop(Name::Known(task), run) => {
                 let Some(execution) = state.executions.get_mut(&task) else {
                     return;
@@ -188,19 +189,21 @@
                 if execution.run != run {
                     return;
                 }
-                // A stop must arrive: it is sent again until the endpoint answers or its leases have passed.
-                execution.tries = execution.tries.saturating_add(1);
-                match execution.tries {
-                    1 => self.send_again(id, task, now, out),
-                    _ => state.retry(task, now),
+                // A stop is sent until the endpoint answers or its leases have expired.
+                execution.sends = execution.sends.saturating_add(1);
+                match execution.sends {
+                    1 => self.resend(id, task, now, out),
+                    _ => state.schedule_retry(task, now),
                 }
             }
-            // The next look shows an unknown run that is still there.
+            // The next poll lists an unknown run that is still there.
             Purpose::Stop(Name::Foreign(_), _) | Purpose::Probe(_) => {}
         }
     }
 
-    pub(super) fn start_unanswered(
+    /// Resends a start without an answer. After too many sends the run is stopped, so that no late copy of the start can
+    /// take effect, and its task is queued again.
+    pub(super) fn on_start_unanswered(
         &mut self,
         id: &Endpoint,
         task: TaskId,
@@ -219,31 +222,36 @@
             return;
         }
         let nothing_done = matches!(reply, Reply::Unwell | Reply::Unsent);
-        execution.doubt |= !nothing_done;
-        execution.tries += 1;
-        let (handle, doubt, tries) = (execution.batch, execution.doubt, execution.tries);
+        execution.duplicate_possible |= !nothing_done;
+        execution.sends += 1;
+        let (handle, duplicate_possible, sends) = (
+            execution.batch,
+            execution.duplicate_possible,
+            execution.sends,
+        );
         let record = Record::new("start_unanswered").job(task.job);
         let record = record
             .with("endpoint", id.as_str())
-            .with("tries", u32::from(tries));
+            .with("tries", u32::from(sends));
         out.log(record.with("reply", format!("{reply:?}")));
-        if nothing_done && !doubt {
-            state.unwell(now);
+        if nothing_done && !duplicate_possible {
+            state.on_unwell(now);
             let mut events = Vec::new();
-            state.lose(task, &mut events);
-            return self.act(id, events, now, out);
+            state.remove_lost(task, &mut events);
+            return self.handle_events(id, events, now, out);
         }
-        match tries {
-            // The first may have found its connection gone.
-            ..=2 => self.send_again(id, task, now, out),
-            3..=START_TRIES => state.retry(task, now),
-            _ => self.stop(task, handle, Fate::Again, out),
+        match sends {
+            // The first send may have used a broken connection.
+            ..=2 => self.resend(id, task, now, out),
+            3..=MAX_START_SENDS => state.schedule_retry(task, now),
+            _ => self.stop_run(task, handle, Fate::Restart, out),
         }
     }
 
-    pub(super) fn touch(&mut self, id: &Endpoint) {
+    /// Marks the room of an endpoint's rack as changed, and requests a review of its queue.
+    pub(super) fn mark_changed(&mut self, id: &Endpoint) {
         if let Some(rack) = self.rack_of(id) {
-            rack.changed = true;
+            rack.room_changed = true;
             rack.review_now();
         }
     }
@@ -259,31 +267,38 @@
         self.racks.get_mut(&state.listing.rack_id())
     }
 
-    pub(super) fn act(&mut self, id: &Endpoint, events: Vec<Event>, now: Time, out: &mut Effects) {
+    /// Handles the events of an endpoint.
+    pub(super) fn handle_events(
+        &mut self,
+        id: &Endpoint,
+        events: Vec<Event>,
+        now: Time,
+        out: &mut Effects,
+    ) {
         if !events.is_empty() {
-            self.touch(id);
+            self.mark_changed(id);
         }
         for event in events {
             match event {
                 Event::Done(task, handle, run, serial) => {
-                    self.busy.remove(&task);
+                    self.run_locations.remove(&task);
                     let record = Record::routine("task_done").job(task.job);
                     let record = record.with("task", task.to_string()).with("run", run.0);
                     let record = record.with("endpoint", id.as_str());
                     out.log(record.with("end", serial));
-                    self.done(task, handle, out);
+                    self.on_task_done(task, handle, out);
                 }
                 Event::Failed(task, handle) => {
-                    self.busy.remove(&task);
+                    self.run_locations.remove(&task);
                     let record = Record::new("task_failed").job(task.job);
                     let record = record.with("task", task.to_string());
                     out.log(record.with("endpoint", id.as_str()));
-                    self.failed(id, task, handle, now, out);
+                    self.on_task_failed(id, task, handle, now, out);
                 }
-                Event::Gone(task, handle, next) => {
-                    self.busy.remove(&task);
-                    self.log_gone(id, task, out);
-                    self.again(task, handle, next, now);
+                Event::Lost(task, handle, next) => {
+                    self.run_locations.remove(&task);
+                    self.log_lost(id, task, out);
+                    self.requeue(task, handle, next, now);
                 }
                 Event::Ended {
                     task,
@@ -302,24 +317,24 @@
                         done,
                         batch: None,
                     };
-                    self.ended(end, batch, out);
+                    self.on_run_ended(end, batch, out);
                 }
-                Event::Lapsed(task, handle, next) => {
-                    self.busy.remove(&task);
-                    self.log_gone(id, task, out);
+                Event::Expired(task, handle, next) => {
+                    self.run_locations.remove(&task);
+                    self.log_lost(id, task, out);
                     let state = self.endpoints.get(id);
-                    let refused = state.is_some_and(|state| state.refuses);
-                    self.lapsed((task, handle, next), refused, now);
+                    let refused = state.is_some_and(|state| state.refuses_connections);
+                    self.on_run_expired((task, handle, next), refused, now);
                 }
                 Event::Crashed(crash, next) => {
-                    self.busy.remove(&crash.task);
-                    self.crashed(id, crash, next, now, out);
+                    self.run_locations.remove(&crash.task);
+                    self.on_crash(id, crash, next, now, out);
                 }
-                Event::Convicted(crash) => self.convict(id, crash, true, now, out),
-                Event::Acquitted(task, handle) => self.acquit(task, handle, now),
-                Event::Still(task, handle) => self.restart(id, task, handle, now, out),
-                Event::Cleared(task) => {
-                    self.busy.remove(&task);
+                Event::CrashConfirmed(crash) => self.confirm_crash(id, crash, true, now, out),
+                Event::CrashRuledOut(task, handle) => self.rule_out_crash(task, handle, now),
+                Event::Stalled(task, handle) => self.restart_stalled(id, task, handle, now, out),
+                Event::Discarded(task) => {
+                    self.run_locations.remove(&task);
                 }
                 Event::Fenced => {
                     let state = self.endpoints.get(id);
@@ -328,21 +343,22 @@
                         self.yield_rack(rack, "fenced", out);
                     }
                 }
-                Event::Reborn => self.reborn(id, now, out),
+                Event::Replaced => self.on_replaced(id, now, out),
             }
         }
     }
 
-    fn log_gone(&self, id: &Endpoint, task: TaskId, out: &mut Effects) {
+    fn log_lost(&self, id: &Endpoint, task: TaskId, out: &mut Effects) {
         let record = Record::new("run_gone").job(task.job);
         let record = record.with("task", task.to_string());
         out.log(record.with("endpoint", id.as_str()));
     }
 
-    /// Takes a task from an endpoint where it stands still, and lets the endpoint rest if nothing there comes along.
+    /// Restarts a stalled task on another endpoint, and ejects the endpoint if none of its runs makes progress.
     ///
-    /// Left there, the run kept its room until its caller's time had passed, and its endpoint got more.
-    fn restart(
+    /// Without this a stalled run would hold its room until its caller's deadline, while its endpoint gets more
+    /// tasks.
+    fn restart_stalled(
         &mut self,
         id: &Endpoint,
         task: TaskId,
@@ -350,46 +366,48 @@
         now: Time,
         out: &mut Effects,
     ) {
-        let load = self.loads.get_mut(&handle);
-        let progress = load.and_then(|load| load.tasks.get_mut(&task.index));
-        let Some(progress) = progress.filter(|progress| progress.restarts < MAX_RESTARTS) else {
+        let assignment = self.assignments.get_mut(&handle);
+        let task_state = assignment.and_then(|assignment| assignment.tasks.get_mut(&task.index));
+        let Some(task_state) = task_state.filter(|task_state| task_state.restarts < MAX_RESTARTS)
+        else {
             return;
         };
-        progress.restarts += 1;
+        task_state.restarts += 1;
         let record = Record::new("run_still").job(task.job);
         let record = record.with("task", task.to_string());
         out.log(record.with("endpoint", id.as_str()));
         if let Some(state) = self.endpoints.get_mut(id) {
-            if state.stands_still(&task, now) {
-                state.rest(now);
+            if state.is_stalled(&task, now) {
+                state.eject(now);
             }
         }
-        self.stop(task, handle, Fate::Again, out);
+        self.stop_run(task, handle, Fate::Restart, out);
     }
 
-    pub(super) fn reborn(&mut self, id: &Endpoint, now: Time, out: &mut Effects) {
+    /// Handles another endpoint at the address: the former one is removed, and its runs are lost.
+    pub(super) fn on_replaced(&mut self, id: &Endpoint, now: Time, out: &mut Effects) {
         let state = self.endpoints.get_mut(id);
-        let events = state.map(State::replaced).unwrap_or_default();
-        self.act(id, events, now, out);
+        let events = state.map(State::on_replaced).unwrap_or_default();
+        self.handle_events(id, events, now, out);
         if let Some(state) = self.endpoints.get_mut(id) {
             state.delisted = true;
         }
-        self.drop_endpoint(id, out);
+        self.remove_endpoint(id, out);
     }
 
-    pub(super) fn done(&mut self, task: TaskId, handle: Handle, out: &mut Effects) {
-        let Some(load) = self.loads.get_mut(&handle) else {
+    pub(super) fn on_task_done(&mut self, task: TaskId, handle: Handle, out: &mut Effects) {
+        let Some(assignment) = self.assignments.get_mut(&handle) else {
             return;
         };
-        if load.tasks.remove(&task.index).is_some() {
-            load.done.push(task.index);
+        if assignment.tasks.remove(&task.index).is_some() {
+            assignment.done.push(task.index);
         }
-        if load.tasks.is_empty() {
+        if assignment.tasks.is_empty() {
             self.finish(handle, Outcome::Done, out);
         }
     }
 
-    pub(super) fn failed(
+    pub(super) fn on_task_failed(
         &mut self,
         id: &Endpoint,
         task: TaskId,
@@ -397,31 +415,31 @@
         now: Time,
         out: &mut Effects,
     ) {
-        let Some(load) = self.loads.get_mut(&handle) else {
+        let Some(assignment) = self.assignments.get_mut(&handle) else {
             return;
         };
-        let Some(progress) = load.tasks.get_mut(&task.index) else {
+        let Some(task_state) = assignment.tasks.get_mut(&task.index) else {
             return;
         };
-        progress.failures += 1;
-        progress.failed_on = Some(id.clone());
-        if progress.failures >= load.batch.attempts {
+        task_state.failures += 1;
+        task_state.failed_on = Some(id.clone());
+        if task_state.failures >= assignment.batch.attempts {
             return self.finish(handle, Outcome::Failed, out);
         }
-        let next = progress.next;
-        self.again(task, handle, next, now);
+        let next = task_state.next;
+        self.requeue(task, handle, next, now);
     }
 
-    /// Lets a task wait for its next run.
-    pub(super) fn again(&mut self, task: TaskId, handle: Handle, next: Run, now: Time) {
-        let Some(mut load) = self.loads.remove(&handle) else {
+    /// Queues a task again; its next run is numbered `next` at least.
+    pub(super) fn requeue(&mut self, task: TaskId, handle: Handle, next: Run, now: Time) {
+        let Some(mut assignment) = self.assignments.remove(&handle) else {
             return;
         };
-        if let Some(progress) = load.tasks.get_mut(&task.index) {
-            progress.next = progress.next.max(next);
-            self.enqueue(handle, &load, task.index, now);
+        if let Some(task_state) = assignment.tasks.get_mut(&task.index) {
+            task_state.next = task_state.next.max(next);
+            self.enqueue(handle, &assignment, task.index, now);
         }
-        self.loads.insert(handle, load);
+        self.assignments.insert(handle, assignment);
     }
 }
 
--- a/src/dispatch/owner/ends.rs
+++ b/src/dispatch/owner/ends.rs
@@ -1,4 +1,4 @@
-//! Ends of runs that endpoints must not forget before they are stored.
+//! Ends of runs that endpoints must keep until they are stored.
 
 use super::{
     super::{
@@ -14,17 +14,23 @@
 };
 use crate::prelude::*;
 
-/// After which an end that isn't stored is reported again: its shard may have another coordinator by then.
-const AGAIN: Span = Span::millis(500);
+/// Time after which an end that isn't stored is reported again, as its shard may have another coordinator.
+const REPORT_INTERVAL: Span = Span::millis(500);
 
 impl Owner {
-    /// Takes note of an end that has to be stored, if its job is.
-    pub(super) fn ended(&mut self, mut end: RunEnd, batch: Option<Handle>, out: &mut Effects) {
+    /// Records an end that must be stored if its job is, and removes the task from its batch.
+    pub(super) fn on_run_ended(
+        &mut self,
+        mut end: RunEnd,
+        batch: Option<Handle>,
+        out: &mut Effects,
+    ) {
         let task = end.task;
-        let load = batch.and_then(|handle| self.loads.get(&handle));
-        end.batch = load.map(|load| (load.entry.name.clone(), load.batch.serial));
+        let assignment = batch.and_then(|handle| self.assignments.get(&handle));
+        end.batch =
+            assignment.map(|assignment| (assignment.entry.name.clone(), assignment.batch.serial));
         if batch.is_some() {
-            self.busy.remove(&task);
+            self.run_locations.remove(&task);
         }
         if !end.done {
             let record = Record::new("task_failed").job(task.job);
@@ -32,21 +38,23 @@
             out.log(record.with("endpoint", end.endpoint.as_str()));
         }
         let key = (end.endpoint.clone(), end.life, end.serial);
-        self.ends.insert(key, (end, None));
-        let load = batch.and_then(|handle| Some((handle, self.loads.get_mut(&handle)?)));
-        if let Some((handle, load)) = load {
-            load.tasks.remove(&task.index);
-            if load.tasks.is_empty() {
-                self.remove_load(handle);
+        self.unstored_ends.insert(key, (end, None));
+        let assignment =
+            batch.and_then(|handle| Some((handle, self.assignments.get_mut(&handle)?)));
+        if let Some((handle, assignment)) = assignment {
+            assignment.tasks.remove(&task.index);
+            if assignment.tasks.is_empty() {
+                self.remove_assignment(handle);
             }
         }
     }
 
-    /// Returns the ends to report: new ones, and those that were reported long ago.
+    /// Returns the ends that are due to be reported, and marks them as reported now: new ones, and those whose
+    /// last report is too old.
     pub fn take_ends_to_report(&mut self, now: Time) -> Vec<RunEnd> {
         let mut due = Vec::new();
-        for (end, at) in self.ends.values_mut() {
-            if at.is_none_or(|at| now.since(at) >= AGAIN) {
+        for (end, at) in self.unstored_ends.values_mut() {
+            if at.is_none_or(|at| now.since(at) >= REPORT_INTERVAL) {
                 *at = Some(now);
                 due.push(end.clone());
             }
@@ -54,7 +62,8 @@
         due
     }
 
-    /// Takes note that an end is stored, or needn't be; a `late` one is forgotten when the endpoint's lease has passed.
+    /// Lets an endpoint forget an end that is stored or needn't be. A `late` end is forgotten only after the
+    /// endpoint's lease has expired.
     pub fn on_end_stored(
         &mut self,
         endpoint: &Endpoint,
@@ -63,11 +72,11 @@
         late: bool,
         now: Time,
     ) {
-        self.ends.remove(&(endpoint.clone(), life, serial));
+        self.unstored_ends.remove(&(endpoint.clone(), life, serial));
         if let Some(state) = self.endpoints.get_mut(endpoint) {
             match late {
-                true => state.noted_late(life, serial),
-                false => state.noted(life, serial, now),
+                true => state.on_late_end_stored(life, serial),
+                false => state.on_end_stored(life, serial, now),
             }
         }
     }
--- a/src/dispatch/owner/given_up.rs
+++ b/src/dispatch/owner/given_up.rs
@@ -1,4 +1,4 @@
-//! Batches that their entries gave up, and which may still come with a rack.
+//! Batches that their entries cancelled, and that may still arrive with a rack.
 
 use std::collections::{
     HashSet,
@@ -7,13 +7,13 @@
 
 use crate::prelude::*;
 
-/// How long a handover may be on its way, behind a connection that broke: some attempts to send it anew.
-const HANDOVER: Span = Span::seconds(3);
+/// The longest time that a handover may be in transit, including retries over new connections.
+const MAX_HANDOVER: Span = Span::seconds(3);
 
-/// A batch by its entry and its number.
+/// A batch, by its entry and its serial number.
 pub(super) type Key = (Instance, u64);
 
-/// Batches that were given up lately, the first one in front.
+/// Recently cancelled batches, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct GivenUp {
     order: VecDeque<(Time, Key)>,
@@ -21,12 +21,12 @@
 }
 
 impl GivenUp {
-    /// Takes note of a batch, and forgets those of long ago.
+    /// Adds a batch, and removes those that are too old to arrive.
     pub(super) fn add(&mut self, key: Key, now: Time) {
         while self
             .order
             .front()
-            .is_some_and(|(at, _)| now.since(*at) >= HANDOVER)
+            .is_some_and(|(at, _)| now.since(*at) >= MAX_HANDOVER)
         {
             if let Some((_, old)) = self.order.pop_front() {
                 self.known.remove(&old);
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Tells whether a batch was given up.
+    /// Returns whether a batch was cancelled recently.
     pub(super) fn contains(&self, key: &Key) -> bool {
         self.known.contains(key)
     }
--- a/src/dispatch/owner/handover.rs
+++ b/src/dispatch/owner/handover.rs
@@ -1,4 +1,4 @@
-//! Racks that change their owner with all that waits and runs there.
+//! Handover of racks between owners, with their queued and running tasks.
 
 use super::{
     super::{
@@ -25,12 +25,13 @@
     given_up::Key,
     Effects,
     Owner,
-    Progress, //
+    TaskState, //
 };
 use crate::prelude::*;
 
 impl Owner {
-    /// Takes a rack out to give it to its next owner, with all that waits and runs there.
+    /// Removes a rack and returns it for its next owner, with its queued and running tasks. Returns `None` if the
+    /// rack isn't owned here.
     pub fn hand_over(
         &mut self,
         rack: RackId,
@@ -46,50 +47,53 @@
                 continue;
             };
             for (task, execution) in &state.executions {
-                // A run that nobody wants any more is an unknown run to the next owner, who stops it too.
-                let Some(load) = self.loads.get(&execution.batch) else {
+                // The next owner finds an unwanted run by polling, and stops it as unknown.
+                let Some(assignment) = self.assignments.get(&execution.batch) else {
                     continue;
                 };
                 runs.push(Transferred {
                     endpoint: id.clone(),
                     task: *task,
                     run: execution.run,
-                    entry: load.entry.name.clone(),
-                    serial: load.batch.serial,
+                    entry: assignment.entry.name.clone(),
+                    serial: assignment.batch.serial,
                     stopping: execution.phase == Phase::Stopping,
                 });
             }
         }
         let mut batches = Vec::new();
-        for handle in self.loads_of(rack) {
-            let Some(mut load) = self.remove_load(handle) else {
+        for handle in self.assignments_of(rack) {
+            let Some(mut assignment) = self.remove_assignment(handle) else {
                 continue;
             };
-            load.batch.moves += 1;
+            assignment.batch.moves += 1;
             let message = Message::Moved {
-                serial: load.batch.serial,
+                serial: assignment.batch.serial,
                 to: to.name.clone(),
-                moves: load.batch.moves,
+                moves: assignment.batch.moves,
             };
-            out.tell(&load.entry, message);
-            batches.push(load);
+            out.send(&assignment.entry, message);
+            batches.push(assignment);
         }
         self.racks.remove(&rack);
-        self.claims += 1;
+        self.rack_changes += 1;
         for id in &ids {
-            self.forget(id);
+            self.remove_endpoint_state(id);
         }
         let record = Record::new("rack_handed_over").with("rack", rack.to_string());
         out.log(record.with("to", to.name.as_str()));
         Some(Handover {
             rack,
             token,
-            batches: batches.into_iter().map(|load| load.held(now)).collect(),
+            batches: batches
+                .into_iter()
+                .map(|assignment| assignment.into_held(now))
+                .collect(),
             runs,
         })
     }
 
-    /// Takes a rack over from its former owner.
+    /// Takes over a rack from its former owner.
     pub fn take_over(
         &mut self,
         handover: Handover,
@@ -104,21 +108,21 @@
         for held in handover.batches {
             let numbers = held.next.iter().zip(&held.failures);
             let numbers = numbers.zip(&held.suspicions);
-            let progress = numbers.map(|((next, failures), suspicion)| Progress {
+            let states = numbers.map(|((next, failures), suspicion)| TaskState {
                 next: *next,
                 failures: *failures,
                 suspicion: *suspicion,
-                ..Progress::default()
+                ..TaskState::default()
             });
-            let tasks = held.batch.tasks.iter().copied().zip(progress).collect();
+            let tasks = held.batch.tasks.iter().copied().zip(states).collect();
             let key = (held.entry.name.clone(), held.batch.serial);
-            if self.given_up.contains(&key) || self.gone.contains(&held.entry.name) {
+            if self.given_up.contains(&key) || self.lost_entries.contains(&held.entry.name) {
                 unwanted.push(key);
             }
-            self.tell_moved(&held, out);
-            let handle = self.load(&held.entry, held.batch, tasks, held.started, now);
-            if let Some(load) = self.loads.get_mut(&handle) {
-                load.done = held.done;
+            self.announce_moved(&held, out);
+            let handle = self.add_assignment(&held.entry, held.batch, tasks, held.started, now);
+            if let Some(assignment) = self.assignments.get_mut(&handle) {
+                assignment.done = held.done;
             }
         }
         for run in handover.runs {
@@ -126,16 +130,20 @@
             let Some(handle) = self.by_entry.get(&key).copied() else {
                 continue;
             };
-            let Some(load) = self.loads.get(&handle) else {
+            let Some(assignment) = self.assignments.get(&handle) else {
                 continue;
             };
-            let mut execution =
-                Execution::new(handle, run.run, load.batch.need, load.batch.estimate);
-            execution.stored = load.batch.stored;
-            execution.suspicion = load.suspicion(run.task.index);
+            let mut execution = Execution::new(
+                handle,
+                run.run,
+                assignment.batch.need,
+                assignment.batch.estimate,
+            );
+            execution.stored = assignment.batch.stored;
+            execution.suspicion = assignment.suspicion(run.task.index);
             if let Some(state) = self.endpoints.get_mut(&run.endpoint) {
                 state.adopt(run.task, execution, now);
-                self.busy.insert(run.task, run.endpoint.clone());
+                self.run_locations.insert(run.task, run.endpoint.clone());
             }
             if let Some(rack) = self.racks.get_mut(&handover.rack) {
                 rack.queue.remove(Waiting {
@@ -144,16 +152,16 @@
                 });
             }
             if run.stopping {
-                // Its endpoint hasn't said that it is gone. Left out, the task would be started elsewhere beside it.
-                self.stop(run.task, handle, Fate::Again, out);
+                // The stop isn't confirmed. Without the run, the task would start elsewhere beside it.
+                self.stop_run(run.task, handle, Fate::Restart, out);
             }
         }
         self.drop_unwanted(&unwanted, out);
     }
 
-    /// Tells the entry of a batch that it is here now. If the former owner is gone, and with it what it had to tell, the
-    /// entry has taken the batch back: it answers that it doesn't want it, before it places the tasks elsewhere.
-    fn tell_moved(&self, held: &Held, out: &mut Effects) {
+    /// Tells a batch's entry that the batch is here. If the former owner has died and the entry has already taken
+    /// the batch back, the entry cancels it here before it places the tasks elsewhere.
+    fn announce_moved(&self, held: &Held, out: &mut Effects) {
         let Some(own) = &self.own else {
             return;
         };
@@ -162,24 +170,24 @@
             to: own.clone(),
             moves: held.batch.moves,
         };
-        out.tell(&held.entry, message);
+        out.send(&held.entry, message);
     }
 
-    /// Stops what came with a rack and which nobody waits for: its entry gave it up, or is gone. Its caller comes again
-    /// elsewhere, and the task would run twice.
+    /// Drops batches whose entry cancelled them or is lost. Callers submit such jobs elsewhere, and their tasks
+    /// would run twice.
     fn drop_unwanted(&mut self, unwanted: &[Key], out: &mut Effects) {
         for key in unwanted {
             let Some(handle) = self.by_entry.get(key).copied() else {
                 continue;
             };
-            let Some(load) = self.loads.get(&handle) else {
+            let Some(assignment) = self.assignments.get(&handle) else {
                 continue;
             };
-            let record = Record::new("batch_abandoned").job(load.batch.job);
+            let record = Record::new("batch_abandoned").job(assignment.batch.job);
             out.log(record.with("entry", key.0.as_str()));
-            // The entry may live, and only have begun a new session with this instance.
-            load.send_back(out);
-            self.drop_load(handle, out);
+            // The entry may be alive and have only begun a new session with this instance.
+            assignment.return_to_entry(out);
+            self.drop_assignment(handle, out);
         }
     }
 }
--- a/src/dispatch/owner/place.rs
+++ b/src/dispatch/owner/place.rs
@@ -1,4 +1,4 @@
-//! Placement: which task starts next, and on which endpoint.
+//! Placement: which queued task starts next, and on which endpoint.
 
 use std::collections::BTreeMap;
 
@@ -25,44 +25,44 @@
         },
         task::Room, //
     },
+    Assignment,
     Effects,
-    Load,
     Owner,
     Purpose, //
 };
 use crate::prelude::*;
 
-/// Tasks that wait whose need is tried against the endpoints, when those before them don't fit: callers' needs
-/// differ little, so a longer look seldom finds one that does.
-const LOOK_AHEAD: usize = 24;
+/// How many different needs of queued tasks may fail to fit before a review of the queue stops.
+const MAX_MISFITS: usize = 24;
 
-/// The share of its estimate that a task takes at the least: estimates are off by up to four tenths.
-const LEAST_SHARE: f64 = 0.6;
+/// The least share of its estimate that a task takes: estimates are off by up to 40 %.
+const MIN_ESTIMATE_SHARE: f64 = 0.6;
 
-/// Between looks through a queue while nothing happens that may let a task start but that time passes: a rest ends, or the time of what
-/// waits is over.
+/// The longest time between reviews of a queue while no event lets a task start, so that the ends of ejections
+/// and deadlines are noticed.
 ///
-/// Gone through after each message that came, heartbeats among them, a queue of some dozens took processor time that small instances lack
-/// when load is at its worst.
-const REVIEW: Span = Span::millis(10);
+/// A review after every message, heartbeats included, would cost much processor time under load.
+const REVIEW_INTERVAL: Span = Span::millis(10);
 
-/// A need and a label for which there is no room, and whether the rack could ever have it.
+/// A need and a label that fit no endpoint now, and whether any endpoint of the rack could ever run them.
 type Misfit = (Room, Option<String>, bool);
 
 impl Owner {
-    /// Does what is due: places what waits, looks where something runs, gives up what has lapsed.
+    /// Does all work that is due: expires runs, releases held tasks, resends calls, starts queued tasks and polls
+    /// endpoints.
     pub fn process_due(&mut self, now: Time, out: &mut Effects) {
-        self.lapse(now, out);
-        self.release(now);
-        self.retry(now, out);
+        self.expire_silent(now, out);
+        self.release_due(now);
+        self.resend_due(now, out);
         let racks: Vec<RackId> = self.racks.keys().copied().collect();
         for rack in racks {
-            self.place(rack, now, out);
+            self.start_waiting(rack, now, out);
         }
-        self.look(now, out);
+        self.poll_endpoints(now, out);
     }
 
-    pub(super) fn lapse(&mut self, now: Time, out: &mut Effects) {
+    /// Gives up the runs of silent endpoints whose leases have expired.
+    pub(super) fn expire_silent(&mut self, now: Time, out: &mut Effects) {
         let ids: Vec<Endpoint> = self
             .endpoints
             .iter()
@@ -71,115 +71,117 @@
             .collect();
         for id in ids {
             let events = match self.endpoints.get_mut(&id) {
-                Some(state) => state.lapse(now),
+                Some(state) => state.expire_runs(now),
                 None => continue,
             };
-            self.act(&id, events, now, out);
+            self.handle_events(&id, events, now, out);
         }
     }
 
-    pub(super) fn look(&mut self, now: Time, out: &mut Effects) {
-        let due = |(id, state): (&Endpoint, &State)| (state.next_look() <= now).then(|| id.clone());
+    /// Polls the endpoints whose poll is due.
+    pub(super) fn poll_endpoints(&mut self, now: Time, out: &mut Effects) {
+        let due = |(id, state): (&Endpoint, &State)| (state.next_poll() <= now).then(|| id.clone());
         let ids: Vec<Endpoint> = self.endpoints.iter().filter_map(due).collect();
         for id in ids {
-            let call = self.next_call();
+            let call = self.next_call_id();
             let Some(state) = self.endpoints.get_mut(&id) else {
                 continue;
             };
-            let fresh = state.standing == Standing::Silent;
-            if let Some(order) = state.look(call, now) {
-                self.send(call, &id, order, Purpose::Look, fresh, out);
+            let new_connection = state.standing == Standing::Silent;
+            if let Some(order) = state.poll(call, now) {
+                self.send_call(call, &id, order, Purpose::Poll, new_connection, out);
             }
         }
     }
 
-    /// Starts tasks that wait on a rack, as far as there is room.
-    pub(super) fn place(&mut self, id: RackId, now: Time, out: &mut Effects) {
+    /// Starts a rack's queued tasks as far as there is room, and gives up those that can't finish in time.
+    pub(super) fn start_waiting(&mut self, id: RackId, now: Time, out: &mut Effects) {
         let Some(rack) = self.racks.get_mut(&id) else {
             return;
         };
         if rack.queue.is_empty() || now < rack.next_review {
             return;
         }
-        rack.next_review = now + REVIEW;
-        rack.queue.turn(now);
+        rack.next_review = now + REVIEW_INTERVAL;
+        rack.queue.update(now);
         let waiting: Vec<Waiting> = rack.queue.iter().collect();
         let mut misfits: Vec<Misfit> = Vec::new();
         let mut hopeless = Vec::new();
-        let mut stale = false;
+        let mut poll_needed = false;
         let mut unfit: BTreeMap<Handle, Vec<u32>> = BTreeMap::new();
         for waiting in waiting {
-            let Some(load) = self.loads.get(&waiting.batch) else {
+            let Some(assignment) = self.assignments.get(&waiting.batch) else {
                 continue;
             };
-            let least = Span((load.batch.estimate.0 as f64 * LEAST_SHARE) as u64);
-            if now + least > load.until {
+            let min_duration =
+                Span((assignment.batch.estimate.0 as f64 * MIN_ESTIMATE_SHARE) as u64);
+            if now + min_duration > assignment.deadline {
                 hopeless.push(waiting.batch);
                 continue;
             }
-            let (need, label) = (load.batch.need, load.batch.label.as_ref());
-            let task = load.task(waiting.index);
-            let absent = !self.present.contains(&load.entry.name);
-            if absent || self.busy.contains_key(&task) {
+            let (need, label) = (assignment.batch.need, assignment.batch.label.as_ref());
+            let task = assignment.task_id(waiting.index);
+            let absent = !self.live_entries.contains(&assignment.entry.name);
+            if absent || self.run_locations.contains_key(&task) {
                 continue;
             }
             let same = |(n, l, _): &&Misfit| *n == need && l.as_ref() == label;
-            let carried = match misfits.iter().find(same) {
-                Some((.., carried)) => *carried,
+            let runnable = match misfits.iter().find(same) {
+                Some((.., runnable)) => *runnable,
                 None => {
-                    if let Some(endpoint) = self.pick(id, load, waiting.index, now) {
-                        self.start(id, &endpoint, waiting, task, now, out);
+                    if let Some(endpoint) = self.pick_endpoint(id, assignment, waiting.index, now) {
+                        self.start_task(id, &endpoint, waiting, task, now, out);
                         continue;
                     }
-                    let carried = self.carries(id, load);
-                    match load.suspicion(waiting.index).is_any() {
-                        // What it waits for is another thing than room.
-                        true => stale = true,
-                        false => misfits.push((need, label.cloned(), carried)),
+                    let runnable = self.can_ever_run(id, assignment);
+                    match assignment.suspicion(waiting.index).is_any() {
+                        // It may be waiting for an answer from an endpoint rather than for room.
+                        true => poll_needed = true,
+                        false => misfits.push((need, label.cloned(), runnable)),
                     }
-                    carried
+                    runnable
                 }
             };
-            if !carried {
+            if !runnable {
                 unfit.entry(waiting.batch).or_default().push(waiting.index);
-            } else if now + least > load.useful && !load.started {
+            } else if now + min_duration > assignment.useful_until && !assignment.started {
                 hopeless.push(waiting.batch);
-            } else if misfits.len() > LOOK_AHEAD {
+            } else if misfits.len() > MAX_MISFITS {
                 break;
             }
         }
-        if stale {
-            self.freshen(id, now);
+        if poll_needed {
+            self.poll_stale(id, now);
         }
         for (handle, tasks) in unfit {
             self.send_tasks_back(handle, tasks, Cause::Unfit, out);
         }
         hopeless.dedup();
         for handle in hopeless {
-            if let Some(load) = self.loads.get(&handle) {
-                let record = Record::new("batch_hopeless").job(load.batch.job);
-                let record = record.with("left_ms", load.until.since(now));
-                out.log(record.with("estimate_ms", load.batch.estimate));
+            if let Some(assignment) = self.assignments.get(&handle) {
+                let record = Record::new("batch_hopeless").job(assignment.batch.job);
+                let record = record.with("left_ms", assignment.deadline.since(now));
+                out.log(record.with("estimate_ms", assignment.batch.estimate));
             }
             self.finish(handle, Outcome::Hopeless, out);
         }
     }
 
-    /// Asks the endpoints of a rack that haven't answered lately whether they are there, for a task under which others may have crashed.
-    fn freshen(&mut self, rack: RackId, now: Time) {
+    /// Polls the endpoints of a rack that haven't answered recently, for a task that may crash endpoints.
+    fn poll_stale(&mut self, rack: RackId, now: Time) {
         let Some(rack) = self.racks.get(&rack) else {
             return;
         };
         for id in &rack.endpoints {
             if let Some(state) = self.endpoints.get_mut(id) {
-                state.freshen(now);
+                state.poll_if_stale(now);
             }
         }
     }
 
-    /// Tells whether an endpoint of a rack could ever run a batch's tasks: its data centre may have been evacuated since it was
-    /// sent here, or an endpoint's capacity may have shrunk. Left waiting, the tasks would wait until their caller gives up.
-    fn carries(&self, rack: RackId, load: &Load) -> bool {
+    /// Returns whether an endpoint of the rack could ever run a batch's tasks. An evacuation or a smaller
+    /// capacity may rule all of them out, and the tasks would wait until their caller's deadline.
+    fn can_ever_run(&self, rack: RackId, assignment: &Assignment) -> bool {
         let Some(rack) = self.racks.get(&rack) else {
             return false;
         };
@@ -187,56 +189,69 @@
             .endpoints
             .iter()
             .filter_map(|id| self.endpoints.get(id));
-        let (need, label) = (&load.batch.need, load.batch.label.as_ref());
-        states.into_iter().any(|state| state.carries(need, label))
+        let (need, label) = (&assignment.batch.need, assignment.batch.label.as_ref());
+        states.into_iter().any(|state| state.can_run(need, label))
     }
 
-    /// Picks the endpoint that a task fits in most closely, so that wide gaps stay for wide tasks; for one under which endpoints may
-    /// have crashed, the one where the least would be lost, or where the fewest others run that may have crashed them, and only
-    /// one that has answered just now: sent to one that is cut off, its run would seem to have crashed that.
-    fn pick(&self, rack: RackId, load: &Load, index: u32, now: Time) -> Option<Endpoint> {
-        let batch = &load.batch;
-        let suspicion = load.suspicion(index);
+    /// Returns the endpoint to start a task on: the best fit, so that large gaps stay free for large tasks.
+    ///
+    /// For a task that may crash endpoints it is the one with the fewest runs to lose, or with the fewest other
+    /// suspects, and only one that has answered recently: a start to an unreachable endpoint would count as
+    /// another crash.
+    fn pick_endpoint(
+        &self,
+        rack: RackId,
+        assignment: &Assignment,
+        index: u32,
+        now: Time,
+    ) -> Option<Endpoint> {
+        let batch = &assignment.batch;
+        let suspicion = assignment.suspicion(index);
         let fits = |state: &&State| {
             let of_step = |(task, _): &(&TaskId, &Execution)| {
                 task.job == batch.job && task.step == batch.step
             };
-            let spread = batch
+            let within_limit = batch
                 .per_endpoint
                 .is_none_or(|most| state.executions.iter().filter(of_step).count() < most as usize);
-            let carried = state.carries(&batch.need, batch.label.as_ref());
-            let there = !suspicion.is_any() || state.is_fresh(now);
-            there && state.takes(now) && state.free.fits(&batch.need) && carried && spread
+            let runnable = state.can_run(&batch.need, batch.label.as_ref());
+            let reachable = !suspicion.is_any() || state.has_answered_recently(now);
+            reachable
+                && state.accepts_tasks(now)
+                && state.free.fits(&batch.need)
+                && runnable
+                && within_limit
         };
         let rack = self.racks.get(&rack)?;
         let states = rack
             .endpoints
             .iter()
             .filter_map(|id| self.endpoints.get(id));
-        let failed_on = load.tasks.get(&index);
-        let failed_on = failed_on.and_then(|progress| progress.failed_on.as_ref());
-        // The only one that can run it is better than none.
-        let sound = |state: &State, than: &Endpoint| {
+        let failed_on = assignment.tasks.get(&index);
+        let failed_on = failed_on.and_then(|task_state| task_state.failed_on.as_ref());
+        // An endpoint where the task failed is avoided only if another one can run it.
+        let alternative = |state: &State, than: &Endpoint| {
             let other = state.listing.id != *than && state.standing == Standing::Open;
-            other && state.carries(&batch.need, batch.label.as_ref())
+            other && state.can_run(&batch.need, batch.label.as_ref())
         };
-        let avoided = failed_on.filter(|id| states.clone().any(|state| sound(state, id)));
-        let beside = |state: &State| {
+        let avoided = failed_on.filter(|id| states.clone().any(|state| alternative(state, id)));
+        let neighbours = |state: &State| {
             if suspicion.is_strong() {
                 state.executions.len()
             } else if suspicion.is_any() {
-                state.doubtful()
+                state.count_suspects()
             } else {
                 0
             }
         };
         let best = states.filter(fits);
         let best = best.filter(|state| Some(&state.listing.id) != avoided);
-        let best = best.min_by_key(|state| (beside(state), state.free.cpu))?;
+        let best = best.min_by_key(|state| (neighbours(state), state.free.cpu))?;
         Some(best.listing.id.clone())
     }
 
-    pub(super) fn start(
+    /// Starts a queued task on an endpoint. The first start of a stored batch is reported to its entry.
+    pub(super) fn start_task(
         &mut self,
         rack: RackId,
         id: &Endpoint,
@@ -245,37 +260,41 @@
         now: Time,
         out: &mut Effects,
     ) {
-        let Some(load) = self.loads.get_mut(&waiting.batch) else {
+        let Some(assignment) = self.assignments.get_mut(&waiting.batch) else {
             return;
         };
-        let Some(progress) = load.tasks.get_mut(&waiting.index) else {
+        let Some(task_state) = assignment.tasks.get_mut(&waiting.index) else {
             return;
         };
         let Some(state) = self.endpoints.get_mut(id) else {
             return;
         };
-        let run = progress.next;
-        progress.next = run.next();
-        if load.batch.stored && !load.started {
-            out.tell(&load.entry, Message::Begun(load.batch.serial));
+        let run = task_state.next;
+        task_state.next = run.next();
+        if assignment.batch.stored && !assignment.started {
+            out.send(&assignment.entry, Message::Begun(assignment.batch.serial));
         }
-        load.started = true;
-        let mut execution =
-            Execution::new(waiting.batch, run, load.batch.need, load.batch.estimate);
-        execution.stored = load.batch.stored;
-        execution.suspicion = progress.suspicion;
-        let Some(order) = state.start(task, execution, load.batch.spec.clone(), now) else {
+        assignment.started = true;
+        let mut execution = Execution::new(
+            waiting.batch,
+            run,
+            assignment.batch.need,
+            assignment.batch.estimate,
+        );
+        execution.stored = assignment.batch.stored;
+        execution.suspicion = task_state.suspicion;
+        let Some(order) = state.start(task, execution, assignment.batch.spec.clone(), now) else {
             return;
         };
-        self.busy.insert(task, id.clone());
+        self.run_locations.insert(task, id.clone());
         if let Some(rack) = self.racks.get_mut(&rack) {
             rack.queue.remove(waiting);
-            rack.changed = true;
+            rack.room_changed = true;
         }
         let record = Record::routine("task_started").job(task.job);
         let record = record.with("task", task.to_string()).with("run", run.0);
         out.log(record.with("endpoint", id.as_str()));
         let purpose = Purpose::Start(task, run);
-        self.call(id, order, purpose, false, out);
+        self.call_endpoint(id, order, purpose, false, out);
     }
 }
--- a/src/dispatch/owner/probe.rs
+++ b/src/dispatch/owner/probe.rs
@@ -1,4 +1,4 @@
-//! Probes of racks whose owner has fallen silent.
+//! Probes of racks whose owner has lost its heartbeat.
 
 use std::collections::HashSet;
 
@@ -22,38 +22,38 @@
 };
 use crate::prelude::*;
 
-/// Between probes of a rack whose owner has fallen silent: its leases pass within half a second of that.
-const PROBE: Span = Span::millis(100);
+/// Time between probes of a rack. Leases of a dead owner expire within half a second of its silence.
+const PROBE_INTERVAL: Span = Span::millis(100);
 
-/// How long endpoints may take to answer a probe.
-const PROBE_PATIENCE: Span = Span::millis(150);
+/// Timeout of a probe.
+const PROBE_TIMEOUT: Span = Span::millis(150);
 
-/// What endpoints of a rack say that belonged to a member that has fallen silent.
+/// The replies of a silent owner's endpoints to a probe.
 #[derive(Debug)]
 pub(super) struct Probe {
     pending: HashSet<CallId>,
     answered: usize,
     running: bool,
-    /// When the next one may leave.
-    again: Time,
+    /// When the next probe may be sent.
+    next_probe: Time,
 }
 
 /// Whether a rack can be taken over from a silent owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing runs there any more.
+    /// Nothing runs there.
     Free,
-    /// It isn't known yet, or its owner still extends leases there, or it can't be reached.
+    /// Not known yet, or its owner still extends leases there, or no endpoint can be reached.
     Wait,
 }
 
 impl Owner {
-    /// Asks the endpoints of a rack whose owner has fallen silent whether it still keeps anything running there.
+    /// Probes the endpoints of a rack whose owner is silent, to find whether that owner still runs tasks there.
     ///
-    /// An instance that can't hear another may be the one that is cut off. If both claimed each other's racks they
-    /// would fence each other off by turns and stop everything that runs, over and over. So the silent
-    /// owner's own token is used, which changes nothing: what it has running ends within a lease of its death,
-    /// and whatever still runs later is kept alive by it.
+    /// An instance that can't reach another one may itself be the one that is cut off. If both claimed each
+    /// other's racks, they would fence each other off in turn and stop all runs. A probe uses the silent owner's
+    /// own token and so changes nothing: runs of a dead owner end when their lease expires, and any that remain
+    /// are kept alive by their owner.
     pub fn probe(
         &mut self,
         rack: RackId,
@@ -63,12 +63,12 @@
         out: &mut Effects,
     ) -> Verdict {
         if let Some(probe) = self.probes.get(&rack) {
-            let over = probe.pending.is_empty();
-            if over && probe.answered > 0 && !probe.running {
+            let complete = probe.pending.is_empty();
+            if complete && probe.answered > 0 && !probe.running {
                 self.probes.remove(&rack);
                 return Verdict::Free;
             }
-            if !over || now < probe.again {
+            if !complete || now < probe.next_probe {
                 return Verdict::Wait;
             }
         }
@@ -76,13 +76,14 @@
             pending: HashSet::new(),
             answered: 0,
             running: false,
-            again: now + PROBE,
+            next_probe: now + PROBE_INTERVAL,
         };
         for listing in listings.iter().filter(|l| l.rack_id() == rack) {
-            let call = self.next_call();
+            let call = self.next_call_id();
             probe.pending.insert(call);
             let purpose = Purpose::Probe(rack);
-            self.calls.insert(call, (listing.id.clone(), purpose));
+            self.pending_calls
+                .insert(call, (listing.id.clone(), purpose));
             out.outputs.push(Output::Call {
                 call,
                 endpoint: listing.id.clone(),
@@ -93,7 +94,7 @@
                     seen: 0,
                     wait: Span(0),
                 },
-                patience: PROBE_PATIENCE,
+                patience: PROBE_TIMEOUT,
                 fresh: false,
             });
         }
@@ -101,8 +102,8 @@
         Verdict::Wait
     }
 
-    /// Takes note of what an endpoint says to a probe. One that refuses the token belongs to somebody else.
-    pub(super) fn probed(&mut self, rack: RackId, call: CallId, reply: &Reply) {
+    /// Records an endpoint's reply to a probe. One that rejects the token has another owner.
+    pub(super) fn on_probe_reply(&mut self, rack: RackId, call: CallId, reply: &Reply) {
         let Some(probe) = self.probes.get_mut(&rack) else {
             return;
         };
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Returns the racks that were fenced off since it was asked last.
+    /// Returns the racks that were fenced off since the last call.
     pub fn take_fenced(&mut self) -> Vec<(RackId, Token)> {
         std::mem::take(&mut self.fenced)
     }
--- a/src/dispatch/owner/retry.rs
+++ b/src/dispatch/owner/retry.rs
@@ -1,4 +1,4 @@
-//! Starts and stops that had no answer, sent again after a pause.
+//! Retries of starts and stops that weren't answered.
 
 use super::{
     super::{
@@ -16,24 +16,24 @@
 use crate::prelude::*;
 
 impl Owner {
-    /// Sends what is due again.
-    pub(super) fn retry(&mut self, now: Time, out: &mut Effects) {
+    /// Resends the starts and stops whose retry is due.
+    pub(super) fn resend_due(&mut self, now: Time, out: &mut Effects) {
         let mut due: Vec<(Endpoint, TaskId)> = Vec::new();
         for (id, state) in &mut self.endpoints {
             due.extend(
                 state
-                    .retries(now)
+                    .take_due_retries(now)
                     .into_iter()
                     .map(|task| (id.clone(), task)),
             );
         }
         for (id, task) in due {
-            self.send_again(&id, task, now, out);
+            self.resend(&id, task, now, out);
         }
     }
 
-    /// Sends the start or the stop of a run again, over a new connection: the last one may have gone silent.
-    pub(super) fn send_again(&mut self, id: &Endpoint, task: TaskId, now: Time, out: &mut Effects) {
+    /// Resends the start or the stop of a run over a new connection, as the last one may be broken.
+    pub(super) fn resend(&mut self, id: &Endpoint, task: TaskId, now: Time, out: &mut Effects) {
         let Some(state) = self.endpoints.get_mut(id) else {
             return;
         };
@@ -45,18 +45,21 @@
             Phase::Running => return,
             Phase::Stopping => {
                 let name = Name::Known(task);
-                let order = state.stop_again(name.clone(), run);
+                let order = state.stop_order(name.clone(), run);
                 (Some(order), Purpose::Stop(name, run))
             }
             Phase::Starting => {
-                let spec = self.loads.get(&batch).map(|load| load.batch.spec.clone());
-                let order = spec.and_then(|spec| state.start_again(task, run, spec, now));
+                let spec = self
+                    .assignments
+                    .get(&batch)
+                    .map(|assignment| assignment.batch.spec.clone());
+                let order = spec.and_then(|spec| state.start_order(task, run, spec, now));
                 (order, Purpose::Start(task, run))
             }
         };
         match order {
-            Some(order) => self.call(id, order, purpose, true, out),
-            None => self.stop(task, batch, Fate::Again, out),
+            Some(order) => self.call_endpoint(id, order, purpose, true, out),
+            None => self.stop_run(task, batch, Fate::Restart, out),
         }
     }
 }
--- a/src/dispatch/owner/room.rs
+++ b/src/dispatch/owner/room.rs
@@ -1,4 +1,4 @@
-//! The room that racks have, and tasks that they give to each other.
+//! Free room of racks as told to other instances, and tasks that move between racks.
 
 use std::collections::BTreeMap;
 
@@ -27,60 +27,63 @@
 };
 use crate::prelude::*;
 
-/// An endpoint has room to ask for tasks of others with when at least one part in this many of it is free.
-const SPACE: u64 = 4;
+/// An endpoint has space for other racks' tasks if at least one part in this many of its CPU is free.
+const MIN_FREE_DIVISOR: u64 = 4;
 
 impl Owner {
-    /// Tells whether the room of some rack has changed since it was told.
+    /// Returns whether the room of a rack has changed since the last update.
     pub fn has_room_changes(&self, now: Time) -> bool {
         let mut racks = self.racks.values();
-        racks.any(|rack| rack.changed || rack.open != self.open(rack, now))
+        racks.any(|rack| rack.room_changed || rack.reported_open != self.count_open(rack, now))
     }
 
-    /// Tells whether some rack has filled up, or has space again, since it was told.
+    /// Returns whether a rack has filled up, or has space again, since the last update.
     ///
-    /// Others send tasks to where they think there is space. Told late, tasks waited on racks that had filled up, while endpoints of
-    /// others had nothing to do; what changes between these two can be told later.
+    /// Other instances send tasks to racks with space. Such a change is told early, so that tasks don't queue at
+    /// a full rack while others are idle.
     pub fn has_space_changes(&self, now: Time) -> bool {
         let mut racks = self.racks.values();
-        racks.any(|rack| rack.spacious != self.is_spacious(rack, now))
+        racks.any(|rack| rack.reported_space != self.rack_has_space(rack, now))
     }
 
-    fn is_spacious(&self, rack: &Rack, now: Time) -> bool {
+    fn rack_has_space(&self, rack: &Rack, now: Time) -> bool {
         let states = rack.endpoints.iter();
         let mut states = states.filter_map(|id| self.endpoints.get(id));
-        states.any(|state| state.takes(now) && has_space(state))
+        states.any(|state| state.accepts_tasks(now) && has_space(state))
     }
 
-    /// Counts the endpoints of a rack that take tasks.
-    pub(super) fn open(&self, rack: &Rack, now: Time) -> usize {
+    /// Returns the number of a rack's endpoints that accept tasks.
+    pub(super) fn count_open(&self, rack: &Rack, now: Time) -> usize {
         let states = rack
             .endpoints
             .iter()
             .filter_map(|id| self.endpoints.get(id));
-        states.filter(|state| state.takes(now)).count()
+        states.filter(|state| state.accepts_tasks(now)).count()
     }
 
-    /// Tells the room of racks where it has changed since it was told to all, or of all.
+    /// Returns the room of racks where it has changed since the last update, or of all racks, and records it as
+    /// told.
     pub fn take_room_updates(&mut self, all: bool, now: Time) -> Vec<Vacancy> {
-        let told = |rack: &Rack| all || rack.changed || rack.open != self.open(rack, now);
-        let racks = self.racks.iter().filter(|(_, rack)| told(rack));
+        let due = |rack: &Rack| {
+            all || rack.room_changed || rack.reported_open != self.count_open(rack, now)
+        };
+        let racks = self.racks.iter().filter(|(_, rack)| due(rack));
         let rooms: Vec<Vacancy> = racks
             .map(|(id, rack)| self.vacancy(*id, rack, now))
             .collect();
         for vacancy in &rooms {
             let rack = self.racks.get(&vacancy.rack);
-            let spacious = rack.is_some_and(|rack| self.is_spacious(rack, now));
+            let has_space = rack.is_some_and(|rack| self.rack_has_space(rack, now));
             if let Some(rack) = self.racks.get_mut(&vacancy.rack) {
-                rack.spacious = spacious;
-                rack.changed = false;
-                rack.open = vacancy.free.len();
+                rack.reported_space = has_space;
+                rack.room_changed = false;
+                rack.reported_open = vacancy.free.len();
             }
         }
         rooms
     }
 
-    /// Tells the room of all racks, to some: the others have yet to be told what has changed.
+    /// Returns the room of all racks, without recording it as told.
     pub fn vacancies(&self, now: Time) -> Vec<Vacancy> {
         let racks = self.racks.iter();
         racks
@@ -91,8 +94,12 @@
     fn vacancy(&self, id: RackId, rack: &Rack, now: Time) -> Vacancy {
         let states = rack.endpoints.iter();
         let states = states.filter_map(|id| self.endpoints.get(id));
-        let takes = states.filter(|state| state.takes(now));
-        let movable = |w: &Waiting| self.loads.get(&w.batch).is_some_and(|l| !l.batch.tied);
+        let takes = states.filter(|state| state.accepts_tasks(now));
+        let movable = |w: &Waiting| {
+            self.assignments
+                .get(&w.batch)
+                .is_some_and(|l| !l.batch.tied)
+        };
         Vacancy {
             rack: id,
             free: takes.map(|state| state.free).collect(),
@@ -101,9 +108,9 @@
         }
     }
 
-    /// Returns the racks with space, and the room of their endpoints that have some.
+    /// Returns the racks with space, and the free room of their endpoints that have some.
     ///
-    /// What waits there fits in none of it, or it would have been started; tasks of another size that wait elsewhere may.
+    /// Queued tasks of these racks don't fit there; smaller ones that are queued at other racks may.
     pub fn racks_with_space(&self, now: Time) -> Vec<(RackId, Vec<Room>)> {
         let mut found = Vec::new();
         for (id, rack) in &self.racks {
@@ -111,7 +118,7 @@
                 .endpoints
                 .iter()
                 .filter_map(|id| self.endpoints.get(id));
-            let open = states.filter(|state| state.takes(now) && has_space(state));
+            let open = states.filter(|state| state.accepts_tasks(now) && has_space(state));
             let rooms: Vec<Room> = open.map(|state| state.free).collect();
             if !rooms.is_empty() {
                 found.push((*id, rooms));
@@ -120,7 +127,7 @@
         found
     }
 
-    /// Gives tasks that wait on a rack to another one that has room and nothing waiting.
+    /// Returns queued tasks of a rack that fit `rooms` to their entries, which send them to rack `to`.
     pub fn reassign_waiting(
         &mut self,
         from: RackId,
@@ -134,16 +141,16 @@
         let mut given: BTreeMap<Handle, Vec<u32>> = BTreeMap::new();
         let waiting: Vec<Waiting> = rack.queue.iter().collect();
         for waiting in waiting {
-            let Some(load) = self.loads.get(&waiting.batch) else {
+            let Some(assignment) = self.assignments.get(&waiting.batch) else {
                 continue;
             };
-            let task = load.task(waiting.index);
-            // What is known of crashes under a task is lost where it is placed anew.
-            let fixed = load.batch.tied || load.suspicion(waiting.index).is_any();
-            if fixed || self.busy.contains_key(&task) {
+            let task = assignment.task_id(waiting.index);
+            // Evidence of crashes under a task would be lost with a new placement.
+            let pinned = assignment.batch.tied || assignment.suspicion(waiting.index).is_any();
+            if pinned || self.run_locations.contains_key(&task) {
                 continue;
             }
-            let need = load.batch.need;
+            let need = assignment.batch.need;
             let Some(room) = rooms.iter_mut().find(|room| room.fits(&need)) else {
                 continue;
             };
@@ -155,7 +162,7 @@
         }
     }
 
-    /// Sends tasks of a batch back that wait, and of which nothing runs.
+    /// Returns queued tasks of a batch, none of which runs, to its entry.
     pub(super) fn send_tasks_back(
         &mut self,
         handle: Handle,
@@ -163,35 +170,41 @@
         cause: Cause,
         out: &mut Effects,
     ) {
-        let Some(load) = self.loads.get_mut(&handle) else {
+        let Some(assignment) = self.assignments.get_mut(&handle) else {
             return;
         };
-        if let Some(rack) = self.racks.get_mut(&load.batch.rack) {
+        if let Some(rack) = self.racks.get_mut(&assignment.batch.rack) {
             for index in tasks.iter().copied() {
                 let batch = handle;
                 rack.queue.remove(Waiting { batch, index });
             }
-            rack.changed = true;
+            rack.room_changed = true;
         }
-        load.tasks.retain(|index, _| !tasks.contains(index));
-        load.batch.tasks.retain(|index| !tasks.contains(index));
+        assignment.tasks.retain(|index, _| !tasks.contains(index));
+        assignment
+            .batch
+            .tasks
+            .retain(|index| !tasks.contains(index));
         let message = Message::Returned {
-            serial: load.batch.serial,
+            serial: assignment.batch.serial,
             tasks,
-            started: load.started,
+            started: assignment.started,
             cause,
         };
-        out.tell(&load.entry, message);
-        let (over, none) = (load.tasks.is_empty(), load.batch.tasks.is_empty());
-        if none {
-            self.remove_load(handle);
-        } else if over {
-            // What was kept of it had ended before, and its end is told with the last of it.
+        out.send(&assignment.entry, message);
+        let (finished, empty) = (
+            assignment.tasks.is_empty(),
+            assignment.batch.tasks.is_empty(),
+        );
+        if empty {
+            self.remove_assignment(handle);
+        } else if finished {
+            // All tasks that remain are done, and that is reported with the last of them.
             self.finish(handle, Outcome::Done, out);
         }
     }
 
-    /// Counts the tasks that wait, the runs, and the endpoints that take tasks.
+    /// Returns the numbers of queued tasks, of runs, and of endpoints in [`Standing::Open`].
     pub fn counts(&self) -> (usize, usize, usize) {
         let waiting = self.racks.values().map(|rack| rack.queue.len()).sum();
         let runs = self.endpoints.values().map(|s| s.executions.len()).sum();
@@ -201,7 +214,7 @@
     }
 }
 
-/// Tells whether enough of an endpoint is free to ask for tasks of others.
+/// Returns whether enough of an endpoint is free for tasks of other racks.
 fn has_space(state: &State) -> bool {
-    state.free.cpu * SPACE >= state.listing.capacity.cpu
+    state.free.cpu * MIN_FREE_DIVISOR >= state.listing.capacity.cpu
 }
--- a/src/dispatch/owner/suspects.rs
+++ b/src/dispatch/owner/suspects.rs
@@ -1,9 +1,10 @@
-//! Tasks under which endpoints crash.
+//! Tasks that crash their endpoints.
 //!
-//! A task may crash each endpoint that starts it. Started over and over, one such job emptied a data centre, and took along what ran
-//! beside it. So what ran on an endpoint that crashed is suspected: each such task goes on alone, so that those that are
-//! innocent end there and are cleared, and the job of one under which a second endpoint crashes has failed. A crash may be proved only
-//! after its tasks went on beside each other: what shared both crashes with another gets one more run.
+//! A task may crash every endpoint that starts it, and would empty a data centre if it were started again without
+//! limit. So the tasks that ran on a crashed endpoint are suspects, and each goes on alone: harmless ones end
+//! there and are cleared. A job fails when a second endpoint crashes under its task. A crash may be confirmed
+//! only after its tasks have gone on beside each other; a task that shared both crashes with another gets one
+//! more run.
 
 use super::{
     super::{
@@ -21,24 +22,25 @@
     },
     Effects,
     Owner,
-    Progress, //
+    TaskState, //
 };
 use crate::prelude::*;
 
-/// Endpoints that may crash or fall silent under a task before it waits until more is known of them.
-const DOUBTS: u32 = 2;
+/// Endpoints that may crash or fall silent under a task before it is held back.
+const MAX_UNEXPLAINED: u32 = 2;
 
-/// How long such a task waits at the most: an endpoint that crashed is back within seconds, and proves it.
-const DETENTION: Span = Span::seconds(6);
+/// The longest time that a task is held back: a crashed endpoint is back within seconds, which confirms the
+/// crash.
+const MAX_HOLD: Span = Span::seconds(6);
 
 impl Owner {
-    fn progress(&mut self, task: TaskId, handle: Handle) -> Option<&mut Progress> {
-        let load = self.loads.get_mut(&handle)?;
-        load.tasks.get_mut(&task.index)
+    fn task_mut(&mut self, task: TaskId, handle: Handle) -> Option<&mut TaskState> {
+        let assignment = self.assignments.get_mut(&handle)?;
+        assignment.tasks.get_mut(&task.index)
     }
 
-    /// Takes note that an endpoint crashed under a run; the task waits for its next one, unless its job has failed.
-    pub(super) fn crashed(
+    /// Handles the crash of an endpoint under a run. The task is queued again, unless its job has failed.
+    pub(super) fn on_crash(
         &mut self,
         id: &Endpoint,
         crash: Crash,
@@ -46,39 +48,40 @@
         now: Time,
         out: &mut Effects,
     ) {
-        self.convict(id, crash, false, now, out);
-        self.again(crash.task, crash.batch, next, now);
+        self.confirm_crash(id, crash, false, now, out);
+        self.requeue(crash.task, crash.batch, next, now);
     }
 
-    /// Takes note that a run was given up on an endpoint that has fallen silent.
+    /// Handles a run that expired on a silent endpoint.
     ///
-    /// It may have crashed, and whether it did is known only when it is back. A task that goes on at once each time would have been
-    /// started many times more by then.
-    pub(super) fn lapsed(
+    /// Whether that endpoint crashed is known only when it is back. A task that keeps losing endpoints is held
+    /// back until then, as it could crash many more.
+    pub(super) fn on_run_expired(
         &mut self,
         (task, handle, next): (TaskId, Handle, Run),
         refused: bool,
         now: Time,
     ) {
-        let Some(progress) = self.progress(task, handle) else {
+        let Some(task_state) = self.task_mut(task, handle) else {
             return;
         };
-        progress.next = progress.next.max(next);
-        progress.suspicion.silences += 1;
-        progress.suspicion.refusals += u32::from(refused);
+        task_state.next = task_state.next.max(next);
+        task_state.suspicion.silences += 1;
+        task_state.suspicion.refusals += u32::from(refused);
         let Suspicion {
             crashes, silences, ..
-        } = progress.suspicion;
-        match crashes + silences < DOUBTS {
-            true => self.again(task, handle, next, now),
+        } = task_state.suspicion;
+        match crashes + silences < MAX_UNEXPLAINED {
+            true => self.requeue(task, handle, next, now),
             false => {
-                self.detained.insert(task, (now + DETENTION, handle));
+                self.held_back.insert(task, (now + MAX_HOLD, handle));
             }
         }
     }
 
-    /// Takes note that an endpoint crashed under a task; `silent` if it had fallen silent before, and was counted as that.
-    pub(super) fn convict(
+    /// Records that an endpoint crashed under a task. `silent` tells whether the loss was already counted as a
+    /// silence.
+    pub(super) fn confirm_crash(
         &mut self,
         id: &Endpoint,
         Crash { task, batch, sole }: Crash,
@@ -86,17 +89,17 @@
         now: Time,
         out: &mut Effects,
     ) {
-        let Some(progress) = self.progress(task, batch) else {
+        let Some(task_state) = self.task_mut(task, batch) else {
             return;
         };
-        let suspicion = &mut progress.suspicion;
+        let suspicion = &mut task_state.suspicion;
         suspicion.crashes += 1;
         suspicion.sole += u32::from(sole);
         if silent {
             suspicion.heard();
         }
         let suspicion = *suspicion;
-        self.suspect(&task, suspicion);
+        self.update_suspicion(&task, suspicion);
         let record = Record::new("run_crashed").job(task.job);
         let record = record.with("task", task.to_string());
         let record = record.with("endpoint", id.as_str());
@@ -105,45 +108,45 @@
         if suspicion.is_proved() {
             self.finish(batch, Outcome::Crashed, out);
         } else if suspicion.silences == 0 {
-            self.release_one(task, batch, now);
+            self.release_task(task, batch, now);
         }
     }
 
-    /// Lets a task's run, where there is one, go on with what has come to be known since it began.
-    fn suspect(&mut self, task: &TaskId, suspicion: Suspicion) {
-        let endpoint = self.busy.get(task);
+    /// Updates the suspicion at a task's current run, if there is one.
+    fn update_suspicion(&mut self, task: &TaskId, suspicion: Suspicion) {
+        let endpoint = self.run_locations.get(task);
         let state = endpoint.and_then(|id| self.endpoints.get_mut(id));
         if let Some(state) = state {
-            state.suspect(task, suspicion);
+            state.set_suspicion(task, suspicion);
         }
     }
 
-    /// Takes note that an endpoint which had fallen silent under a task has answered in the same life.
-    pub(super) fn acquit(&mut self, task: TaskId, handle: Handle, now: Time) {
-        let Some(progress) = self.progress(task, handle) else {
+    /// Handles an endpoint that fell silent under a task and then answered without having restarted.
+    pub(super) fn rule_out_crash(&mut self, task: TaskId, handle: Handle, now: Time) {
+        let Some(task_state) = self.task_mut(task, handle) else {
             return;
         };
-        progress.suspicion.heard();
-        let suspicion = progress.suspicion;
-        self.suspect(&task, suspicion);
-        self.release_one(task, handle, now);
+        task_state.suspicion.heard();
+        let suspicion = task_state.suspicion;
+        self.update_suspicion(&task, suspicion);
+        self.release_task(task, handle, now);
     }
 
-    /// Lets a task go on that waits for what becomes known of an endpoint, now that this is known.
-    fn release_one(&mut self, task: TaskId, handle: Handle, now: Time) {
-        if self.detained.remove(&task).is_some() {
-            self.again(task, handle, Run::FIRST, now);
+    /// Queues a task again if it was held back.
+    fn release_task(&mut self, task: TaskId, handle: Handle, now: Time) {
+        if self.held_back.remove(&task).is_some() {
+            self.requeue(task, handle, Run::FIRST, now);
         }
     }
 
-    /// Lets tasks go on that have waited long enough.
-    pub(super) fn release(&mut self, now: Time) {
+    /// Releases the tasks that were held back for long enough.
+    pub(super) fn release_due(&mut self, now: Time) {
         let due = |(task, (until, handle)): (&TaskId, &(Time, Handle))| {
             (*until <= now).then_some((*task, *handle))
         };
-        let due: Vec<(TaskId, Handle)> = self.detained.iter().filter_map(due).collect();
+        let due: Vec<(TaskId, Handle)> = self.held_back.iter().filter_map(due).collect();
         for (task, handle) in due {
-            self.release_one(task, handle, now);
+            self.release_task(task, handle, now);
         }
     }
 }
--- a/src/dispatch/progress.rs
+++ b/src/dispatch/progress.rs
@@ -1,66 +1,66 @@
-//! How runs come along, from what their endpoints say of them.
+//! Progress of runs as endpoints report it, and detection of stalled runs.
 
 use crate::prelude::*;
 
-/// The share of its estimate for which a run may show no progress at all. Sound runs take up to twice their estimate, so
-/// that they show a tenth of their work in this time.
-const STILL_SHARE: f64 = 0.25;
+/// The share of its estimate for which a run may report no progress. Runs on sound endpoints take up to twice
+/// their estimate, and so complete a tenth of their work in this time.
+const STALL_SHARE: f64 = 0.25;
 
-/// How long a run may show no progress whatever its estimate: an endpoint tells of its runs every 120 ms.
-const STILL: Span = Span::millis(100);
+/// Time without progress that is allowed in addition, whatever the estimate: endpoints report about every 120 ms.
+const STALL_MARGIN: Span = Span::millis(100);
 
-/// A run at this percent may have ended, and its end be on its way.
-const NEARLY: u8 = 99;
+/// From this percentage on, a run may have ended and its end be in transit.
+const NEARLY_DONE_PERCENT: u8 = 99;
 
-/// How often a task is taken from an endpoint where it stands still. One that stands still everywhere does so by itself, and would
-/// make every endpoint look sick in turn.
+/// How often a task is moved away from an endpoint where it stalls. A task that stalls everywhere is at fault
+/// itself, and would get every endpoint ejected in turn.
 pub const MAX_RESTARTS: u32 = 3;
 
-/// How a run comes along.
+/// The progress of a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Tracker {
     estimate: Span,
     percent: u8,
-    /// When it was seen first, or its percent rose last.
-    moved: Option<Time>,
+    /// When it was first reported, or its percentage last rose.
+    last_rise: Option<Time>,
 }
 
 impl Tracker {
-    /// Begins with a run that was not seen yet.
+    /// Returns the progress of a run that hasn't been reported yet.
     pub fn new(estimate: Span) -> Self {
         Self {
             estimate,
             percent: 0,
-            moved: None,
+            last_rise: None,
         }
     }
 
-    /// Takes note of what its endpoint says of it; returns how long it took since that was less.
+    /// Records a reported percentage. If it has risen, returns the time since the last rise or the first report.
     pub fn record(&mut self, percent: u8, now: Time) -> Option<Span> {
-        let before = self.moved;
+        let before = self.last_rise;
         if before.is_some() && percent <= self.percent {
             return None;
         }
         self.percent = percent;
-        self.moved = Some(now);
+        self.last_rise = Some(now);
         before.map(|at| now.since(at))
     }
 
-    /// Returns how long it may show no progress on an endpoint that tells of progress every `gap` at the longest.
+    /// Returns how long a run may report no progress, on an endpoint whose longest time between two reports of
+    /// progress is `gap`. Returns `None` if the endpoint never reported any.
     ///
-    /// One that was never seen to tell of any says nothing by it, and one that does so rarely says little: all their longer
-    /// runs would be taken for ones that stand still, and be started over and over.
+    /// An endpoint that reports progress rarely gets more time, as its longer runs would otherwise seem stalled
+    /// and be restarted repeatedly.
     pub fn stall_timeout(&self, gap: Option<Span>) -> Option<Span> {
-        let own = Span((self.estimate.0 as f64 * STILL_SHARE) as u64 + STILL.0);
+        let own = Span((self.estimate.0 as f64 * STALL_SHARE) as u64 + STALL_MARGIN.0);
         gap.map(|gap| own.max(gap.times(2)))
     }
 
-    /// Tells whether it stands still. An endpoint whose tasks stand still answers all calls, and takes new tasks: the caller
-    /// sees its job end with its time.
+    /// Returns whether a run is stalled. An endpoint with stalled runs may answer all calls and accept new tasks.
     pub fn is_stalled(&self, gap: Option<Span>, now: Time) -> bool {
-        let (Some(patience), Some(moved)) = (self.stall_timeout(gap), self.moved) else {
+        let (Some(timeout), Some(last_rise)) = (self.stall_timeout(gap), self.last_rise) else {
             return false;
         };
-        now.since(moved) > patience && self.percent < NEARLY
+        now.since(last_rise) > timeout && self.percent < NEARLY_DONE_PERCENT
     }
 }
--- a/src/dispatch/queue.rs
+++ b/src/dispatch/queue.rs
@@ -8,54 +8,54 @@
 
 use crate::prelude::*;
 
-/// A batch at its owner.
+/// Identifies a batch at its owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Handle(pub u64);
 
-/// Whose turn it is.
+/// The first criterion of the order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Turn {
-    /// It has waited long past its time.
+enum Urgency {
+    /// Overdue for longer than [`OVERDUE_AFTER`].
     Overdue,
-    /// It can still be on time.
+    /// It can still start on time.
     OnTime,
-    /// Its time has passed.
+    /// Its due time has passed.
     Late,
 }
 
-/// How long a task waits past its time at the most before it goes in front of all others: a job with much work, or of a queue with
-/// a low priority, would wait for as long as others come.
-const OVERDUE: Span = Span::seconds(5);
+/// Time past its due time after which a task goes first. Without this limit, large jobs and those of low priority
+/// could wait for as long as others arrive.
+const OVERDUE_AFTER: Span = Span::seconds(5);
 
-/// Where a task stands: by its turn, then what its operator puts first, then what takes little.
+/// A task's position in the order: by urgency, then by priority, then by the work of its job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
-    turn: Turn,
-    /// Its queue's priority: zero goes first.
+struct Position {
+    urgency: Urgency,
+    /// The priority of its job's queue; zero goes first.
     priority: u32,
-    /// The work of its whole job.
+    /// The work of its whole job, in core-milliseconds.
     job: u64,
-    /// When it must start to be on time; of late ones, when it would have had to.
+    /// When it must start, or had to start, to be on time.
     due: Time,
     batch: Handle,
     index: u32,
 }
 
-/// A task that waits.
+/// A queued task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Waiting {
     /// Its batch.
     pub batch: Handle,
-    /// Its place in its step.
+    /// Its index in its step.
     pub index: u32,
 }
 
-/// What decides between tasks that wait.
+/// The properties of a queued task that decide its position.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Claim {
+pub struct Rank {
     /// When it must start to be on time.
     pub due: Time,
-    /// Its queue's: zero goes first.
+    /// The priority of its job's queue; zero goes first.
     pub priority: u32,
     /// The work of its whole job, in core-milliseconds.
     pub job: u64,
@@ -63,23 +63,23 @@
     pub work: u64,
 }
 
-impl Claim {
-    fn turn(&self, now: Time) -> Turn {
+impl Rank {
+    fn urgency(&self, now: Time) -> Urgency {
         match self.due {
-            due if due > now => Turn::OnTime,
-            due if due + OVERDUE > now => Turn::Late,
-            _ => Turn::Overdue,
+            due if due > now => Urgency::OnTime,
+            due if due + OVERDUE_AFTER > now => Urgency::Late,
+            _ => Urgency::Overdue,
         }
     }
 
-    fn place(&self, waiting: Waiting, now: Time) -> Place {
-        let turn = self.turn(now);
-        let (priority, job) = match turn {
-            Turn::Overdue => (0, 0),
+    fn position(&self, waiting: Waiting, now: Time) -> Position {
+        let urgency = self.urgency(now);
+        let (priority, job) = match urgency {
+            Urgency::Overdue => (0, 0),
             _ => (self.priority, self.job),
         };
-        Place {
-            turn,
+        Position {
+            urgency,
             priority,
             job,
             due: self.due,
@@ -89,7 +89,7 @@
     }
 }
 
-impl Place {
+impl Position {
     fn waiting(&self) -> Waiting {
         Waiting {
             batch: self.batch,
@@ -97,93 +97,92 @@
         }
     }
 
-    /// Returns when its turn changes.
-    fn until(&self) -> Option<Time> {
-        match self.turn {
-            Turn::OnTime => Some(self.due),
-            Turn::Late => Some(self.due + OVERDUE),
-            Turn::Overdue => None,
+    /// Returns when its urgency changes.
+    fn changes_at(&self) -> Option<Time> {
+        match self.urgency {
+            Urgency::OnTime => Some(self.due),
+            Urgency::Late => Some(self.due + OVERDUE_AFTER),
+            Urgency::Overdue => None,
         }
     }
 }
 
-/// Tasks that wait, the one that goes first in front.
+/// Queued tasks, in the order in which they start.
 ///
-/// When more arrives than can be served, an order by due time alone makes everything late together: each task
-/// gets its room just after its time. So a task whose time has passed goes behind all that can still be on
-/// time; it is served when these leave room. Among those that are alike in that, the queue's priority decides, and then the job that
-/// takes least: so most callers are served with the room that there is.
+/// Under overload, an order by due time alone would make every task late, each by a little. So late tasks go
+/// behind those that can still be on time. Within each group the priority decides, and then the smallest job goes
+/// first, which serves the most callers with the available room.
 #[derive(Debug, Default)]
 pub struct Queue {
-    places: BTreeMap<Place, Claim>,
-    by_task: HashMap<(Handle, u32), Place>,
-    /// When the turns of those change that aren't overdue.
+    positions: BTreeMap<Position, Rank>,
+    by_task: HashMap<(Handle, u32), Position>,
+    /// When the urgency of each task changes that isn't overdue.
     changes: BTreeSet<(Time, Handle, u32)>,
     work: u64,
 }
 
 impl Queue {
-    /// Adds a task.
-    pub fn push(&mut self, waiting: Waiting, claim: Claim, now: Time) {
+    /// Adds a task, or replaces it if it is queued already.
+    pub fn push(&mut self, waiting: Waiting, rank: Rank, now: Time) {
         self.remove(waiting);
-        self.insert(claim.place(waiting, now), claim);
+        self.insert(rank.position(waiting, now), rank);
     }
 
-    fn insert(&mut self, place: Place, claim: Claim) {
-        let Waiting { batch, index } = place.waiting();
-        self.work += claim.work;
-        self.by_task.insert((batch, index), place);
-        self.places.insert(place, claim);
-        if let Some(until) = place.until() {
-            self.changes.insert((until, batch, index));
+    fn insert(&mut self, position: Position, rank: Rank) {
+        let Waiting { batch, index } = position.waiting();
+        self.work += rank.work;
+        self.by_task.insert((batch, index), position);
+        self.positions.insert(position, rank);
+        if let Some(at) = position.changes_at() {
+            self.changes.insert((at, batch, index));
         }
     }
 
-    /// Takes a task out; returns whether it waited.
+    /// Removes a task. Returns whether it was queued.
     pub fn remove(&mut self, waiting: Waiting) -> bool {
-        self.take(waiting).is_some()
+        self.extract(waiting).is_some()
     }
 
-    fn take(&mut self, waiting: Waiting) -> Option<Claim> {
+    fn extract(&mut self, waiting: Waiting) -> Option<Rank> {
         let Waiting { batch, index } = waiting;
-        let place = self.by_task.remove(&(batch, index))?;
-        if let Some(until) = place.until() {
-            self.changes.remove(&(until, batch, index));
+        let position = self.by_task.remove(&(batch, index))?;
+        if let Some(at) = position.changes_at() {
+            self.changes.remove(&(at, batch, index));
         }
-        let claim = self.places.remove(&place)?;
-        self.work -= claim.work;
-        Some(claim)
+        let rank = self.positions.remove(&position)?;
+        self.work -= rank.work;
+        Some(rank)
     }
 
-    /// Moves those whose turn has changed: late ones behind the others, overdue ones to the front.
-    pub fn turn(&mut self, now: Time) {
-        while let Some((until, batch, index)) = self.changes.first().copied() {
-            if until > now {
+    /// Moves the tasks whose urgency has changed: late ones back, overdue ones to the front.
+    pub fn update(&mut self, now: Time) {
+        while let Some((at, batch, index)) = self.changes.first().copied() {
+            if at > now {
                 return;
             }
             let waiting = Waiting { batch, index };
-            if let Some(claim) = self.take(waiting) {
-                self.insert(claim.place(waiting, now), claim);
+            if let Some(rank) = self.extract(waiting) {
+                self.insert(rank.position(waiting, now), rank);
             }
         }
     }
 
     /// Returns the tasks in their order.
     pub fn iter(&self) -> impl DoubleEndedIterator<Item = Waiting> + '_ {
-        self.places.keys().map(Place::waiting)
+        self.positions.keys().map(Position::waiting)
     }
 
-    /// Counts the tasks.
+    /// Returns the number of tasks.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
-    /// Tells whether nothing waits.
+    /// Returns whether no task is queued.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 
-    /// Returns the work that waits, in core-milliseconds.
+    /// Returns the work of all queued tasks, in core-milliseconds.
     pub fn work(&self) -> u64 {
         self.work
     }
--- a/tests/dispatch/overload.rs
+++ b/tests/dispatch/overload.rs
@@ -7,9 +7,9 @@
         id::JobId,
         message::Answer,
         queue::{
-            Claim,
             Handle,
             Queue,
+            Rank,
             Waiting, //
         },
     },
@@ -104,7 +104,7 @@
         batch: Handle(n),
         index: 0,
     };
-    let claim = |due: Time| Claim {
+    let claim = |due: Time| Rank {
         due,
         priority: 0,
         job: 5,
@@ -115,7 +115,7 @@
     }
     let order = |queue: &Queue| queue.iter().map(|w| w.batch.0).collect::<Vec<u64>>();
     assert_eq!(order(&queue), [2, 1, 3]);
-    queue.turn(at(40));
+    queue.update(at(40));
     assert_eq!(order(&queue), [3, 2, 1]);
     assert_eq!(queue.work(), 15);
     assert!(queue.remove(waiting(2)));
@@ -195,7 +195,7 @@
         batch: Handle(n),
         index: 0,
     };
-    let claim = |due: u64, priority: u32, job: u64| Claim {
+    let claim = |due: u64, priority: u32, job: u64| Rank {
         due: at(due),
         priority,
         job,
@@ -207,7 +207,7 @@
     }
     let order = |queue: &Queue| queue.iter().map(|w| w.batch.0).collect::<Vec<u64>>();
     assert_eq!(order(&queue), [3, 2, 1]);
-    queue.turn(at(100));
+    queue.update(at(100));
     assert_eq!(order(&queue), [3, 2, 1]);
     queue.push(waiting(4), claim(200, 2, 90), at(100));
     assert_eq!(
@@ -215,7 +215,7 @@
         [4, 3, 2, 1],
         "what can be on time goes first"
     );
-    queue.turn(at(6_000));
+    queue.update(at(6_000));
     queue.push(waiting(5), claim(6_100, 0, 1), at(6_000));
     assert_eq!(order(&queue), [1, 2, 3, 4, 5], "none waits for ever");
 }
