--- a/tests/owner.rs
+++ b/tests/owner.rs
@@ -1,4 +1,4 @@
-//! The owner of racks and its endpoints by themselves: safeguards that a whole world seldom puts to the test.
+//! Safeguards of the owner and its endpoints, tested without a simulated cluster.
 
 use poplarknot::{
     dispatch::{
@@ -101,13 +101,13 @@
     }
 }
 
-/// An owner of one rack with one endpoint, and the calls that it wants made.
-struct Bench {
+/// An owner of one rack with one endpoint.
+struct TestOwner {
     owner: Owner,
     rack: RackId,
 }
 
-impl Bench {
+impl TestOwner {
     fn new(slots: u64) -> Self {
         let own = contact("own");
         let mut owner = Owner::new(&own.name);
@@ -116,23 +116,24 @@
         let rack = listing.rack_id();
         owner.claim(rack, Token::new(Epoch(1), 1), &mut out);
         owner.update_endpoints(&[listing], START, &mut out);
-        let mut bench = Self { owner, rack };
-        bench.work(START);
-        bench
+        let mut test = Self { owner, rack };
+        test.process_due(START);
+        test
     }
 
-    /// An owner of one slot with a batch of an entry that it hears, and the contacts of that entry and of its next owner.
+    /// Returns an owner of one slot with a batch of a live entry, that entry's contact, and the rack's next
+    /// owner's.
     fn with_batch(tasks: Vec<u32>) -> (Self, Contact, Contact) {
-        let mut bench = Self::new(1);
+        let mut test = Self::new(1);
         let (entry, next) = (contact("entry"), contact("next"));
         let mut out = Effects::default();
-        bench.owner.mark_entry_alive(&entry.name);
-        bench.owner.accept(&entry, batch(1, tasks), START, &mut out);
-        (bench, entry, next)
+        test.owner.mark_entry_alive(&entry.name);
+        test.owner.accept(&entry, batch(1, tasks), START, &mut out);
+        (test, entry, next)
     }
 
-    /// Lets the owner work, and answers every look that leaves with what `running` lists; returns all orders.
-    fn work(&mut self, now: Time) -> Vec<Order> {
+    /// Lets the owner do what is due, answers polls with empty lists and confirms all else. Returns the orders.
+    fn process_due(&mut self, now: Time) -> Vec<Order> {
         let mut orders = Vec::new();
         let mut out = Effects::default();
         self.owner.process_due(now, &mut out);
@@ -164,12 +165,12 @@
     orders.iter().filter(is_start).count()
 }
 
-/// A new owner finds a run on an endpoint that it doesn't know, left by a dead one. It must not extend the run's lease,
-/// nor start anything there, until the run is gone: its caller comes again elsewhere soon.
+/// A new owner must not extend the lease of a dead owner's run, nor start anything beside it: its caller submits
+/// the job elsewhere, and the task would run twice.
 #[test]
-fn unknown_runs_are_cleared_first() {
+fn unknown_runs_are_stopped_first() {
     let mut state = State::claim(listing(4), Token(5), START);
-    let order = state.look(CallId(1), START).unwrap();
+    let order = state.poll(CallId(1), START).unwrap();
     assert!(matches!(order, Order::Look { lease: None, .. }));
     let task = TaskId {
         job: JobId(1),
@@ -187,28 +188,28 @@
         running: vec![unknown_run],
         ..Lists::default()
     };
-    let (_, unknown) = state.looked(CallId(1), START, lists, now);
+    let (_, unknown) = state.on_poll_answer(CallId(1), START, lists, now);
     assert_eq!(unknown.len(), 1);
-    assert!(!state.takes(now));
+    assert!(!state.accepts_tasks(now));
     let later = now + Span::millis(60);
-    let order = state.look(CallId(2), later).unwrap();
+    let order = state.poll(CallId(2), later).unwrap();
     assert!(matches!(order, Order::Look { lease: None, .. }));
-    state.looked(CallId(2), later, Lists::default(), later);
+    state.on_poll_answer(CallId(2), later, Lists::default(), later);
     assert_eq!(state.standing, Standing::Open);
-    assert!(state.takes(later));
+    assert!(state.accepts_tasks(later));
 }
 
-/// An endpoint refuses connections. The first look that fails may be its connection's fault and is made again at once; the
-/// next ones leave time between them. Each is refused at once, so that they came thousands of times a second otherwise.
+/// An endpoint that refuses connections does so at once. Without backoff it would be polled thousands of times a
+/// second.
 #[test]
-fn failed_looks_leave_time_between_them() {
+fn failed_polls_back_off() {
     let mut state = State::claim(listing(4), Token(5), START);
-    state.look(CallId(1), START).unwrap();
+    state.poll(CallId(1), START).unwrap();
     let lists = Lists {
         clock: 7,
         ..Lists::default()
     };
-    state.looked(CallId(1), START, lists, START);
+    state.on_poll_answer(CallId(1), START, lists, START);
     assert_eq!(state.standing, Standing::Open);
     let task = TaskId {
         job: JobId(1),
@@ -217,52 +218,50 @@
     };
     let execution = Execution::new(Handle(1), Run::FIRST, listing(1).capacity, Span::millis(60));
     state.start(task, execution, String::new(), START).unwrap();
-    let mut looks = 0;
+    let mut polls = 0;
     for n in 0..100 {
         let now = START + Span::millis(n);
-        if state.next_look() <= now && state.look(CallId(n + 2), now).is_some() {
-            looks += 1;
-            state.unanswered(&Reply::Silent);
-            state.silent(CallId(n + 2), now);
+        if state.next_poll() <= now && state.poll(CallId(n + 2), now).is_some() {
+            polls += 1;
+            state.on_unanswered(&Reply::Silent);
+            state.on_poll_unanswered(CallId(n + 2), now);
         }
     }
-    assert!(looks <= 4, "{looks} looks in 100 ms");
+    assert!(polls <= 4, "{polls} polls in 100 ms");
 }
 
-/// A batch comes from an entry that the owner doesn't hear: the message may have lain in a buffer while the entry gave the
-/// owner up and placed its tasks elsewhere. Nothing starts until the entry is heard.
+/// A batch may lie in a buffer while its entry gives the owner up and places the tasks elsewhere. They would run
+/// twice if the owner didn't wait for the entry's heartbeat.
 #[test]
-fn unheard_entries_get_no_start() {
-    let mut bench = Bench::new(4);
+fn tasks_of_silent_entries_do_not_start() {
+    let mut test = TestOwner::new(4);
     let entry = contact("entry");
     let mut out = Effects::default();
-    bench
-        .owner
+    test.owner
         .accept(&entry, batch(1, vec![0, 1]), START, &mut out);
-    assert_eq!(starts(&bench.work(START)), 0);
-    bench.owner.mark_entry_alive(&entry.name);
-    assert_eq!(starts(&bench.work(START)), 2);
+    assert_eq!(starts(&test.process_due(START)), 0);
+    test.owner.mark_entry_alive(&entry.name);
+    assert_eq!(starts(&test.process_due(START)), 2);
 }
 
-/// Of a batch one task has ended, and the other, which waits, is given to a rack that has room. The entry must be
-/// told that what was kept is done: otherwise its caller waits until the batch is missed.
+/// One task of a batch is done, and the other is returned for another rack. Without a report of the first, the
+/// caller would wait until its deadline.
 #[test]
-fn kept_part_of_a_batch_is_told() {
-    let mut bench = Bench::new(1);
+fn finished_part_of_a_batch_is_reported() {
+    let mut test = TestOwner::new(1);
     let own = contact("own");
     let mut out = Effects::default();
-    bench
-        .owner
+    test.owner
         .accept(&own, batch(1, vec![0, 1]), START, &mut out);
-    assert_eq!(starts(&bench.work(START)), 1);
+    assert_eq!(starts(&test.process_due(START)), 1);
     let task = TaskId {
         job: JobId(1),
         step: 0,
         index: 0,
     };
     let mut out = Effects::default();
-    bench.owner.process_due(START + Span::millis(130), &mut out);
-    let look = out.outputs.iter().find_map(|output| match output {
+    test.owner.process_due(START + Span::millis(130), &mut out);
+    let poll = out.outputs.iter().find_map(|output| match output {
         Output::Call {
             call,
             order: Order::Look { .. },
@@ -284,18 +283,16 @@
         ..Lists::default()
     });
     let mut out = Effects::default();
-    bench
-        .owner
-        .on_reply(look.unwrap(), now, reply, now, &mut out);
+    test.owner
+        .on_reply(poll.unwrap(), now, reply, now, &mut out);
     let to = RackId::of("cells", "a", "other");
     let room = Room {
         cpu: 4_000,
         memory: 100,
         gpu: 0,
     };
-    bench
-        .owner
-        .reassign_waiting(bench.rack, to, vec![room], &mut out);
+    test.owner
+        .reassign_waiting(test.rack, to, vec![room], &mut out);
     let returned = |l: &Message| matches!(l, Message::Returned { tasks, .. } if tasks == &[1]);
     assert!(out.messages.iter().any(|(_, message)| returned(message)));
     let done = |l: &Message| {
@@ -307,18 +304,17 @@
     assert!(out.messages.iter().any(|(_, message)| done(message)));
 }
 
-/// A rack is on its way from one owner to the next when the entry of a batch there gives it up. Neither has it, and neither
-/// may say that nothing of it was started: the entry told its caller that nothing was run, although a task had. The next
-/// owner stops what comes of it; else the task would run on for nobody.
+/// An entry cancels a batch while its rack is in transit between owners. If either owner reported that nothing
+/// was started, the caller would be told so although a task ran. The new owner must stop the task.
 #[test]
-fn batch_on_its_way_is_given_up_in_doubt() {
-    let (mut bench, entry, next) = Bench::with_batch(vec![0]);
+fn cancelled_batch_in_transit_is_reported_unknown() {
+    let (mut test, entry, next) = TestOwner::with_batch(vec![0]);
     let mut out = Effects::default();
-    assert_eq!(starts(&bench.work(START)), 1);
-    let handover = bench.owner.hand_over(bench.rack, &next, START, &mut out);
+    assert_eq!(starts(&test.process_due(START)), 1);
+    let handover = test.owner.hand_over(test.rack, &next, START, &mut out);
     let mut receiver = Owner::new(&next.name);
     receiver.mark_entry_alive(&entry.name);
-    for owner in [&mut bench.owner, &mut receiver] {
+    for owner in [&mut test.owner, &mut receiver] {
         let mut out = Effects::default();
         owner.cancel(&entry, 1, START, &mut out);
         let [(to, Message::Unknown(serials))] = &out.messages[..] else {
@@ -339,13 +335,13 @@
     assert!(receiver.is_idle());
 }
 
-/// A batch comes with a rack from an entry that has begun a new session with the next owner, and one of its tasks has ended.
-/// The next owner drops it, and tells which task had ended: it would be run again.
+/// A new owner drops a batch of an entry that began a new session. A task that is done would run again if it
+/// weren't reported.
 #[test]
-fn unwanted_batch_tells_what_had_ended() {
-    let (mut bench, entry, next) = Bench::with_batch(vec![1]);
+fn unwanted_batch_reports_finished_tasks() {
+    let (mut test, entry, next) = TestOwner::with_batch(vec![1]);
     let mut out = Effects::default();
-    let handover = bench.owner.hand_over(bench.rack, &next, START, &mut out);
+    let handover = test.owner.hand_over(test.rack, &next, START, &mut out);
     let mut handover = handover.unwrap();
     handover.batches[0].done = vec![0];
     let mut receiver = Owner::new(&next.name);
@@ -354,30 +350,29 @@
     let token = Token::new(Epoch(2), 2);
     let mut out = Effects::default();
     receiver.take_over(handover, token, &[listing(1)], START, &mut out);
-    let told = |(_, message): &(Contact, Message)| matches!(message, Message::Report { done, .. } if done == &[0]);
-    assert!(out.messages.iter().any(told), "{:?}", out.messages);
+    let reported = |(_, message): &(Contact, Message)| matches!(message, Message::Report { done, .. } if done == &[0]);
+    assert!(out.messages.iter().any(reported), "{:?}", out.messages);
 }
 
-/// A task that waits is sent back, the rack goes to another owner, and the other task of the batch ends there. The entry
-/// may hear the next owner first: its report names the task that ended, and no other.
+/// A task is returned, then the rack is handed over, and the other task of the batch ends. A report that named
+/// both would count the returned one as done.
 #[test]
 fn report_after_a_handover_names_what_ended() {
-    let (mut bench, entry, next) = Bench::with_batch(vec![0, 1]);
+    let (mut test, entry, next) = TestOwner::with_batch(vec![0, 1]);
     let mut out = Effects::default();
-    assert_eq!(starts(&bench.work(START)), 1);
+    assert_eq!(starts(&test.process_due(START)), 1);
     let room = listing(4).capacity;
     let elsewhere = RackId::of("cells", "a", "other");
-    bench
-        .owner
-        .reassign_waiting(bench.rack, elsewhere, vec![room], &mut out);
-    let handover = bench.owner.hand_over(bench.rack, &next, START, &mut out);
+    test.owner
+        .reassign_waiting(test.rack, elsewhere, vec![room], &mut out);
+    let handover = test.owner.hand_over(test.rack, &next, START, &mut out);
     let mut receiver = Owner::new(&next.name);
     receiver.mark_entry_alive(&entry.name);
     let token = Token::new(Epoch(2), 2);
     receiver.take_over(handover.unwrap(), token, &[listing(1)], START, &mut out);
     let mut out = Effects::default();
     receiver.process_due(START, &mut out);
-    let look = out.outputs.iter().find_map(|output| match output {
+    let poll = out.outputs.iter().find_map(|output| match output {
         Output::Call { call, .. } => Some(*call),
         _ => None,
     });
@@ -399,7 +394,7 @@
         ..Lists::default()
     });
     let mut out = Effects::default();
-    receiver.on_reply(look.unwrap(), START, reply, START, &mut out);
+    receiver.on_reply(poll.unwrap(), START, reply, START, &mut out);
     let reported = out.messages.iter().find_map(|(_, message)| match message {
         Message::Report { outcome, done, .. } => Some((*outcome, done.clone())),
         _ => None,
@@ -407,10 +402,10 @@
     assert_eq!(reported, Some((Outcome::Done, vec![0])));
 }
 
-/// An instance stands still for three seconds. Before it does anything else it takes its racks as lost: others own them
-/// by now, and what waits in its buffers is old.
+/// After a pause of three seconds other instances own the racks. An instance that went on would fight over them
+/// with old messages.
 #[test]
-fn pause_voids_racks() {
+fn pause_drops_racks() {
     let identity = Identity {
         contact: contact("own"),
         centre: "a".to_owned(),
@@ -436,24 +431,24 @@
     assert!(!outputs.iter().any(|o| matches!(o, Output::Call { .. })));
 }
 
-/// A rack fills up, and later has space again. Both are told to the others at once: until then they send tasks to wait there while
-/// endpoints elsewhere have nothing to do, or leave its endpoints idle.
+/// A rack that fills up or has space again must be told at once. Other instances would queue tasks at the full
+/// rack, or leave the free one idle.
 #[test]
-fn racks_that_fill_up_are_told_at_once() {
-    let mut bench = Bench::new(1);
+fn full_racks_are_reported_at_once() {
+    let mut test = TestOwner::new(1);
     let own = contact("own");
     let mut out = Effects::default();
-    bench.owner.take_room_updates(true, START);
-    assert!(!bench.owner.has_space_changes(START));
-    bench.owner.accept(&own, batch(1, vec![0]), START, &mut out);
-    assert_eq!(starts(&bench.work(START)), 1);
-    assert!(bench.owner.has_space_changes(START), "it has filled up");
-    assert!(bench.owner.take_room_updates(false, START)[0].free[0].cpu == 0);
-    assert!(!bench.owner.has_space_changes(START), "that is told");
+    test.owner.take_room_updates(true, START);
+    assert!(!test.owner.has_space_changes(START));
+    test.owner.accept(&own, batch(1, vec![0]), START, &mut out);
+    assert_eq!(starts(&test.process_due(START)), 1);
+    assert!(test.owner.has_space_changes(START), "it has filled up");
+    assert!(test.owner.take_room_updates(false, START)[0].free[0].cpu == 0);
+    assert!(!test.owner.has_space_changes(START), "the update is sent");
     let mut out = Effects::default();
-    bench.owner.cancel(&own, 1, START, &mut out);
+    test.owner.cancel(&own, 1, START, &mut out);
     let stopped = START + Span::millis(1);
-    bench.work(stopped);
+    test.process_due(stopped);
     for output in out.outputs {
         let Output::Call {
             call,
@@ -466,20 +461,19 @@
         let reply = Reply::Done {
             clock: stopped.0 / 1_000,
         };
-        bench
-            .owner
+        test.owner
             .on_reply(call, stopped, reply, stopped, &mut Effects::default());
     }
     let later = stopped + Span::millis(130);
-    bench.work(later);
-    assert!(bench.owner.has_space_changes(later), "it has space again");
+    test.process_due(later);
+    assert!(test.owner.has_space_changes(later), "it has space again");
 }
 
-/// A wide task waits on a rack whose only endpoint has less room than that, and a narrow one elsewhere that would fit. The rack asks for it: while
-/// it asked only where nothing waited, what its endpoints had left over in pieces lay idle.
+/// A rack whose only queued task is too large for the free room must still ask for smaller tasks of other racks,
+/// or the room stays unused.
 #[test]
 fn room_that_is_too_small_for_what_waits_is_offered() {
-    let mut bench = Bench::new(4);
+    let mut test = TestOwner::new(4);
     let own = contact("own");
     let mut out = Effects::default();
     let wide = |serial: u64, cpu: u64| Batch {
@@ -490,48 +484,47 @@
         },
         ..batch(serial, vec![0])
     };
-    bench.owner.accept(&own, wide(1, 2_500), START, &mut out);
-    bench.owner.accept(&own, wide(2, 3_000), START, &mut out);
-    assert_eq!(starts(&bench.work(START)), 1);
-    let spacious = bench.owner.racks_with_space(START);
+    test.owner.accept(&own, wide(1, 2_500), START, &mut out);
+    test.owner.accept(&own, wide(2, 3_000), START, &mut out);
+    assert_eq!(starts(&test.process_due(START)), 1);
+    let spacious = test.owner.racks_with_space(START);
     assert_eq!(spacious.len(), 1, "it asks for what others have waiting");
     assert_eq!(spacious[0].1[0].cpu, 1_500);
 }
 
-/// The only endpoint of a rack refuses a start as unwell, and rests for half a second. Nothing else happens that the owner hears of: the
-/// task that waits starts within 10 ms of the rest's end all the same.
+/// A pause of an endpoint ends without any event. A queued task must start within the review interval all the
+/// same.
 #[test]
-fn waiting_task_starts_when_a_rest_is_over() {
-    let mut bench = Bench::new(1);
+fn waiting_task_starts_when_a_pause_ends() {
+    let mut test = TestOwner::new(1);
     let own = contact("own");
     let mut out = Effects::default();
-    bench.owner.accept(&own, batch(1, vec![0]), START, &mut out);
+    test.owner.accept(&own, batch(1, vec![0]), START, &mut out);
     let mut out = Effects::default();
-    bench.owner.process_due(START, &mut out);
+    test.owner.process_due(START, &mut out);
     for output in out.outputs {
         if let Output::Call { call, .. } = output {
             let reply = Reply::Unwell;
-            bench
-                .owner
+            test.owner
                 .on_reply(call, START, reply, START, &mut Effects::default());
         }
     }
-    let rest = START + Span::millis(500);
+    let pause_end = START + Span::millis(500);
     let mut at = START;
     let mut first = None;
-    while first.is_none() && at < rest + Span::millis(50) {
+    while first.is_none() && at < pause_end + Span::millis(50) {
         at = at + Span::millis(1);
-        first = (starts(&bench.work(at)) > 0).then_some(at);
+        first = (starts(&test.process_due(at)) > 0).then_some(at);
     }
     let first = first.expect("the task starts");
-    assert!(first >= rest && first <= rest + Span::millis(10));
+    assert!(first >= pause_end && first <= pause_end + Span::millis(10));
 }
 
-/// A task fails on one of two endpoints, and the other leaves. It runs again where it failed: kept for an endpoint that may start
-/// nothing, it would wait until its caller gives up.
+/// A task fails on one of two endpoints, and the other one drains. It must run again where it failed, or it would
+/// wait until its caller's deadline.
 #[test]
 fn failed_task_runs_again_where_nothing_else_can_run_it() {
-    let mut bench = Bench::new(4);
+    let mut test = TestOwner::new(4);
     let own = contact("own");
     let leaving = Listing {
         id: "w-2".parse().unwrap(),
@@ -539,11 +532,10 @@
         ..listing(4)
     };
     let mut out = Effects::default();
-    bench
-        .owner
+    test.owner
         .update_endpoints(&[listing(4), leaving], START, &mut out);
-    bench.owner.accept(&own, batch(1, vec![0]), START, &mut out);
-    assert_eq!(starts(&bench.work(START)), 1);
+    test.owner.accept(&own, batch(1, vec![0]), START, &mut out);
+    assert_eq!(starts(&test.process_due(START)), 1);
     let failed = Ended {
         serial: 1,
         task: Name::Known(TaskId {
@@ -556,7 +548,7 @@
     };
     let now = START + Span::millis(130);
     let mut out = Effects::default();
-    bench.owner.process_due(now, &mut out);
+    test.owner.process_due(now, &mut out);
     for output in out.outputs {
         if let Output::Call { call, endpoint, .. } = output {
             let ended = (endpoint == listing(4).id).then(|| failed.clone());
@@ -566,10 +558,9 @@
                 ..Lists::default()
             };
             let reply = Reply::Looked(lists);
-            bench
-                .owner
+            test.owner
                 .on_reply(call, now, reply, now, &mut Effects::default());
         }
     }
-    assert_eq!(starts(&bench.work(now)), 1);
+    assert_eq!(starts(&test.process_due(now)), 1);
 }
