--- a/tests/dispatch/crashes.rs
+++ b/tests/dispatch/crashes.rs
@@ -1,4 +1,4 @@
-//! Endpoints that crash and start again under the name that they had, tasks that crash them, and capacity that changes.
+//! Endpoints that crash and restart under the same name, tasks that crash endpoints, and capacity that changes.
 
 use poplarknot::{
     dispatch::{
@@ -17,17 +17,17 @@
     CALM, //
 };
 
-/// A job that crashes endpoints.
-const GUILTY: JobId = JobId(0xbad);
+/// A job that crashes its endpoints.
+const CRASHING_JOB: JobId = JobId(0xbad);
 
-/// Starts of a task that crashes its endpoints, after the third crash under it: one more breaks the platform's rule.
+/// Starts that may follow the third crash under a task, which is the last one that the platform allows.
 const AFTER_THREE: usize = 2;
 
-/// An endpoint crashes with what runs there, is back after 0.4 to 2 s under its own name, and counts its ends from one again; its
-/// clock is behind the former one, or ahead of it. Its row tells of that before the endpoint itself does, or long after. Every
-/// caller gets a complete answer; no end of the former life counts for the new one, nor is one of the new life passed over.
+/// Endpoints crash and restart under the same name after 0.4 to 2 s, with serial numbers that start again and a
+/// clock that differs either way. The platform's list tells so before the endpoint does, or long after. An end
+/// that is taken for one of another life would lose or repeat a task.
 #[test]
-fn endpoints_start_again_under_their_name() {
+fn endpoints_restart_under_their_name() {
     for seed in 0..12 {
         let mut world = World::new(seed, 3, 2, CALM);
         world.rows_lag([Span(0), Span::millis(40), Span::millis(1_500)][seed as usize % 3]);
@@ -43,8 +43,8 @@
     }
 }
 
-/// The same while an instance dies, another is asked to end and a third is cut off, so that racks change their owners between
-/// the lives of their endpoints, and orders are carried out late, some in the life after the one that they were meant for.
+/// The same beside a killed instance, a draining one and a partition. Racks change owners between the lives of
+/// their endpoints, and late orders reach a later life than the one that they were meant for.
 #[test]
 fn new_lives_among_other_faults() {
     for seed in 0..12 {
@@ -68,8 +68,8 @@
     }
 }
 
-/// Stored jobs run on endpoints that begin anew. An end that a former life listed isn't known to the new one, whose ends have the same
-/// numbers: what is stored of the one must not let the endpoint forget the other.
+/// Two lives of an endpoint list ends of stored jobs under the same serial numbers. An end that is stored for one
+/// life must not let the endpoint forget the other.
 #[test]
 fn stored_ends_of_two_lives_are_told_apart() {
     for seed in 0..8 {
@@ -87,42 +87,43 @@
     }
 }
 
-/// A task crashes each endpoint that starts it, among jobs of other callers. Two endpoints crash, then its job has failed and its caller
-/// is told so; what ran beside it runs again and is complete. Not one more endpoint is lost to it.
+/// A task crashes every endpoint that starts it. Its job fails with the second crash, so that it loses no third
+/// endpoint, and no other job fails.
 #[test]
 fn task_that_crashes_endpoints_fails_its_job() {
     let mut failed = 0;
     for seed in 0..12 {
         let mut world = World::new(seed, 3, 4, CALM);
         world.load(60, Span::millis(120));
-        world.crash_with(Span::millis(1_000), GUILTY, 2);
+        world.crash_with(Span::millis(1_000), CRASHING_JOB, 2);
         world.run(Span::seconds(16));
         world.settle();
         let crashes: usize = world.crashes.values().sum();
         assert!(crashes <= 2, "seed {seed}: {crashes} endpoints crashed");
-        let innocent = world.jobs.iter().filter(|(id, _)| **id != GUILTY);
+        let harmless = world.jobs.iter().filter(|(id, _)| **id != CRASHING_JOB);
         let told_failed = |answer: &Answer| *answer == Answer::Failed;
-        for (id, seen) in innocent {
+        for (id, seen) in harmless {
             assert!(
                 !seen.answer.as_ref().is_some_and(told_failed),
                 "{id} of seed {seed}"
             );
         }
-        failed += usize::from(world.jobs[&GUILTY].answer == Some(Answer::Failed));
+        failed += usize::from(world.jobs[&CRASHING_JOB].answer == Some(Answer::Failed));
     }
-    // Its caller waits 4 s; where the second endpoint is back later than that, it is told that the job was given up.
+    // Its caller waits 4 s, and is told that the job was given up if the second endpoint restarts later than
+    // that.
     assert!(failed >= 6, "{failed} of 12 were told failed");
 }
 
-/// Stored jobs have no time to be done in. One of them crashes its endpoints, while an owner, its entry or its coordinator dies:
-/// what they knew of it is lost with them. It has failed in the end, and was not started more often than the platform allows.
+/// Stored jobs have no deadline. One that crashes endpoints must fail in the end, also if an owner, entry or
+/// coordinator dies with what it knew, and start no more often than the platform allows.
 #[test]
 fn stored_task_that_crashes_endpoints_is_given_up() {
     for seed in 0..16 {
         let mut world = World::new(seed, 3, 4, CALM);
         world.store_jobs();
         world.load(30, Span::millis(150));
-        world.crash_with(Span::millis(800), GUILTY, 2);
+        world.crash_with(Span::millis(800), CRASHING_JOB, 2);
         if seed % 2 == 0 {
             let at = Span::millis(1_200 + 300 * seed);
             world.kill_at(at, seed as usize % 3, Span::millis(900));
@@ -136,41 +137,40 @@
         }
         let first = world.crashes.values().copied().max();
         assert!(first.is_some_and(|crashes| crashes >= 2), "seed {seed}");
-        world.settle_crashed(GUILTY);
+        world.settle_crashed(CRASHING_JOB);
     }
 }
 
-/// Three jobs crash endpoints at the same time, among many that don't. The innocent that ran beside them are cleared, and not taken for
-/// guilty themselves, though each lost a run. Fewer endpoints crash than twice for each guilty task, and no data centre is emptied.
+/// Three jobs crash endpoints at the same time. Tasks that ran beside them must not fail their jobs, and no data
+/// centre may lose all endpoints.
 #[test]
-fn innocent_tasks_are_cleared() {
+fn harmless_tasks_are_cleared() {
     for seed in 0..8 {
         let mut world = World::new(seed, 3, 6, CALM);
         world.load(60, Span::millis(100));
-        let guilty = [JobId(0xbad), JobId(0xbae), JobId(0xbaf)];
-        for job in guilty {
+        let crashing = [JobId(0xbad), JobId(0xbae), JobId(0xbaf)];
+        for job in crashing {
             world.crash_with(Span::millis(1_000), job, 3);
         }
         world.run(Span::seconds(16));
         world.settle();
         let crashes: usize = world.crashes.values().sum();
         assert!(crashes <= 6, "seed {seed}: {crashes}");
-        for (id, seen) in world.jobs.iter().filter(|(id, _)| !guilty.contains(id)) {
+        for (id, seen) in world.jobs.iter().filter(|(id, _)| !crashing.contains(id)) {
             assert_ne!(seen.answer, Some(Answer::Failed), "{id} of seed {seed}");
         }
     }
 }
 
-/// A job crashes endpoints, which then leave calls unanswered, as behind a cut. An innocent job's task ran beside it and goes on
-/// beside it again, before anybody knows that the first endpoint crashed. When both crashes are proved, only the guilty job has failed:
-/// the caller of the other one waits for a third run, which is alone, and gets its whole answer.
+/// A crashed endpoint leaves calls unanswered, as in a partition, so that a harmless task may share two crashes
+/// with a harmful one before the first is confirmed. It must get one more run, alone, rather than fail its job.
 #[test]
-fn innocent_task_that_shares_two_crashes_is_cleared() {
+fn harmless_task_that_shares_two_crashes_is_cleared() {
     for seed in 0..24 {
         let mut world = World::new(seed, 2, 2, CALM);
         world.crash_silently();
         world.load(12, Span::millis(250));
-        world.crash_with(Span::millis(1_000), GUILTY, 1);
+        world.crash_with(Span::millis(1_000), CRASHING_JOB, 1);
         world.run(Span::seconds(20));
         world.settle();
         for (task, crashes) in &world.crashes {
@@ -179,25 +179,24 @@
                 "{task} of seed {seed}: {crashes}"
             );
         }
-        for (id, seen) in world.jobs.iter().filter(|(id, _)| **id != GUILTY) {
+        for (id, seen) in world.jobs.iter().filter(|(id, _)| **id != CRASHING_JOB) {
             assert_ne!(seen.answer, Some(Answer::Failed), "{id} of seed {seed}");
         }
     }
 }
 
-/// Half of the endpoints are cut off, and start again behind the cut. What ran there is lost, and goes on; where it is sent to the other cut
-/// endpoints, since nobody had to talk to these meanwhile, its start never arrives. Both have a new life when the cut ends, but only
-/// one crashed under the task: no caller is told that its job has failed.
+/// Endpoints restart behind a partition. A start that never reached them must not count as a crash under its
+/// task, or jobs would fail that crash nothing.
 #[test]
-fn endpoints_that_start_again_behind_a_cut_convict_nothing() {
+fn restarts_behind_a_partition_fail_no_job() {
     for seed in 0..16 {
         let mut world = World::new(seed, 3, 4, CALM);
         world.load(12, Span::millis(60));
         for w in 0..16 {
             if (w + seed as usize).is_multiple_of(2) {
                 world.sever_at(Span::millis(800), w, Span::millis(2_500));
-                let again = Span::millis(900 + 90 * w as u64);
-                world.down_at(again, w, Span::millis(200), 0);
+                let restart = Span::millis(900 + 90 * w as u64);
+                world.down_at(restart, w, Span::millis(200), 0);
             }
         }
         world.run(Span::seconds(14));
@@ -208,8 +207,8 @@
     }
 }
 
-/// Endpoints that don't guard their capacity shrink while tasks run there, and grow again. No start brings one over what it has; what
-/// no longer fits there runs elsewhere.
+/// Endpoints that don't enforce their capacity shrink while tasks run there, and grow again. A start by an old
+/// capacity would overload them.
 #[test]
 fn capacity_shrinks_and_grows() {
     for seed in 0..10 {
@@ -225,8 +224,8 @@
     }
 }
 
-/// All endpoints of a data centre, and then of the other, become too small for what waits. It is sent to those that can still run it;
-/// what fits nowhere any more is refused at once.
+/// All endpoints become too small for the queued tasks, one data centre after the other. Tasks move to endpoints
+/// that can run them; jobs that fit nowhere must be refused at once rather than wait.
 #[test]
 fn what_fits_nowhere_is_refused() {
     let mut world = World::new(2, 3, 4, CALM);
--- a/tests/dispatch/endpoint.rs
+++ b/tests/dispatch/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint's stand-in for the dispatcher's tests: leases, fencing, runs and their ends, without sockets.
+//! A simulated endpoint for the dispatcher's tests: leases, fencing, runs and their ends, without sockets.
 
 use std::collections::{
     BTreeMap,
@@ -29,10 +29,10 @@
     prelude::*,
 };
 
-/// The longest lease that an endpoint gives.
+/// The longest lease that an endpoint grants, in milliseconds.
 const LONGEST_LEASE: u64 = 1_000;
 
-/// A run that has begun, for the judge.
+/// A run that was started, for the checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct RunRecord {
     pub task: TaskId,
@@ -41,72 +41,72 @@
     pub until: Option<Time>,
     pub done: bool,
     pub failed: bool,
-    /// Whether its endpoint crashed under it.
+    /// Whether its endpoint crashed during it.
     pub crashed: bool,
-    /// Whether its owner let the endpoint forget its end, before the endpoint's lease had passed.
+    /// Whether its owner let the endpoint forget its end before the endpoint's lease had expired.
     pub forgotten_early: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Active {
     run: Run,
-    /// How long it takes at full pace, and how much of that is done.
+    /// Its duration at full speed, and how much of that is done.
     takes: Span,
     done: Span,
-    /// Up to when that is known.
+    /// When `done` was updated.
     at: Time,
     fails: bool,
-    /// Its place in the history.
-    place: usize,
+    /// Its index in the history.
+    index: usize,
 }
 
-/// An endpoint.
+/// A simulated endpoint.
 #[derive(Debug)]
 pub(crate) struct Worker {
     pub listing: Listing,
-    /// Its clock runs this much slower than true time.
+    /// The share by which its clock is slower than true time.
     pub clock_lag: f64,
-    /// The share of a sound endpoint's speed at which its tasks come along; at zero they stand still.
+    /// The speed of its runs, as a share of a sound endpoint's; runs stall at zero.
     pub speed: f64,
-    /// When its clock was set, on true time in milliseconds, and to what.
+    /// When its clock was set, in milliseconds of true time, and to which value.
     origin: u64,
     ahead: u64,
     pub running: BTreeMap<TaskId, ActiveRun>,
     pub history: Vec<RunRecord>,
     pub up: bool,
-    /// Whether it fails what it starts.
+    /// Whether every run that it starts fails.
     pub failing: bool,
-    /// Whether it is down for a while, refuses connections, and is still listed.
+    /// Whether it refuses connections for a time while still listed.
     pub down: bool,
-    /// Whether it refuses what doesn't fit.
+    /// Whether it refuses starts that exceed its capacity.
     pub enforces_capacity: bool,
     ended: Vec<Ended>,
     serial: u64,
     lease: u64,
-    /// When its lease passed last.
-    lapsed: Time,
-    /// Where the runs of the ends that it lists are in the history.
-    places: HashMap<u64, usize>,
+    /// When its lease was last seen expired.
+    lease_ended: Time,
+    /// Indices in the history of the runs whose ends it lists, by serial number.
+    indices: HashMap<u64, usize>,
     token: Token,
     barred: HashMap<TaskId, Run>,
 }
 
-/// Keeps the fields of a run to this module.
+/// A run, with its fields private to this module.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ActiveRun(Active);
 
 impl Active {
-    fn advance(&mut self, pace: f64, now: Time) {
-        self.done = self.done + Span((now.since(self.at).0 as f64 * pace) as u64);
+    fn advance(&mut self, speed: f64, now: Time) {
+        self.done = self.done + Span((now.since(self.at).0 as f64 * speed) as u64);
         self.at = now;
     }
 }
 
 impl Worker {
-    pub(crate) fn new(listing: Listing, slow: f64) -> Self {
+    pub(crate) fn new(listing: Listing, clock_lag: f64) -> Self {
         Self {
             listing,
-            clock_lag: slow,
+            clock_lag,
             speed: 1.0,
             origin: 0,
             ahead: 5_000,
@@ -119,8 +119,8 @@
             ended: Vec::new(),
             serial: 0,
             lease: 0,
-            lapsed: Time::default(),
-            places: HashMap::new(),
+            lease_ended: Time::default(),
+            indices: HashMap::new(),
             token: Token::default(),
             barred: HashMap::new(),
         }
@@ -131,48 +131,48 @@
         (since * (1.0 - self.clock_lag)) as u64 + self.ahead
     }
 
-    /// Lets time pass: runs end, or their lease does.
+    /// Advances runs to `now`, and ends those that are complete or whose lease has expired.
     pub(crate) fn advance(&mut self, now: Time) {
-        let lapsed = self.clock(now) >= self.lease;
-        if lapsed {
-            self.lapsed = now;
+        let expired = self.clock(now) >= self.lease;
+        if expired {
+            self.lease_ended = now;
         }
-        let pace = self.speed;
+        let speed = self.speed;
         for run in self.running.values_mut() {
-            run.0.advance(pace, now);
+            run.0.advance(speed, now);
         }
-        let over: Vec<TaskId> = self
+        let ended: Vec<TaskId> = self
             .running
             .iter()
-            .filter(|(_, run)| run.0.done >= run.0.takes || lapsed)
+            .filter(|(_, run)| run.0.done >= run.0.takes || expired)
             .map(|(task, _)| *task)
             .collect();
-        for task in over {
+        for task in ended {
             let run = self.running[&task].0;
-            let how = match (run.done >= run.takes, run.fails) {
+            let kind = match (run.done >= run.takes, run.fails) {
                 (true, false) => End::Done,
                 (true, true) => End::Failed,
                 (false, _) => End::Lapsed,
             };
-            self.end(task, how, now);
+            self.end(task, kind, now);
         }
     }
 
-    fn end(&mut self, task: TaskId, how: End, now: Time) {
+    fn end(&mut self, task: TaskId, kind: End, now: Time) {
         let Some(run) = self.running.remove(&task) else {
             return;
         };
         self.serial += 1;
-        self.history[run.0.place].until = Some(now);
-        self.history[run.0.place].done = how == End::Done;
-        self.history[run.0.place].failed = how == End::Failed;
+        self.history[run.0.index].until = Some(now);
+        self.history[run.0.index].done = kind == End::Done;
+        self.history[run.0.index].failed = kind == End::Failed;
         self.bar(task, run.0.run);
-        self.places.insert(self.serial, run.0.place);
+        self.indices.insert(self.serial, run.0.index);
         self.ended.push(Ended {
             serial: self.serial,
             task: Name::Known(task),
             run: run.0.run,
-            end: how,
+            end: kind,
         });
     }
 
@@ -181,7 +181,7 @@
         *barred = (*barred).max(run);
     }
 
-    /// Starts again under the name that it had, with everything forgotten; `ahead` is what its clock shows then.
+    /// Restarts it under the same name, with all state lost and the clock at `ahead` milliseconds.
     pub(crate) fn restart(&mut self, now: Time, ahead: u64) {
         let history = std::mem::take(&mut self.history);
         let mut listing = self.listing.clone();
@@ -195,16 +195,16 @@
         };
     }
 
-    /// Tells how much is taken of it, by those that are being stopped too.
+    /// Returns the CPU that its runs take, those that are being stopped included.
     pub(crate) fn used_cpu(&self, needs: &HashMap<TaskId, Room>) -> u64 {
         self.running.keys().map(|task| needs[task].cpu).sum()
     }
 
-    /// Ends everything without a word, as a crash does.
+    /// Ends all runs without a trace, as a crash does.
     pub(crate) fn crash(&mut self, now: Time) {
         for run in std::mem::take(&mut self.running).into_values() {
-            self.history[run.0.place].until = Some(now);
-            self.history[run.0.place].crashed = true;
+            self.history[run.0.index].until = Some(now);
+            self.history[run.0.index].crashed = true;
         }
         self.up = false;
     }
@@ -216,7 +216,7 @@
         }
     }
 
-    fn room(&self, needs: &HashMap<TaskId, Room>) -> Room {
+    fn free_room(&self, needs: &HashMap<TaskId, Room>) -> Room {
         let mut room = self.listing.capacity;
         for task in self.running.keys() {
             room.take(&needs[task]);
@@ -224,7 +224,7 @@
         room
     }
 
-    /// Carries an order out.
+    /// Executes an order and returns the reply.
     pub(crate) fn execute(
         &mut self,
         order: &Order,
@@ -260,7 +260,7 @@
                 if *lease <= clock {
                     return refuse(Refusal::Late);
                 }
-                if self.enforces_capacity && !self.room(needs).fits(&needs[task]) {
+                if self.enforces_capacity && !self.free_room(needs).fits(&needs[task]) {
                     return refuse(Refusal::Full);
                 }
                 self.extend(Some(*lease), now);
@@ -270,7 +270,7 @@
                     done: Span(0),
                     at: now,
                     fails,
-                    place: self.history.len(),
+                    index: self.history.len(),
                 };
                 self.history.push(RunRecord {
                     task: *task,
@@ -300,16 +300,16 @@
             }
             Order::Look { lease, seen, .. } => {
                 self.extend(*lease, now);
-                self.note(*seen);
+                self.acknowledge(*seen);
                 self.poll_reply(now)
             }
         }
     }
 
-    fn note(&mut self, seen: u64) {
+    fn acknowledge(&mut self, seen: u64) {
         for end in self.ended.iter().filter(|end| end.serial <= seen) {
-            let past = &mut self.history[self.places[&end.serial]];
-            past.forgotten_early = past.until.is_some_and(|until| until > self.lapsed);
+            let past = &mut self.history[self.indices[&end.serial]];
+            past.forgotten_early = past.until.is_some_and(|until| until > self.lease_ended);
         }
         self.ended.retain(|end| end.serial > seen);
     }
@@ -318,7 +318,7 @@
         !self.ended.is_empty()
     }
 
-    /// Answers a look.
+    /// Returns the reply to a poll.
     pub(crate) fn poll_reply(&self, now: Time) -> Reply {
         let running = self.running.iter().map(|(task, run)| Running {
             task: Name::Known(*task),
