--- a/src/dispatch/endpoint.rs
+++ b/src/dispatch/endpoint.rs
@@ -83,11 +83,11 @@
 
 /// How many runs must fail in a row, of different jobs, before the endpoint is ejected. About one in five hundred
 /// runs fails on a sound endpoint.
-const MAX_FAILURES: u32 = 3;
+const EJECTION_FAILURES: u32 = 3;
 
 /// The first and the longest ejection of a failing endpoint; each one is twice as long as the last. After it, the
 /// endpoint is on probation with one task.
-const EJECTION: (Span, Span) = (Span::millis(1_000), Span::seconds(8));
+const EJECTION_TIME: (Span, Span) = (Span::millis(1_000), Span::seconds(8));
 
 /// A crash of an endpoint under a run, confirmed or not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -224,7 +224,7 @@
             executions: BTreeMap::new(),
             ejected_until: Time::default(),
             failures: (0, 0),
-            next_ejection: EJECTION.0,
+            next_ejection: EJECTION_TIME.0,
             probation: false,
             longest_progress_gap: None,
             last_progress: now,
@@ -740,7 +740,7 @@
         self.last_progress = now;
         self.failures = (0, 0);
         self.probation = false;
-        self.next_ejection = EJECTION.0;
+        self.next_ejection = EJECTION_TIME.0;
     }
 
     /// Records a failed run. Consecutive failures of one job count once: a job that fails everywhere is no sign
@@ -750,7 +750,7 @@
             return;
         }
         self.failures = (self.failures.0 + 1, job);
-        if self.failures.0 >= MAX_FAILURES || self.probation {
+        if self.failures.0 >= EJECTION_FAILURES || self.probation {
             self.eject(now);
         }
     }
@@ -758,7 +758,7 @@
     /// Ejects the endpoint for a time, and puts it on probation afterwards.
     pub fn eject(&mut self, now: Time) {
         self.ejected_until = now + self.next_ejection;
-        self.next_ejection = Span((self.next_ejection.0 * 2).min(EJECTION.1 .0));
+        self.next_ejection = Span((self.next_ejection.0 * 2).min(EJECTION_TIME.1 .0));
         self.probation = true;
     }
 
--- a/src/dispatch/endpoint/life.rs
+++ b/src/dispatch/endpoint/life.rs
@@ -20,8 +20,8 @@
     Fate,
     Standing,
     State,
-    EJECTION, //
-    LEASE,
+    EJECTION_TIME,
+    LEASE, //
 };
 use crate::prelude::*;
 
@@ -64,7 +64,7 @@
         self.standing = Standing::Claimed;
         self.next_poll = now;
         self.ejected_until = Time::default();
-        (self.failures, self.next_ejection, self.probation) = ((0, 0), EJECTION.0, false);
+        (self.failures, self.next_ejection, self.probation) = ((0, 0), EJECTION_TIME.0, false);
         self.confirm_crashes()
     }
 
--- a/src/dispatch/owner/handover.rs
+++ b/src/dispatch/owner/handover.rs
@@ -17,8 +17,8 @@
             Held,
             Listing,
             Message,
-            Record, //
-            Transferred,
+            Record,
+            Transferred, //
         },
         queue::Waiting, //
     },
--- a/src/dispatch/owner/room.rs
+++ b/src/dispatch/owner/room.rs
@@ -1,4 +1,4 @@
-//! Free room of racks as told to other instances, and tasks that move between racks.
+//! Free room of racks as reported to other instances, and tasks that move between racks.
 
 use std::collections::BTreeMap;
 
@@ -39,7 +39,7 @@
 
     /// Returns whether a rack has filled up, or has space again, since the last update.
     ///
-    /// Other instances send tasks to racks with space. Such a change is told early, so that tasks don't queue at
+    /// Other instances send tasks to racks with space. Such a change is sent early, so that tasks don't queue at
     /// a full rack while others are idle.
     pub fn has_space_changes(&self, now: Time) -> bool {
         let mut racks = self.racks.values();
@@ -62,7 +62,7 @@
     }
 
     /// Returns the room of racks where it has changed since the last update, or of all racks, and records it as
-    /// told.
+    /// sent.
     pub fn take_room_updates(&mut self, all: bool, now: Time) -> Vec<Vacancy> {
         let due = |rack: &Rack| {
             all || rack.room_changed || rack.reported_open != self.count_open(rack, now)
@@ -83,7 +83,7 @@
         rooms
     }
 
-    /// Returns the room of all racks, without recording it as told.
+    /// Returns the room of all racks, without recording it as sent.
     pub fn vacancies(&self, now: Time) -> Vec<Vacancy> {
         let racks = self.racks.iter();
         racks
--- a/src/dispatch/owner/suspects.rs
+++ b/src/dispatch/owner/suspects.rs
@@ -27,7 +27,7 @@
 use crate::prelude::*;
 
 /// Endpoints that may crash or fall silent under a task before it is held back.
-const MAX_UNEXPLAINED: u32 = 2;
+const HOLD_AFTER_LOSSES: u32 = 2;
 
 /// The longest time that a task is held back: a crashed endpoint is back within seconds, which confirms the
 /// crash.
@@ -71,7 +71,7 @@
         let Suspicion {
             crashes, silences, ..
         } = task_state.suspicion;
-        match crashes + silences < MAX_UNEXPLAINED {
+        match crashes + silences < HOLD_AFTER_LOSSES {
             true => self.requeue(task, handle, next, now),
             false => {
                 self.held_back.insert(task, (now + MAX_HOLD, handle));
