--- a/src/core/answer.rs
+++ b/src/core/answer.rs
@@ -1,15 +1,17 @@
-//! Answers that are given at several places.
+//! Constructors of answers that several modules use.
 
 use crate::prelude::*;
 
-/// When to come back after a refusal that no better estimate is known for.
+/// The default delay after which a caller may retry a refused request.
 pub(super) const RETRY_AFTER: Span = Span::millis(1_000);
 
+/// Adds the key of a submission to its answer.
 pub(super) fn with_key(mut answer: Answer, submission: &Submission) -> Answer {
     answer.key.clone_from(&submission.key);
     answer
 }
 
+/// Returns the refusal of a key that was used with another body.
 pub(super) fn conflict(key: &Key) -> Answer {
     Answer::refusal(
         Reason::Conflict,
@@ -18,7 +20,8 @@
     .with_key(key.clone())
 }
 
-pub(super) fn owner_gone() -> Answer {
+/// Returns the answer for a key whose owner can't be reached and that has no recorded outcome.
+pub(super) fn owner_unreachable() -> Answer {
     Answer::new(
         Outcome::Unknown,
         Reason::OwnerGone,
@@ -27,30 +30,31 @@
     .with_retry(RETRY_AFTER)
 }
 
-pub(super) fn not_known(key: &Key) -> Answer {
+/// Returns the answer for a key that isn't in the registry.
+pub(super) fn unknown_key(key: &Key) -> Answer {
     Answer::new(
         Outcome::Unknown,
         Reason::Forgotten,
-        format!("key {key} is not known to this instance"),
+        format!("key {key} is unknown to this instance"),
     )
     .with_key(key.clone())
 }
 
-/// Returns a refusal as it is where it is known to be true of the key, and in doubt otherwise.
-pub(super) fn refused(refusal: &Answer, sure: bool) -> Answer {
-    if sure {
+/// Returns a refusal unchanged if no earlier submission of the key can have run, and with outcome "unknown" otherwise.
+pub(super) fn qualify_refusal(refusal: &Answer, never_ran: bool) -> Answer {
+    if never_ran {
         refusal.clone()
     } else {
-        doubtful(refusal)
+        refusal_in_doubt(refusal)
     }
 }
 
-/// Turns a refusal into an answer that leaves open whether an earlier submission of the key ran.
-pub(super) fn doubtful(refusal: &Answer) -> Answer {
+/// Returns a refusal with outcome "unknown", since an earlier submission of the key may have run.
+pub(super) fn refusal_in_doubt(refusal: &Answer) -> Answer {
     let mut answer = refusal.clone();
     answer.outcome = Outcome::Unknown;
     answer.detail = format!(
-        "{}; this request started nothing, but whether an earlier one with its key did can't be told now",
+        "{}; this request started no task, but an earlier one with the same key may have",
         refusal.detail
     );
     answer
--- a/src/core/claim.rs
+++ b/src/core/claim.rs
@@ -1,8 +1,8 @@
-//! Claims: who may start a job, and what became of the keys that this incarnation owns.
+//! Claims on job keys, and the registry of the keys that this incarnation owns.
 //!
-//! A claim names one incarnation of one instance, and nobody else ever starts anything under it. There is no
-//! takeover, so no pause, lapse or late packet can race with one. What another instance may do with a claim
-//! is to answer for it, never to run it.
+//! A claim names one incarnation of one instance, and only that incarnation ever starts tasks under it. Claims are
+//! never taken over, so a paused process or a delayed packet can't start a job twice. Other instances may read the
+//! claim and the recorded outcome to answer for the job, but never run it.
 
 use std::{
     collections::{
@@ -25,60 +25,60 @@
     prelude::*, //
 };
 
-/// What an entry takes in memory beside its answer, roughly.
-const ENTRY: usize = 320;
+/// The estimated memory of a registry entry without its answer, in bytes.
+const ENTRY_BYTES: usize = 320;
 
-/// What an allocation takes beside its bytes, roughly.
-const ALLOCATION: usize = 32;
+/// The estimated overhead of a heap allocation, in bytes.
+const ALLOCATION_BYTES: usize = 32;
 
-/// How many epochs of ranges the kept window is divided into.
-const EPOCHS: u64 = 4;
+/// The number of epochs that the retention window and the memory limit are divided into.
+const EPOCHS_PER_WINDOW: u64 = 4;
 
-/// The row of the table that holds the claim of a key.
+/// Returns the table key of the row that holds the claim on a job key.
 pub fn claim_row_key(team: &Team, key: &Key) -> String {
     format!("claim/{team}/{key}")
 }
 
-/// The row of the table that holds the recorded outcome of a key.
+/// Returns the table key of the row that holds the recorded outcome of a job key.
 pub fn outcome_row_key(team: &Team, key: &Key) -> String {
     format!("outcome/{team}/{key}")
 }
 
-/// A claim as the table holds it.
+/// A claim as it is stored in the table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// The only incarnation that may start the job.
     pub owner: Incarnation,
-    /// The name of its instance, for those that haven't heard of the incarnation yet.
+    /// The name of the owner's instance, for peers that don't know the incarnation yet.
     pub name: Instance,
-    /// Tells this insert from any other.
+    /// A random number that identifies the insert, so that its writer recognizes it when the reply was lost.
     pub nonce: Nonce,
-    /// The digest of the body.
+    /// The digest of the request body.
     pub digest: Digest,
 }
 
-/// An outcome as the table holds it.
+/// A job's outcome as it is stored in the table.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Record {
-    /// The digest of the body.
+    /// The digest of the request body.
     pub digest: Digest,
-    /// The answer; none where it is in the object store.
+    /// The answer; `None` if it is too long for a row and is in the object store.
     pub answer: Option<Answer>,
 }
 
 /// A range of keys that one incarnation admits without a write to the table.
 ///
-/// Keys of the range are written `r.INCARNATION.EPOCH.` and any suffix.
+/// A key of the range is `r.INCARNATION.EPOCH.` followed by any suffix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Range {
     /// The incarnation that owns the keys.
     pub incarnation: Incarnation,
-    /// Which of its ranges.
+    /// The number of the range within the incarnation, counted from 1.
     pub epoch: u64,
 }
 
 impl Range {
-    /// Returns the range that a key belongs to, if it belongs to one.
+    /// Returns the range that a key belongs to, or `None` if the caller chose the key itself.
     pub fn of(key: &Key) -> Option<Self> {
         let (range, _) = key.as_str().rsplit_once('.')?;
         range.parse().ok()
@@ -104,187 +104,186 @@
     }
 }
 
-/// What is known of a key.
+/// The state of a key in the registry.
 #[derive(Debug, Clone)]
 pub enum Entry {
-    /// The job of this number is in progress.
+    /// The job with this number is in progress.
     Open(u64),
-    /// The job ended with this answer.
+    /// The job finished with this answer.
     Kept(Kept),
-    /// Nothing was started; the claim may stand in the table under this nonce, and may be used again.
+    /// No task was started. The table may hold a claim with this nonce, which the next submission may use.
     Abandoned(Nonce),
 }
 
-/// A kept answer, as JSON in one piece.
+/// An answer that is kept for resubmissions, serialized to JSON.
 ///
-/// An answer of many results is many small allocations. Kept for minutes among others that come and go, they would
-/// take several times their size.
+/// A single allocation prevents the heap fragmentation that an answer with many small results causes when it is kept
+/// for minutes.
 #[derive(Debug, Clone)]
 pub struct Kept(Arc<str>);
 
 impl Kept {
-    /// Packs an answer.
+    /// Serializes an answer.
     ///
     /// # Panics
     ///
-    /// Panics where the answer can't be written as JSON, which its type rules out.
+    /// Panics if the answer can't be serialized, which its type rules out.
     pub fn new(answer: &Answer) -> Self {
-        let json = serde_json::to_string(answer).expect("an answer is plain data");
+        let json = serde_json::to_string(answer).expect("an answer serializes to JSON");
         Self(json.into())
     }
 
-    /// Returns the answer.
+    /// Deserializes the answer.
     ///
     /// # Panics
     ///
-    /// Panics where what was packed can't be read again.
+    /// Panics if the JSON isn't a valid answer, which [`Self::new`] rules out.
     pub fn answer(&self) -> Answer {
-        serde_json::from_str(&self.0).expect("it was written from an answer")
+        serde_json::from_str(&self.0).expect("a kept answer is valid JSON")
     }
 
-    fn bytes(&self) -> usize {
-        self.0.len() + ALLOCATION
+    fn memory(&self) -> usize {
+        self.0.len() + ALLOCATION_BYTES
     }
 }
 
 #[derive(Debug)]
-struct Holder {
+struct KeyState {
     digest: Digest,
     entry: Entry,
     bytes: usize,
 }
 
-/// What a lookup of a key gives.
+/// The result of a lookup by key and body.
 #[derive(Debug, Clone)]
 pub enum Lookup {
-    /// Nothing is known of it.
+    /// The key isn't in the registry.
     Missing,
-    /// It is known with another body.
+    /// The key was used with another body.
     Conflict,
-    /// It is known.
+    /// The key is in the registry, with the same body.
     Entry(Entry),
 }
 
-/// Whether a key of one of the own ranges that is not known may be admitted.
+/// Whether an unregistered key of a range of this incarnation may be admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admittance {
-    /// It may: it was never seen, and every key of its range that was seen is still known.
+    /// It may: no key of its range has been evicted, so the key was never used.
     Open,
-    /// It may not: its range is closed. It was never run.
+    /// It may not: its range is closed. The job was never run.
     Closed,
-    /// It may not: keys of its range have been dropped, so it may have run.
+    /// It may not: the keys of its range have been evicted, so the job may have run.
     Forgotten,
 }
 
+/// The keys of one range, which are evicted together.
 #[derive(Debug, Default)]
 struct Epoch {
-    opened: Time,
+    opened_at: Time,
     bytes: usize,
     keys: Vec<(Team, Key)>,
 }
 
-/// The keys that this incarnation knows, bounded by bytes and age.
+/// The keys that this incarnation has admitted, bounded by memory and age.
 #[derive(Debug)]
 pub struct Registry {
     incarnation: Incarnation,
-    bound: usize,
-    window: Span,
+    max_bytes: usize,
+    retention: Span,
     bytes: usize,
-    holders: HashMap<(Team, Key), Holder>,
-    ended: VecDeque<(Time, Team, Key)>,
+    keys: HashMap<(Team, Key), KeyState>,
+    finished: VecDeque<(Time, Team, Key)>,
     epochs: BTreeMap<u64, Epoch>,
-    current: u64,
+    current_epoch: u64,
 }
 
 impl Registry {
-    /// Makes an empty registry that keeps up to `bound` bytes for up to `window`.
-    pub fn new(incarnation: Incarnation, bound: usize, window: Span) -> Self {
+    /// Creates an empty registry that uses about `max_bytes` at most and keeps finished keys for `retention`.
+    pub fn new(incarnation: Incarnation, max_bytes: usize, retention: Span) -> Self {
         Self {
             incarnation,
-            bound,
-            window,
+            max_bytes,
+            retention,
             bytes: 0,
-            holders: HashMap::new(),
-            ended: VecDeque::new(),
+            keys: HashMap::new(),
+            finished: VecDeque::new(),
             epochs: BTreeMap::from([(1, Epoch::default())]),
-            current: 1,
+            current_epoch: 1,
         }
     }
 
-    /// Returns the range that callers may take keys from now.
+    /// Returns the range from which callers may take new keys.
     pub fn current_range(&self) -> Range {
         Range {
             incarnation: self.incarnation,
-            epoch: self.current,
+            epoch: self.current_epoch,
         }
     }
 
-    /// Returns how many keys are known.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
-        self.holders.len()
+        self.keys.len()
     }
 
-    /// Tells whether no key is known.
+    /// Returns whether the registry has no keys.
     pub fn is_empty(&self) -> bool {
-        self.holders.is_empty()
+        self.keys.is_empty()
     }
 
-    /// Returns how many bytes the known keys take.
+    /// Returns the estimated memory of all entries, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Tells whether the bytes are used up by what can't be dropped.
+    /// Returns whether the memory limit is reached.
     pub fn is_full(&self) -> bool {
-        self.bytes >= self.bound
+        self.bytes >= self.max_bytes
     }
 
-    /// Looks a key up.
+    /// Looks up a key, and compares the digest of its body.
     pub fn find(&self, team: &Team, key: &Key, digest: &Digest) -> Lookup {
-        // The pair is cloned for the look-up, which costs less than a second level of maps.
-        match self.holders.get(&(team.clone(), key.clone())) {
+        match self.keys.get(&(team.clone(), key.clone())) {
             None => Lookup::Missing,
-            Some(holder) if holder.digest != *digest => Lookup::Conflict,
-            Some(holder) => Lookup::Entry(holder.entry.clone()),
+            Some(state) if state.digest != *digest => Lookup::Conflict,
+            Some(state) => Lookup::Entry(state.entry.clone()),
         }
     }
 
-    /// Looks up a key whatever its body.
+    /// Returns the entry of a key, whatever its body.
     pub fn get(&self, team: &Team, key: &Key) -> Option<&Entry> {
-        self.holders
+        self.keys
             .get(&(team.clone(), key.clone()))
-            .map(|holder| &holder.entry)
+            .map(|state| &state.entry)
     }
 
-    /// Tells whether a key of an own range that isn't known may be admitted.
+    /// Returns whether an unregistered key of this epoch may be admitted.
     ///
-    /// A range stays open while it is the current one or the one before. Its keys are dropped only together,
-    /// and only once it is closed. So a resubmission of a dropped key finds its range gone, and is answered
-    /// "unknown" rather than run again.
+    /// The current range and the one before it are open. The keys of a range are evicted together, and only once it
+    /// is closed. This prevents a second run of an evicted key: its resubmission is answered "unknown" instead.
     pub fn admittance(&self, epoch: u64) -> Admittance {
-        if !self.epochs.contains_key(&epoch) && epoch <= self.current {
+        if !self.epochs.contains_key(&epoch) && epoch <= self.current_epoch {
             return Admittance::Forgotten;
         }
-        if epoch > self.current || epoch + 1 < self.current {
+        if epoch > self.current_epoch || epoch + 1 < self.current_epoch {
             return Admittance::Closed;
         }
         Admittance::Open
     }
 
-    /// Notes that the job of a key is in progress.
+    /// Registers the job of a key as in progress.
     pub fn insert(&mut self, team: &Team, key: &Key, digest: Digest, job: u64) {
-        let bytes = ENTRY + 2 * (team.as_str().len() + key.as_str().len());
-        let holder = Holder {
+        let bytes = ENTRY_BYTES + 2 * (team.as_str().len() + key.as_str().len());
+        let state = KeyState {
             digest,
             entry: Entry::Open(job),
             bytes,
         };
         let pair = (team.clone(), key.clone());
-        let known = self.holders.insert(pair.clone(), holder);
+        let replaced = self.keys.insert(pair.clone(), state);
         self.bytes += bytes;
-        if let Some(known) = known {
-            self.bytes -= known.bytes;
-            self.charge(key, 0);
+        if let Some(replaced) = replaced {
+            self.bytes -= replaced.bytes;
+            self.add_epoch_bytes(key, 0);
             return;
         }
         if let Some(epoch) = self.own_epoch(key) {
@@ -293,103 +292,110 @@
         }
     }
 
-    /// Notes how the job of a key ended, and drops the oldest of what is kept beyond the bounds.
+    /// Sets the final entry of a key, and evicts what exceeds the limits.
     ///
-    /// Returns how many keys were dropped.
+    /// Returns the number of evicted keys.
     pub fn finish(&mut self, now: Time, team: &Team, key: &Key, entry: Entry) -> usize {
-        let Some(holder) = self.holders.get_mut(&(team.clone(), key.clone())) else {
+        let Some(state) = self.keys.get_mut(&(team.clone(), key.clone())) else {
             return 0;
         };
-        let more = match &entry {
-            Entry::Kept(answer) => answer.bytes(),
+        let added = match &entry {
+            Entry::Kept(answer) => answer.memory(),
             _ => 0,
         };
-        holder.entry = entry;
-        holder.bytes += more;
-        self.bytes += more;
+        state.entry = entry;
+        state.bytes += added;
+        self.bytes += added;
         if Range::of(key).is_some() {
-            self.charge(key, more);
+            self.add_epoch_bytes(key, added);
         } else {
-            self.ended.push_back((now, team.clone(), key.clone()));
+            self.finished.push_back((now, team.clone(), key.clone()));
         }
         self.evict(now)
     }
 
-    /// Removes a key that nothing has to be known of any more.
+    /// Removes a key.
     pub fn remove(&mut self, team: &Team, key: &Key) {
-        if let Some(holder) = self.holders.remove(&(team.clone(), key.clone())) {
-            self.bytes -= holder.bytes;
+        if let Some(state) = self.keys.remove(&(team.clone(), key.clone())) {
+            self.bytes -= state.bytes;
         }
     }
 
-    /// Opens the next range when it is time, and drops what is too old or too much.
+    /// Opens the next range if the current one is old or large enough, and evicts keys beyond the limits.
     ///
-    /// Returns how many keys were dropped.
+    /// Returns the number of evicted keys.
     pub fn evict(&mut self, now: Time) -> usize {
-        self.turn(now);
-        let mut dropped = 0;
-        while let Some((at, team, key)) = self.ended.front() {
-            if self.bytes <= self.bound && now.since(*at) < self.window {
+        self.rotate_epoch(now);
+        let mut evicted = 0;
+        while let Some((at, team, key)) = self.finished.front() {
+            if self.bytes <= self.max_bytes && now.since(*at) < self.retention {
                 break;
             }
             let (team, key) = (team.clone(), key.clone());
-            self.ended.pop_front();
-            let open = matches!(self.get(&team, &key), None | Some(Entry::Open(_)));
-            if !open {
+            self.finished.pop_front();
+            let in_progress = matches!(self.get(&team, &key), None | Some(Entry::Open(_)));
+            if !in_progress {
                 self.remove(&team, &key);
-                dropped += 1;
+                evicted += 1;
             }
         }
-        dropped + self.drop_epochs(now)
+        evicted + self.evict_epochs(now)
     }
 
+    /// Returns the epoch of a key that belongs to a range of this incarnation.
     fn own_epoch(&mut self, key: &Key) -> Option<&mut Epoch> {
         let range = Range::of(key).filter(|range| range.incarnation == self.incarnation)?;
         self.epochs.get_mut(&range.epoch)
     }
 
-    fn charge(&mut self, key: &Key, bytes: usize) {
+    fn add_epoch_bytes(&mut self, key: &Key, bytes: usize) {
         if let Some(epoch) = self.own_epoch(key) {
             epoch.bytes += bytes;
         }
     }
 
-    fn turn(&mut self, now: Time) {
-        let share = self.bound / EPOCHS as usize;
-        let Some(epoch) = self.epochs.get(&self.current) else {
+    /// Opens the next range once the current one has used its share of the retention or the memory.
+    fn rotate_epoch(&mut self, now: Time) {
+        let share = self.max_bytes / EPOCHS_PER_WINDOW as usize;
+        let Some(epoch) = self.epochs.get(&self.current_epoch) else {
             return;
         };
-        let old = now.since(epoch.opened) >= Span(self.window.0 / EPOCHS) && !epoch.keys.is_empty();
-        if old || epoch.bytes >= share {
-            self.current += 1;
-            let opened = Epoch {
-                opened: now,
+        let is_old = now.since(epoch.opened_at) >= Span(self.retention.0 / EPOCHS_PER_WINDOW)
+            && !epoch.keys.is_empty();
+        if is_old || epoch.bytes >= share {
+            self.current_epoch += 1;
+            let next = Epoch {
+                opened_at: now,
                 ..Epoch::default()
             };
-            self.epochs.insert(self.current, opened);
+            self.epochs.insert(self.current_epoch, next);
         }
     }
 
-    fn drop_epochs(&mut self, now: Time) -> usize {
-        let mut dropped = 0;
+    /// Evicts closed ranges without open jobs, oldest first, while they are too old or memory is short.
+    ///
+    /// Returns the number of evicted keys.
+    fn evict_epochs(&mut self, now: Time) -> usize {
+        let mut evicted = 0;
         while let Some((&number, epoch)) = self.epochs.first_key_value() {
-            let closed = number + 1 < self.current;
-            let due = self.bytes > self.bound || now.since(epoch.opened) >= self.window;
-            let open = |pair: &(Team, Key)| {
-                let holder = self.holders.get(pair);
-                matches!(holder.map(|h| &h.entry), Some(Entry::Open(_)))
+            let is_closed = number + 1 < self.current_epoch;
+            let is_due =
+                self.bytes > self.max_bytes || now.since(epoch.opened_at) >= self.retention;
+            let is_open = |pair: &(Team, Key)| {
+                let state = self.keys.get(pair);
+                matches!(state.map(|state| &state.entry), Some(Entry::Open(_)))
             };
-            if !closed || !due || epoch.keys.iter().any(open) {
+            if !is_closed || !is_due || epoch.keys.iter().any(is_open) {
                 break;
             }
             let Some(epoch) = self.epochs.remove(&number) else {
                 break;
             };
-            dropped += epoch.keys.len();
+            evicted += epoch.keys.len();
             for (team, key) in &epoch.keys {
                 self.remove(team, key);
             }
         }
-        dropped
+        evicted
     }
 }
--- a/src/core/claim_resolution.rs
+++ b/src/core/claim_resolution.rs
@@ -1,10 +1,10 @@
-//! What the table and other instances say about a claim.
+//! Resolution of a claim: a job waits for its claim, or for the answer of the instance that owns its key.
 
 use super::{
     answer::{
         conflict,
-        doubtful,
-        owner_gone, //
+        owner_unreachable, //
+        refusal_in_doubt,
     },
     claim::{
         self,
@@ -35,10 +35,11 @@
     table::wire,
 };
 
-/// How long to wait before a lost claim is read back again.
-const SETTLE: Span = Span::millis(100);
+/// The delay before a claim whose insert got no reply is read from the table.
+const READ_BACK_DELAY: Span = Span::millis(100);
 
 impl Core {
+    /// Continues a job whose operation on the table or the object store has ended.
     pub(super) fn on_store_result(&mut self, number: u64, result: message::Result) {
         let Some(Stage::Received(job)) = self.take_received(number) else {
             return;
@@ -52,38 +53,41 @@
                 }
             }
             (Wait::Claim(_), message::Result::Refused) => self.fail_claim(job),
-            (Wait::Claim(nonce) | Wait::Settle(nonce), message::Result::Unknown) => {
+            (Wait::Claim(nonce) | Wait::ReadBack(nonce), message::Result::Unknown) => {
                 self.schedule_claim_read(job, nonce);
             }
-            (Wait::Settle(nonce), message::Result::Row(Some(row))) => {
+            (Wait::ReadBack(nonce), message::Result::Row(Some(row))) => {
                 self.resolve_claim(job, Some(&row), Some(nonce));
             }
-            // The write may still be on its way. Inserting the same claim again settles it either way: what
-            // lands second finds the first, with the same nonce.
-            (Wait::Settle(nonce), message::Result::Row(None)) => {
+            // The first insert may still be applied. A second insert with the same nonce is safe: whichever is
+            // applied last finds the other one and recognizes its nonce.
+            (Wait::ReadBack(nonce), message::Result::Row(None)) => {
                 self.retry_claim_insert(job, nonce)
             }
-            // A table that hangs answers no read either, and would hold the caller until its deadline. The
-            // nonce is kept, so a later submission still settles the claim, and nothing runs before that.
-            (Wait::Settle(_), _) if self.store_down() => self.fail_claim(job),
-            (Wait::Settle(nonce), _) => self.schedule_claim_read(job, nonce),
-            (Wait::Verify(refusal), message::Result::Row(None)) => {
+            // Prevents a caller from waiting for an unavailable table until its deadline. The nonce is kept, so that
+            // the next submission can resolve the claim; nothing runs before that.
+            (Wait::ReadBack(_), _) if self.store_down() => self.fail_claim(job),
+            (Wait::ReadBack(nonce), _) => self.schedule_claim_read(job, nonce),
+            (Wait::VerifyRefusal(refusal), message::Result::Row(None)) => {
                 self.finish_received(job, refusal);
             }
-            (Wait::Verify(_), message::Result::Row(Some(row))) => {
+            (Wait::VerifyRefusal(_), message::Result::Row(Some(row))) => {
                 self.resolve_claim(job, Some(&row), None)
             }
-            (Wait::Verify(refusal), _) => self.finish_received(job, doubtful(&refusal)),
-            (Wait::Record, message::Result::Row(row)) => self.on_outcome_row(job, row),
-            (Wait::Object, message::Result::Object(bytes)) => {
+            (Wait::VerifyRefusal(refusal), _) => {
+                self.finish_received(job, refusal_in_doubt(&refusal))
+            }
+            (Wait::Outcome, message::Result::Row(row)) => self.on_outcome_row(job, row),
+            (Wait::AnswerObject, message::Result::Object(bytes)) => {
                 let answer = bytes.and_then(|bytes| serde_json::from_slice(&bytes).ok());
-                let answer = answer.unwrap_or_else(owner_gone);
+                let answer = answer.unwrap_or_else(owner_unreachable);
                 self.finish_received(job, answer);
             }
-            (_, _) => self.finish_received(job, owner_gone()),
+            (_, _) => self.finish_received(job, owner_unreachable()),
         }
     }
 
+    /// Removes a job that isn't claimed yet; returns `None` if it has ended or runs.
     fn take_received(&mut self, number: u64) -> Option<Stage> {
         match self.jobs.get(&number)? {
             Stage::Received(_) => self.jobs.remove(&number),
@@ -91,6 +95,7 @@
         }
     }
 
+    /// Inserts the claim of a job a second time, after a read that didn't find it.
     fn retry_claim_insert(&mut self, mut job: Job<Received>, nonce: Nonce) {
         let Some(key) = job.submission.key.clone() else {
             return self.fail_claim(job);
@@ -100,34 +105,38 @@
         self.jobs.insert(job.number, Stage::Received(job));
     }
 
-    /// Reads a claim back whose answer was lost, after a moment.
+    /// Schedules a read of a claim whose insert got no reply.
     fn schedule_claim_read(&mut self, mut job: Job<Received>, nonce: Nonce) {
-        if !matches!(job.stage.wait, Wait::Settle(_)) {
-            let name = job.submission.key.as_ref().map(ToString::to_string);
-            self.event(Code::ClaimUnsettled, name.unwrap_or_default());
+        if !matches!(job.stage.wait, Wait::ReadBack(_)) {
+            let key = job.submission.key.as_ref().map(ToString::to_string);
+            self.event(Code::ClaimUnsettled, key.unwrap_or_default());
         }
-        job.stage.wait = Wait::Settle(nonce);
-        let at = self.now + SETTLE;
+        job.stage.wait = Wait::ReadBack(nonce);
+        let at = self.now + READ_BACK_DELAY;
         self.timers.set(at, Timer::Settle(job.number));
         self.jobs.insert(job.number, Stage::Received(job));
     }
 
+    /// Reads the claim of a job whose insert got no reply; called by the timer.
     pub(super) fn read_back_claim(&mut self, number: u64) {
         let Some(Stage::Received(job)) = self.jobs.get(&number) else {
             return;
         };
-        let (Wait::Settle(_), Some(key)) = (&job.stage.wait, &job.submission.key) else {
+        let (Wait::ReadBack(_), Some(key)) = (&job.stage.wait, &job.submission.key) else {
             return;
         };
-        let place = claim::claim_row_key(&job.submission.team, key);
-        self.operate(number, Operate::Read(place));
+        let row_key = claim::claim_row_key(&job.submission.team, key);
+        self.operate(number, Operate::Read(row_key));
     }
 
+    /// Runs a job whose claim is in the table.
     fn run_claimed(&mut self, job: Job<Received>, nonce: Nonce) {
         self.run_job(job.permit(Permit::by_table(), Some(nonce)));
     }
 
-    /// Goes on with a job whose key has a claim in the table.
+    /// Continues a job whose key has a claim in the table: runs it, or gets the answer from the claim's owner.
+    ///
+    /// `nonce` is that of the job's own insert, if it made one.
     pub(super) fn resolve_claim(
         &mut self,
         job: Job<Received>,
@@ -139,25 +148,25 @@
             let answer = Answer::new(
                 Outcome::Unknown,
                 Reason::Store,
-                "the claim of this key can't be read",
+                "the claim of this key can't be decoded",
             );
             return self.finish_received(job, answer);
         };
         if row.digest != job.digest {
             let answer = job.submission.key.as_ref().map(conflict);
-            return self.finish_received(job, answer.unwrap_or_else(owner_gone));
+            return self.finish_received(job, answer.unwrap_or_else(owner_unreachable));
         }
         if row.owner != self.identity.incarnation {
             return self.forward_to_owner(job, row.owner, Some(&row.name));
         }
         match nonce {
             Some(nonce) if nonce == row.nonce => self.run_claimed(job, nonce),
-            // An earlier job of this incarnation, dropped from memory since.
+            // The claim is from an earlier job of this incarnation that has been evicted from the registry.
             _ => self.read_outcome(job),
         }
     }
 
-    /// Asks the owner of a key for the answer; where it is gone, the recorded outcome is read.
+    /// Forwards a job to the instance that owns its key, or reads the recorded outcome if that can't be reached.
     pub(super) fn forward_to_owner(
         &mut self,
         mut job: Job<Received>,
@@ -165,11 +174,11 @@
         name: Option<&Instance>,
     ) {
         self.release_admission(&mut job);
-        // An instance that has just started may not have heard of the incarnation; its name will do, since the
-        // peer that is asked says whether it is the one.
-        let named = name.filter(|_| !self.membership.gone(owner)).cloned();
-        let known = self.membership.owner(owner).map(|(peer, _)| peer);
-        let Some(peer) = known.or(named) else {
+        // An instance that has just started may not know the incarnation yet. It can use the name, since the peer
+        // rejects a submission that is meant for another incarnation.
+        let by_name = name.filter(|_| !self.membership.gone(owner)).cloned();
+        let by_incarnation = self.membership.owner(owner).map(|(peer, _)| peer);
+        let Some(peer) = by_incarnation.or(by_name) else {
             return self.read_outcome(job);
         };
         if !self.membership.alive(self.now, &peer) {
@@ -189,42 +198,43 @@
         self.call(peer, CallId::Submit(id), Call::Submit(forward), Some(wait));
     }
 
-    /// Reads the recorded outcome of a key whose owner can't be asked.
+    /// Reads the recorded outcome of a key whose owner can't be reached.
     pub(super) fn read_outcome(&mut self, mut job: Job<Received>) {
         self.release_admission(&mut job);
         let Some(key) = job.submission.key.clone() else {
-            return self.finish_received(job, owner_gone());
+            return self.finish_received(job, owner_unreachable());
         };
-        // Outcomes of range keys are not recorded: the way without a write has none to read either.
+        // Outcomes of range keys aren't recorded, since these keys cause no writes to the table.
         if Range::of(&key).is_some() || !self.store_open() {
-            return self.finish_received(job, owner_gone());
+            return self.finish_received(job, owner_unreachable());
         }
-        job.stage.wait = Wait::Record;
-        let place = claim::outcome_row_key(&job.submission.team, &key);
+        job.stage.wait = Wait::Outcome;
+        let row_key = claim::outcome_row_key(&job.submission.team, &key);
         let number = job.number;
         self.jobs.insert(number, Stage::Received(job));
-        self.operate(number, Operate::Read(place));
+        self.operate(number, Operate::Read(row_key));
     }
 
+    /// Answers a job with its recorded outcome; fetches a long answer from the object store first.
     fn on_outcome_row(&mut self, mut job: Job<Received>, row: Option<wire::Row>) {
         let record = row.and_then(|row| serde_json::from_str::<claim::Record>(&row.value).ok());
         let Some(record) = record else {
-            return self.finish_received(job, owner_gone());
+            return self.finish_received(job, owner_unreachable());
         };
         if let Some(answer) = record.answer {
             return self.finish_received(job, answer);
         }
         let Some(key) = &job.submission.key else {
-            return self.finish_received(job, owner_gone());
+            return self.finish_received(job, owner_unreachable());
         };
-        let name = claim::outcome_row_key(&job.submission.team, key);
-        job.stage.wait = Wait::Object;
+        let object = claim::outcome_row_key(&job.submission.team, key);
+        job.stage.wait = Wait::AnswerObject;
         let number = job.number;
         self.jobs.insert(number, Stage::Received(job));
-        self.operate(number, Operate::Get(name));
+        self.operate(number, Operate::Get(object));
     }
 
-    /// Goes on with a job whose owner was asked.
+    /// Answers a job that was forwarded to the owner of its key; reads the recorded outcome if the call failed.
     pub(super) fn on_owner_return(&mut self, number: u64, result: Return) {
         let Some(Stage::Received(job)) = self.take_received(number) else {
             return;
--- a/src/core/completion.rs
+++ b/src/core/completion.rs
@@ -1,10 +1,10 @@
-//! The end of a job: its answer, and what is kept of it.
+//! The end of a job: its answer, what is kept of it, and the queries, cancels and deadlines of jobs.
 
 use super::{
     answer::{
-        doubtful,
-        not_known,
-        refused,
+        qualify_refusal,
+        refusal_in_doubt,
+        unknown_key,
         with_key, //
     },
     claim::{
@@ -33,6 +33,7 @@
 };
 
 impl Core {
+    /// Returns what admission counted for a job that won't run here.
     pub(super) fn release_admission(&mut self, job: &mut Job<Received>) {
         if let Some(admitted) = job.stage.admitted.take() {
             let tasks = job.submission.tasks.len() as u32;
@@ -42,15 +43,15 @@
         }
     }
 
-    /// Answers a job that never ran here.
+    /// Answers a job that this instance didn't run, and removes its key or keeps the nonce of its claim.
     pub(super) fn finish_received(&mut self, mut job: Job<Received>, answer: Answer) {
         self.timers.cancel(job.timer);
         self.release_admission(&mut job);
         if let Some(key) = &job.submission.key {
             let team = &job.submission.team;
             match job.stage.wait {
-                // The insert may have landed or may land yet: the claim is kept for the next submission.
-                Wait::Claim(nonce) | Wait::Settle(nonce) if answer.reason != Reason::Conflict => {
+                // The insert may still be applied: its nonce is kept, so that the next submission recognizes the claim.
+                Wait::Claim(nonce) | Wait::ReadBack(nonce) if answer.reason != Reason::Conflict => {
                     let entry = Entry::Abandoned(nonce);
                     self.registry.finish(self.now, team, key, entry);
                 }
@@ -66,17 +67,17 @@
         self.send_answers(&job.waiters, &answer);
     }
 
-    /// Answers a job that had the right to run.
+    /// Answers a job that was claimed, stops its attempts, and keeps its answer for resubmissions.
     pub(super) fn finish_running(&mut self, job: Job<stage::Running>, answer: Answer) {
         let submission = &job.submission;
         let admitted = &job.stage.admitted;
-        // What has ended is counted out already.
+        // Admission has released the tasks that are done already.
         let tasks = submission.tasks.iter().zip(&job.stage.tasks);
-        let rest = tasks.filter(|(_, progress)| !progress.done);
-        let work = rest.map(|(task, _)| task.expected.0).sum();
+        let unfinished = tasks.filter(|(_, progress)| !progress.done);
+        let work = unfinished.map(|(task, _)| task.expected.0).sum();
         self.admission.release(
             &submission.team,
-            job.stage.left as u32,
+            job.stage.unfinished as u32,
             job.bytes,
             Span(work),
         );
@@ -92,7 +93,7 @@
         self.send_answers(&job.waiters, &answer);
     }
 
-    /// Keeps the answer of a job under its key, and records it where the claim is in the table.
+    /// Keeps a job's answer in the registry, and records it in the table if the claim is there.
     fn keep_answer(&mut self, job: &Job<stage::Running>, key: &Key, answer: &Answer) {
         let team = &job.submission.team;
         if job.stage.admitted.class.repeatable() {
@@ -106,10 +107,11 @@
             }
             Entry::Kept(Kept::new(answer))
         };
-        let dropped = self.registry.finish(self.now, team, key, entry);
-        self.note_dropped(dropped);
+        let evicted = self.registry.finish(self.now, team, key, entry);
+        self.note_dropped(evicted);
     }
 
+    /// Counts an answer for the metrics.
     pub(super) fn count_answer(&mut self, answer: &Answer, class: Class) {
         self.outputs.push(Output::Measure(Sample::Answered {
             outcome: answer.outcome,
@@ -118,6 +120,7 @@
         }));
     }
 
+    /// Counts an answer for the metrics, and logs it if its outcome is unknown.
     fn report_outcome(&mut self, answer: &Answer, job: u64, class: Class) {
         self.count_answer(answer, class);
         if answer.outcome == Outcome::Unknown {
@@ -126,14 +129,15 @@
         }
     }
 
+    /// Answers a job whose deadline has passed; called by the timer.
     pub(super) fn on_deadline(&mut self, number: u64) {
         match self.jobs.remove(&number) {
             None => {}
             Some(Stage::Running(job)) => self.finish_early(job, Reason::Deadline),
             Some(Stage::Received(job)) => {
                 let answer = match &job.stage.wait {
-                    Wait::Claim(_) | Wait::Settle(_) => return self.fail_claim(job),
-                    Wait::Verify(refusal) => doubtful(refusal),
+                    Wait::Claim(_) | Wait::ReadBack(_) => return self.fail_claim(job),
+                    Wait::VerifyRefusal(refusal) => refusal_in_doubt(refusal),
                     _ => Answer::new(
                         Outcome::Unknown,
                         Reason::Deadline,
@@ -145,6 +149,7 @@
         }
     }
 
+    /// Cancels the job of a key, and answers the caller with the job's outcome.
     pub(super) fn cancel_job(&mut self, request: Request, team: &Team, key: &Key) {
         let waiter = Waiter::Request(request);
         match self.registry.get(team, key).cloned() {
@@ -157,24 +162,25 @@
                 waiter,
                 &Answer::refusal(Reason::Cancelled, "no task of this job was started"),
             ),
-            None => self.send_answer(waiter, &not_known(key)),
+            None => self.send_answer(waiter, &unknown_key(key)),
         }
     }
 
-    /// Ends a job before it is complete, with the truth about what may have run.
+    /// Answers a job before it is complete; the outcome tells whether tasks ran or may have run.
     pub(super) fn end_job(&mut self, number: u64, reason: Reason) {
         match self.jobs.remove(&number) {
             None => {}
             Some(Stage::Running(job)) => self.finish_early(job, reason),
             Some(Stage::Received(job)) => {
-                let claiming = matches!(job.stage.wait, Wait::Claim(_) | Wait::Settle(_));
-                let refusal = Answer::refusal(reason, "ended before it was claimed");
-                let answer = refused(&refusal, claiming && job.first);
+                let is_claiming = matches!(job.stage.wait, Wait::Claim(_) | Wait::ReadBack(_));
+                let refusal = Answer::refusal(reason, "the job ended before it was claimed");
+                let answer = qualify_refusal(&refusal, is_claiming && job.first);
                 self.finish_received(job, answer);
             }
         }
     }
 
+    /// Answers the caller with the state of the job of a key.
     pub(super) fn find_job(&mut self, request: Request, team: &Team, key: &Key) {
         let waiter = Waiter::Request(request);
         match self.registry.get(team, key).cloned() {
@@ -189,11 +195,13 @@
                 &Answer::refusal(Reason::Store, "no task of this job was started")
                     .with_key(key.clone()),
             ),
-            None => self.send_answer(waiter, &not_known(key)),
+            None => self.send_answer(waiter, &unknown_key(key)),
         }
     }
 
-    /// Forgets a caller whose connection is gone; its job goes on, and its answer is kept.
+    /// Removes a caller whose connection is closed from the recipients of its job.
+    ///
+    /// The job continues and its answer is kept, unless nobody could ask for it.
     pub(super) fn on_hangup(&mut self, request: Request) {
         let Some(number) = self.requests.remove(&request) else {
             return;
@@ -203,16 +211,17 @@
         };
         job.waiters()
             .retain(|waiter| *waiter != Waiter::Request(request));
-        // Nobody can ask again for an idempotent job without a key: its rest would be work for no one.
+        // Prevents work without a recipient: without a key, nobody can ask for the answer later.
         if let Stage::Running(job) = job {
-            let keyless = job.submission.key.is_none();
-            let alone = job.waiters.is_empty();
-            if alone && keyless && job.stage.admitted.class.repeatable() {
+            let has_no_key = job.submission.key.is_none();
+            let has_no_recipient = job.waiters.is_empty();
+            if has_no_recipient && has_no_key && job.stage.admitted.class.repeatable() {
                 self.end_job(number, Reason::Cancelled);
             }
         }
     }
 
+    /// Sends an answer to a caller, or to the peer that forwarded the submission.
     pub(super) fn send_answer(&mut self, waiter: Waiter, answer: &Answer) {
         let output = match waiter {
             Waiter::Request(request) => {
@@ -224,6 +233,7 @@
         self.outputs.push(output);
     }
 
+    /// Sends an answer to all recipients of a job.
     pub(super) fn send_answers(&mut self, waiters: &[Waiter], answer: &Answer) {
         for waiter in waiters {
             self.send_answer(*waiter, answer);
--- a/src/core/execution.rs
+++ b/src/core/execution.rs
@@ -1,4 +1,4 @@
-//! Running a claimed job: starts, ends, looks and what follows from them.
+//! Execution of a claimed job: queueing its tasks, starting them, and handling the ends of their attempts.
 
 use std::sync::Arc;
 
@@ -37,32 +37,32 @@
     prelude::*,
 };
 
-/// The most attempts at one idempotent task.
-pub(super) const ATTEMPTS: u32 = 4;
+/// The number of attempts after which an idempotent task is neither retried nor hedged.
+pub(super) const MAX_ATTEMPTS: u32 = 4;
 
-/// The most times that one task is refused by endpoints before its job is given up.
-const REFUSALS: u32 = 24;
+/// The number of attempts at which a task that endpoints keep refusing fails its job.
+const MAX_REFUSALS: u32 = 24;
 
-/// How far one answer moves the estimate of the instance's share of the work.
-const SHARE_GAIN: f64 = 0.02;
+/// The weight of one sample in the moving average of the instance's share of the work.
+const SHARE_WEIGHT: f64 = 0.02;
 
-/// Endpoints that are remembered as to be avoided by a task.
-const AVOIDED: usize = 4;
+/// The maximum number of endpoints that a task avoids.
+const MAX_AVOIDED: usize = 4;
 
 /// How an attempt ended.
 pub(super) enum Conclusion {
-    /// It ran to its end.
+    /// The task ran and returned this result.
     Done(Arc<RawValue>),
-    /// It ran and failed.
+    /// The task ran and failed with this error.
     Failed(String),
-    /// It never started and never will.
+    /// The task didn't start, and never will under this attempt.
     NotStarted,
-    /// It may have run, and can't be asked any more.
+    /// The task may have run; the endpoint can't tell.
     Lost,
 }
 
 impl Core {
-    /// Queues the tasks of a job that may run.
+    /// Queues the tasks of a claimed job, and starts what can be started.
     pub(super) fn run_job(&mut self, job: Job<Running>) {
         if self.now >= job.deadline {
             return self.finish_early(job, Reason::Deadline);
@@ -79,7 +79,7 @@
         self.dispatch();
     }
 
-    /// Queues a task and starts what can be started.
+    /// Queues one task, and starts what can be started. Fails its job if the queue is full.
     pub(super) fn enqueue(&mut self, item: Item) {
         if self.push_task(item) {
             self.dispatch();
@@ -88,6 +88,7 @@
         }
     }
 
+    /// Queues one task; returns `false` if the queue is full. A task whose job has ended is dropped.
     fn push_task(&mut self, item: Item) -> bool {
         let Some(Stage::Running(job)) = self.jobs.get(&item.job) else {
             return true;
@@ -104,10 +105,10 @@
         queue.push(team, weight, item.job, expected, item).is_ok()
     }
 
-    /// Starts tasks until none waits or no endpoint takes one, a task of each service in turn.
+    /// Starts queued tasks until no endpoint takes another one, a task of each service in turn.
     ///
-    /// Services may share their pools. If the service whose task has just ended were served first, a flood of
-    /// its jobs would take every place that it frees, and the tasks of the others would wait for good.
+    /// The turns prevent starvation: services may share endpoints, and a burst at one service would otherwise take
+    /// every place that its tasks free.
     pub(super) fn dispatch(&mut self) {
         let mut waiting: Vec<Service> = self
             .queues
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Starts the next task of a service; tells whether another may follow.
+    /// Starts the next task of a service; returns whether another one may be tried.
     fn dispatch_one(&mut self, service: &Service) -> bool {
         let Some(item) = self
             .queues
@@ -153,7 +154,7 @@
         true
     }
 
-    /// Picks an endpoint for a task; none where its job has ended.
+    /// Picks an endpoint for a task; returns `None` if the task has a result or its job has ended.
     fn place_task(&mut self, item: Item) -> Option<Result<Slot, Obstacle>> {
         let Some(Stage::Running(job)) = self.jobs.get(&item.job) else {
             return None;
@@ -171,6 +172,7 @@
         Some(self.placement.place(&requirement))
     }
 
+    /// Sends a new attempt at a task to an endpoint, and sets the timer of its first status check.
     fn start_task(&mut self, item: Item, slot: Slot) {
         let Some(worker) = self.placement.endpoint(slot) else {
             return;
@@ -188,23 +190,24 @@
             number: progress.attempts,
         };
         progress.attempts += 1;
-        // An idempotent task is hedged when it is later than nearly all of its kind; others are looked up.
-        let usual = task.expected.times(2) + self.timing.look;
+        // An idempotent task is hedged once it runs longer than nearly all others of its service; of any other task
+        // the endpoint is asked for the status.
+        let default_delay = task.expected.times(2) + self.timing.look;
         let class = job.stage.admitted.class;
-        let hedge = class
+        let hedge_delay = class
             .repeatable()
             .then(|| self.hedges.delay(&job.stage.admitted.route.service))
             .flatten();
-        let wait = hedge.unwrap_or(usual);
-        let look = self.timers.set(self.now + wait, Timer::Look(attempt));
+        let delay = hedge_delay.unwrap_or(default_delay);
+        let check_timer = self.timers.set(self.now + delay, Timer::Look(attempt));
         progress.pending.push(Pending {
             attempt,
             slot,
             incarnation: self.endpoint_incarnations.get(&slot).copied(),
-            at: self.now,
-            look,
-            missed: 0,
-            looks: 0,
+            sent_at: self.now,
+            check_timer,
+            missed_checks: 0,
+            checks: 0,
         });
         let route = &job.stage.admitted.route;
         let start = Start {
@@ -222,6 +225,7 @@
         });
     }
 
+    /// Handles the end of a request that started an attempt.
     pub(super) fn on_attempt_end(&mut self, attempt: Attempt, end: End) {
         let Some(pending) = self.find_pending(attempt) else {
             return self.on_orphan_end(attempt);
@@ -238,7 +242,7 @@
                 if self.is_repeatable(attempt.job) {
                     self.conclude(attempt, None, Conclusion::Lost);
                 } else {
-                    // It may run on behind a broken connection; the endpoint itself knows.
+                    // Prevents a second run: the task may still run, which only the endpoint knows.
                     self.event(Code::StartLost, attempt.to_string());
                     self.request_status(&pending, false);
                 }
@@ -246,6 +250,7 @@
         }
     }
 
+    /// Handles the end of an attempt that its endpoint reported.
     pub(super) fn on_reply(&mut self, attempt: Attempt, reply: Reply) {
         let Some(pending) = self.find_pending(attempt) else {
             return;
@@ -271,7 +276,7 @@
         }
     }
 
-    /// Takes an attempt that has ended off its task, and goes on with the job.
+    /// Removes an attempt that has ended from its task, frees its place, and finishes, retries or fails the task.
     pub(super) fn conclude(
         &mut self,
         attempt: Attempt,
@@ -285,25 +290,25 @@
         let service = job.stage.admitted.route.service.clone();
         let expected = job.submission.tasks[attempt.task as usize].expected;
         let progress = &mut job.stage.tasks[attempt.task as usize];
-        let Some(at) = progress
+        let Some(index) = progress
             .pending
             .iter()
             .position(|pending| pending.attempt == attempt)
         else {
             return;
         };
-        let pending = progress.pending.swap_remove(at);
+        let pending = progress.pending.swap_remove(index);
         progress.avoid(pending.slot);
-        self.timers.cancel(pending.look);
-        let ran = !matches!(conclusion, Conclusion::NotStarted);
-        job.stage.started |= ran;
-        let took = self.now.since(pending.at);
-        let done = matches!(conclusion, Conclusion::Done(_));
+        self.timers.cancel(pending.check_timer);
+        let may_have_run = !matches!(conclusion, Conclusion::NotStarted);
+        job.stage.may_have_run |= may_have_run;
+        let took = self.now.since(pending.sent_at);
+        let succeeded = matches!(conclusion, Conclusion::Done(_));
         if let Some(load) = load {
             self.update_share(pending.slot, load);
         }
         self.placement
-            .on_task_end(pending.slot, done.then_some(took), load);
+            .on_task_end(pending.slot, succeeded.then_some(took), load);
         match conclusion {
             Conclusion::Done(result) => {
                 self.admission.learned(expected, took);
@@ -330,17 +335,18 @@
         self.dispatch();
     }
 
-    /// Learns from an endpoint's load how much of the work there is this instance's own.
+    /// Updates the estimate of this instance's share of the endpoints' work from a reported load.
     ///
-    /// Each instance sees its own work only. Under even load on six of them it would take the wait for a sixth of
-    /// what it is, and admit jobs that miss their deadlines.
+    /// Prevents the admission of jobs that miss their deadlines: an instance knows only its own tasks, so without the
+    /// share it would underestimate the wait by the work of all other instances.
     fn update_share(&mut self, slot: Slot, load: Load) {
         let own = self.placement.outstanding(slot).max(1);
-        let all = load.running.saturating_add(load.queued).saturating_add(1);
-        let sample = f64::from(own) / f64::from(all.max(own));
-        self.share += (sample - self.share) * SHARE_GAIN;
+        let total = load.running.saturating_add(load.queued).saturating_add(1);
+        let sample = f64::from(own) / f64::from(total.max(own));
+        self.share += (sample - self.share) * SHARE_WEIGHT;
     }
 
+    /// Stores the result of a task, stops its other attempts, and completes the job with its last task.
     fn finish_task(&mut self, attempt: Attempt, took: Span, result: Arc<RawValue>) {
         let Some(Stage::Running(job)) = self.jobs.get_mut(&attempt.job) else {
             return;
@@ -352,20 +358,21 @@
             queue.charge_run_time(team, expected, took);
         }
         let progress = &mut job.stage.tasks[attempt.task as usize];
-        // The other copies leave the task with the first result, so that no second one is counted.
+        // Prevents a second result from being counted: the other attempts are removed with the first one.
         progress.done = true;
         progress.result = Some(result);
-        job.stage.longest = job.stage.longest.max(took);
-        job.stage.left -= 1;
-        let spare: Vec<_> = progress.pending.drain(..).collect();
-        if job.stage.left == 0 {
+        job.stage.longest_run = job.stage.longest_run.max(took);
+        job.stage.unfinished -= 1;
+        let redundant: Vec<_> = progress.pending.drain(..).collect();
+        if job.stage.unfinished == 0 {
             self.complete_job(attempt.job);
         }
-        for pending in spare {
+        for pending in redundant {
             self.stop_attempt(pending);
         }
     }
 
+    /// Answers a job whose tasks all have results.
     fn complete_job(&mut self, number: u64) {
         let Some(Stage::Running(mut job)) = self.jobs.remove(&number) else {
             return;
@@ -373,20 +380,20 @@
         let tasks = &mut job.stage.tasks;
         let results = tasks.iter_mut().filter_map(|task| task.result.take());
         let results: Vec<_> = results.collect();
-        // A job whose every task has a result can miss none; an answer is complete or it is not sent.
+        // Guards against a complete answer that lacks a result.
         debug_assert_eq!(results.len(), job.submission.tasks.len());
         let mut answer = Answer::new(Outcome::Complete, Reason::Done, "every task ran to its end");
         answer.results = results;
         self.outputs.push(Output::Measure(Sample::Completed {
             took: self.now.since(job.arrived),
-            ideal: job.stage.longest,
+            ideal: job.stage.longest_run,
         }));
         self.finish_running(job, answer);
     }
 
-    /// Queues a task again that is proved not to have started.
+    /// Queues a task again whose attempt provably didn't start, or fails its job after too many attempts.
     fn requeue(&mut self, attempt: Attempt) {
-        if attempt.number + 1 >= REFUSALS {
+        if attempt.number + 1 >= MAX_REFUSALS {
             let detail = format!("tasks[{}]: refused by every endpoint tried", attempt.task);
             return self.fail_job(attempt.job, Reason::NoEndpoint, &detail);
         }
@@ -394,7 +401,7 @@
             job: attempt.job,
             task: attempt.task,
         };
-        // The first refusal goes elsewhere at once; more of them mean that the pool has no room.
+        // The first refusal is retried elsewhere at once; several mean that the pool is full, so they back off.
         if attempt.number == 0 {
             return self.enqueue(item);
         }
@@ -402,17 +409,17 @@
         self.timers.set(self.now + wait, Timer::Retry(item));
     }
 
-    /// Queues an idempotent task again that may have run, if the budget allows it.
+    /// Schedules a retry of an idempotent task that may have run; returns `false` if no retry is allowed.
     fn retry_task(&mut self, attempt: Attempt) -> bool {
         let Some(Stage::Running(job)) = self.jobs.get(&attempt.job) else {
             return true;
         };
         let progress = &job.stage.tasks[attempt.task as usize];
-        // A hedge that still runs is retry enough.
+        // Another attempt still runs, which serves as the retry.
         if !progress.pending.is_empty() {
             return true;
         }
-        if progress.attempts >= ATTEMPTS || !self.retries.try_take(self.now) {
+        if progress.attempts >= MAX_ATTEMPTS || !self.retries.try_take(self.now) {
             return false;
         }
         let wait = retry::backoff(progress.attempts - 1, &mut self.random);
@@ -425,7 +432,7 @@
         true
     }
 
-    /// Ends a job that can't be completed.
+    /// Answers a job that can't be completed.
     fn fail_job(&mut self, number: u64, reason: Reason, detail: &str) {
         let Some(Stage::Running(job)) = self.jobs.remove(&number) else {
             return;
@@ -439,23 +446,23 @@
         self.finish_running(job, answer);
     }
 
-    /// Ends a job whose deadline passed or that was cancelled, with the truth about what may have run.
+    /// Answers a job before it is complete; the outcome tells whether tasks ran or may have run.
     pub(super) fn finish_early(&mut self, job: Job<Running>, reason: Reason) {
         let outcome = job.outcome(reason);
-        let why = match reason {
+        let cause = match reason {
             Reason::Cancelled => "the job was cancelled",
             Reason::Draining => "the instance ended",
             _ => "the deadline passed",
         };
         let detail = match outcome {
-            Outcome::NotRun => format!("{why} before any task was started"),
-            Outcome::Unknown => format!("{why} while tasks were out; they were told to stop"),
-            _ => format!("{why} before every task had run"),
+            Outcome::NotRun => format!("{cause} before any task was started"),
+            Outcome::Unknown => format!("{cause} while tasks were running; they were told to stop"),
+            _ => format!("{cause} before every task had run"),
         };
         self.finish_running(job, Answer::new(outcome, reason, detail));
     }
 
-    /// Stops the attempts of a job that has its answer.
+    /// Stops all attempts of a job that is being answered.
     pub(super) fn stop_attempts(&mut self, job: &Job<Running>) {
         for progress in &job.stage.tasks {
             for pending in &progress.pending {
@@ -464,6 +471,7 @@
         }
     }
 
+    /// Returns whether the job runs and its tasks may run more than once.
     pub(super) fn is_repeatable(&self, job: u64) -> bool {
         match self.jobs.get(&job) {
             Some(Stage::Running(job)) => job.stage.admitted.class.repeatable(),
@@ -471,12 +479,15 @@
         }
     }
 
+    /// Returns a copy of an attempt that hasn't ended.
     pub(super) fn find_pending(&mut self, attempt: Attempt) -> Option<Pending> {
         self.with_pending(attempt, |pending| pending.clone())
     }
 
-    /// Works on an attempt that is pending. One that has been answered already, or that another incarnation made, is
-    /// not: an answer that comes late or twice changes nothing.
+    /// Calls `work` on an attempt that hasn't ended.
+    ///
+    /// Returns `None` for an attempt that has ended or is from another incarnation, so that a late or duplicate reply
+    /// has no effect.
     pub(super) fn with_pending<T>(
         &mut self,
         attempt: Attempt,
@@ -498,10 +509,10 @@
 }
 
 impl Job<Running> {
-    /// Returns what can truthfully be said of a job that ends before it is complete.
+    /// Returns the outcome of a job that ends before it is complete.
     fn outcome(&self, reason: Reason) -> Outcome {
-        let pending = self.stage.tasks.iter().any(|task| !task.pending.is_empty());
-        match (reason, pending, self.stage.started) {
+        let has_pending = self.stage.tasks.iter().any(|task| !task.pending.is_empty());
+        match (reason, has_pending, self.stage.may_have_run) {
             (Reason::TaskFailed, _, _) => Outcome::Failed,
             (Reason::Lost, _, _) | (_, true, _) => Outcome::Unknown,
             (_, false, true) => Outcome::Failed,
@@ -511,12 +522,12 @@
 }
 
 impl Progress {
-    /// Notes an endpoint that the next attempt is to avoid.
+    /// Makes the next attempt avoid an endpoint; forgets the oldest one beyond [`MAX_AVOIDED`].
     pub(super) fn avoid(&mut self, slot: Slot) {
         if self.avoid.contains(&slot) {
             return;
         }
-        if self.avoid.len() == AVOIDED {
+        if self.avoid.len() == MAX_AVOIDED {
             self.avoid.remove(0);
         }
         self.avoid.push(slot);
--- a/src/core/retry.rs
+++ b/src/core/retry.rs
@@ -1,4 +1,4 @@
-//! Retries and hedges of idempotent tasks, within budgets.
+//! Budgets and delays for retries and hedges of idempotent tasks.
 
 use std::collections::HashMap;
 
@@ -7,68 +7,69 @@
 
 use crate::prelude::*;
 
-/// What one whole token is counted in.
+/// One token; budgets count in thousandths of a token.
 const TOKEN: u64 = 1_000;
 
-/// The wait before the first retry, before jitter.
-const FIRST_WAIT: Span = Span::millis(10);
+/// The delay before the first retry, without jitter.
+const BASE_DELAY: Span = Span::millis(10);
 
-/// The longest wait before a retry.
-const LONGEST_WAIT: Span = Span::seconds(1);
+/// The longest delay before a retry.
+const MAX_DELAY: Span = Span::seconds(1);
 
 /// A share in thousandths.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Permille(pub u64);
 
-/// Tokens that are earned by successes and spent on extra messages.
+/// A token bucket that successes fill and extra attempts drain.
 ///
-/// When half of the endpoints fail, retries without a budget multiply the load just when there is least to spare.
-/// Since tokens come from successes, extra messages stay a share of the useful ones, plus the floor.
+/// Prevents a retry storm: when many endpoints fail, extra attempts stay a fixed share of the successes, plus a minimum
+/// rate.
 #[derive(Debug, Clone)]
 pub struct Budget {
     share: Permille,
-    floor: u64,
-    most: u64,
+    per_second: u64,
+    capacity: u64,
     tokens: u64,
-    filled: Time,
+    filled_at: Time,
 }
 
 impl Budget {
-    /// Makes the budget of retries: a tenth of the successes, and one a second at least.
+    /// Creates the budget for retries: a tenth of the successes, plus one a second.
     pub fn for_retries() -> Self {
         Self::new(Permille(100), 1, 100)
     }
 
-    /// Makes the budget of hedges: a twentieth of the successes.
+    /// Creates the budget for hedges: a twentieth of the successes.
     pub fn for_hedges() -> Self {
         Self::new(Permille(50), 0, 50)
     }
 
-    /// Makes a budget that earns `share` of each success and `floor` tokens a second, and saves up to `most`.
-    pub fn new(share: Permille, floor: u64, most: u64) -> Self {
+    /// Creates a budget that earns `share` of a token with each success and `per_second` tokens a second, and saves up
+    /// to `capacity` tokens.
+    pub fn new(share: Permille, per_second: u64, capacity: u64) -> Self {
         Self {
             share,
-            floor,
-            most: most * TOKEN,
-            tokens: most.min(10 * floor) * TOKEN,
-            filled: Time::default(),
+            per_second,
+            capacity: capacity * TOKEN,
+            tokens: capacity.min(10 * per_second) * TOKEN,
+            filled_at: Time::default(),
         }
     }
 
-    /// Earns the share of one success.
+    /// Earns a share of a token for a success.
     pub fn on_success(&mut self) {
-        self.tokens = self.most.min(self.tokens + self.share.0);
+        self.tokens = self.capacity.min(self.tokens + self.share.0);
     }
 
-    /// Takes a token, where there is one.
+    /// Takes a token; returns whether there was one.
     pub fn try_take(&mut self, now: Time) -> bool {
         let earned = now
-            .since(self.filled)
+            .since(self.filled_at)
             .as_millis()
-            .saturating_mul(self.floor);
+            .saturating_mul(self.per_second);
         if earned > 0 {
-            self.tokens = self.most.min(self.tokens.saturating_add(earned));
-            self.filled = now;
+            self.tokens = self.capacity.min(self.tokens.saturating_add(earned));
+            self.filled_at = now;
         }
         if self.tokens < TOKEN {
             return false;
@@ -78,39 +79,41 @@
     }
 }
 
-/// Draws the wait before a retry: half of it fixed, doubled with each attempt, and half of it random.
+/// Returns the delay before the retry that follows attempt number `attempt`, counted from 0.
+///
+/// Exponential backoff with jitter: a random delay between half of the nominal one and all of it.
 pub fn backoff(attempt: u32, random: &mut impl Rng) -> Span {
-    let whole = FIRST_WAIT.times(1 << attempt.min(16)).min(LONGEST_WAIT).0;
-    Span(random.random_range(whole / 2..=whole))
+    let nominal = BASE_DELAY.times(1 << attempt.min(16)).min(MAX_DELAY).0;
+    Span(random.random_range(nominal / 2..=nominal))
 }
 
-/// The quantile of its kind past which a task gets a second copy.
-const QUANTILE: f64 = 0.99;
+/// The quantile of a service's task durations after which a task is hedged.
+const HEDGE_QUANTILE: f64 = 0.99;
 
-/// Durations that must be known before tasks of a kind are hedged.
-const SAMPLES: u64 = 200;
+/// The number of recorded durations from which a service's tasks are hedged.
+const MIN_SAMPLES: u64 = 200;
 
-/// Durations after which a histogram is started afresh, so that the wait follows changes.
-const ROUND: u64 = 4_096;
+/// The number of recorded durations after which a histogram is reset, so that the delay follows changes.
+const SAMPLES_PER_ROUND: u64 = 4_096;
 
-/// The most kinds that are followed; others are not hedged.
-const KINDS: usize = 256;
+/// The maximum number of services with recorded durations; tasks of others aren't hedged.
+const MAX_SERVICES: usize = 256;
 
-/// The longest duration that is told apart, in milliseconds.
-const LONGEST_MILLIS: u64 = 60_000;
+/// The longest duration that histograms distinguish, in milliseconds.
+const MAX_DURATION_MS: u64 = 60_000;
 
-/// The durations of one kind of task: the last full round, and the current one.
+/// The task durations of one service: a histogram of the current round, and the quantile of the last full one.
 #[derive(Debug)]
-struct Kind {
+struct Durations {
     current: Histogram<u16>,
-    last: Option<Span>,
+    last_quantile: Option<Span>,
 }
 
-/// Decides when a second copy of an idempotent task may start.
+/// Decides when an idempotent task may be hedged with a second attempt.
 #[derive(Debug)]
 pub struct Hedge {
     budget: Budget,
-    kinds: HashMap<Service, Kind>,
+    services: HashMap<Service, Durations>,
 }
 
 impl Default for Hedge {
@@ -120,55 +123,57 @@
 }
 
 impl Hedge {
-    /// Makes a decision that knows no durations yet.
+    /// Creates a hedge without recorded durations.
     pub fn new() -> Self {
         Self {
             budget: Budget::for_hedges(),
-            kinds: HashMap::new(),
+            services: HashMap::new(),
         }
     }
 
-    /// Learns how long a task of a service took, and earns a share of a copy.
+    /// Records how long a task of a service ran, and earns a share of a token.
     pub fn on_success(&mut self, service: &Service, took: Span) {
         self.budget.on_success();
-        let Some(kind) = self.kind(service) else {
+        let Some(durations) = self.durations_of(service) else {
             return;
         };
-        kind.current.saturating_record(took.as_millis());
-        if kind.current.len() >= ROUND {
-            kind.last = Some(quantile(&kind.current));
-            kind.current.reset();
+        durations.current.saturating_record(took.as_millis());
+        if durations.current.len() >= SAMPLES_PER_ROUND {
+            durations.last_quantile = Some(quantile(&durations.current));
+            durations.current.reset();
         }
     }
 
-    /// Returns how long after its start a task of a service may get a second copy; none while too little is known.
+    /// Returns how long after its start a task of a service may be hedged; `None` while too few durations are recorded.
     pub fn delay(&self, service: &Service) -> Option<Span> {
-        let kind = self.kinds.get(service)?;
-        kind.last
-            .or_else(|| (kind.current.len() >= SAMPLES).then(|| quantile(&kind.current)))
+        let durations = self.services.get(service)?;
+        durations.last_quantile.or_else(|| {
+            (durations.current.len() >= MIN_SAMPLES).then(|| quantile(&durations.current))
+        })
     }
 
-    /// Takes what a second copy costs, where there is enough.
+    /// Takes a token for a second attempt; returns whether there was one.
     pub fn try_take(&mut self, now: Time) -> bool {
         self.budget.try_take(now)
     }
 
-    fn kind(&mut self, service: &Service) -> Option<&mut Kind> {
-        if !self.kinds.contains_key(service) {
-            if self.kinds.len() >= KINDS {
+    /// Returns the durations of a service, or `None` if there are too many services.
+    fn durations_of(&mut self, service: &Service) -> Option<&mut Durations> {
+        if !self.services.contains_key(service) {
+            if self.services.len() >= MAX_SERVICES {
                 return None;
             }
-            let current = Histogram::new_with_bounds(1, LONGEST_MILLIS, 2).ok()?;
-            let kind = Kind {
+            let current = Histogram::new_with_bounds(1, MAX_DURATION_MS, 2).ok()?;
+            let durations = Durations {
                 current,
-                last: None,
+                last_quantile: None,
             };
-            self.kinds.insert(service.clone(), kind);
+            self.services.insert(service.clone(), durations);
         }
-        self.kinds.get_mut(service)
+        self.services.get_mut(service)
     }
 }
 
-fn quantile(durations: &Histogram<u16>) -> Span {
-    Span::millis(durations.value_at_quantile(QUANTILE))
+fn quantile(histogram: &Histogram<u16>) -> Span {
+    Span::millis(histogram.value_at_quantile(HEDGE_QUANTILE))
 }
--- a/src/core/stage.rs
+++ b/src/core/stage.rs
@@ -1,7 +1,6 @@
-//! The life cycle of a job, as types: what isn't claimed can't be started.
+//! The stages of a job as types, so that the compiler rejects a start without a claim.
 //!
-//! [`Received`] becomes [`Running`] only by handing in a [`Permit`], and only [`Running`] has tasks that can be
-//! taken for a start. So the rule "no start without a claim" is checked by the compiler.
+//! A [`Received`] job becomes [`Running`] only with a [`Permit`], and only a [`Running`] job has tasks to start.
 
 use std::sync::Arc;
 
@@ -21,7 +20,7 @@
     record::route::Route, //
 };
 
-/// Who waits for the answer of a job.
+/// A recipient of a job's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Waiter {
     /// A caller of this instance.
@@ -30,146 +29,146 @@
     Peer(Caller),
 }
 
-/// What every job has, whatever its stage.
+/// A job at stage `S`, with what is common to all stages.
 #[derive(Debug)]
 pub struct Job<S> {
-    /// Its number within the incarnation.
+    /// The job's number, unique within the incarnation.
     pub number: u64,
     /// The submission.
     pub submission: Submission,
-    /// The digest of its body.
+    /// The digest of the request body.
     pub digest: Digest,
-    /// The size of its body.
+    /// The size of the request body in bytes; 0 if a peer forwarded it.
     pub bytes: usize,
-    /// When it came.
+    /// When it was submitted.
     pub arrived: Time,
-    /// When it has to be answered.
+    /// When it has to be answered at the latest.
     pub deadline: Time,
     /// The timer of the deadline.
     pub(super) timer: Handle,
     /// Whether the caller says that it never sent the key before.
     pub first: bool,
-    /// Who waits for the answer.
+    /// The recipients of the answer.
     pub waiters: Vec<Waiter>,
-    /// The stage, with what belongs to it.
+    /// The stage and its data.
     pub stage: S,
 }
 
-/// A job that isn't claimed: its key is looked up, claimed or asked for elsewhere.
+/// The stage of a job that isn't claimed yet, or whose answer another instance or the table has.
 #[derive(Debug)]
 pub struct Received {
-    /// The route and class it would run under; none for a job that runs elsewhere or not at all.
+    /// The result of admission; `None` for a job that this instance doesn't run.
     pub admitted: Option<Admitted>,
-    /// What is waited for.
+    /// What the job waits for.
     pub wait: Wait,
 }
 
-/// What a job waits for before it may run.
+/// What a received job waits for.
 #[derive(Debug, Clone)]
 pub enum Wait {
-    /// The end of the transaction that claims the key.
+    /// The reply to the insert of its claim, which has this nonce.
     Claim(Nonce),
-    /// A read of the claim, since the answer to the claim was lost.
-    Settle(Nonce),
-    /// A read of the claim before a refusal, which it would contradict.
-    Verify(Answer),
-    /// The owner's answer.
+    /// A read of its claim, since the insert got no reply.
+    ReadBack(Nonce),
+    /// A read of the claim before this refusal is sent: a claim would contradict it.
+    VerifyRefusal(Answer),
+    /// The answer of the instance that owns the key.
     Owner(Instance),
-    /// The recorded outcome, since the owner can't be asked.
-    Record,
-    /// The object that holds a recorded answer.
-    Object,
+    /// A read of the recorded outcome, since the owner can't be reached.
+    Outcome,
+    /// The object that holds the recorded answer.
+    AnswerObject,
 }
 
-/// What the admission found for a job.
+/// The result of a job's admission.
 #[derive(Debug, Clone)]
 pub struct Admitted {
-    /// The route.
+    /// The route of the job's service.
     pub route: Arc<Route>,
-    /// The class.
+    /// The class that the job runs under.
     pub class: Class,
-    /// The sum of the expected run times, as it was admitted.
+    /// The sum of the expected run times that admission counted.
     pub work: Span,
 }
 
-/// The right to start a job: made only where a claim is proved.
+/// Permission to start a job; its constructors name the proof that no other instance may start it.
 #[derive(Debug)]
 pub struct Permit(());
 
 impl Permit {
-    /// The table holds the claim with the own incarnation and the nonce of this job.
+    /// Creates a permit for a job whose claim is in the table, with this incarnation and the job's nonce.
     pub fn by_table() -> Self {
         Self(())
     }
 
-    /// The key is from an own range and was noted as open just now.
+    /// Creates a permit for a job whose key is new and from a range of this incarnation.
     pub fn by_range() -> Self {
         Self(())
     }
 
-    /// The job has no key that anybody else could know, or its tasks are idempotent.
+    /// Creates a permit for a job without a key, or with idempotent tasks.
     pub fn without_claim() -> Self {
         Self(())
     }
 }
 
-/// A job that may start its tasks.
+/// The stage of a job that may start its tasks.
 #[derive(Debug)]
 pub struct Running {
-    /// The route and class.
+    /// The result of admission.
     pub admitted: Admitted,
-    /// The nonce of the claim, where there is one in the table.
+    /// The nonce of the claim in the table, if the job has one there.
     pub nonce: Option<Nonce>,
     /// The tasks, in the order of the submission.
     pub tasks: Vec<Progress>,
-    /// How many tasks have no result yet.
-    pub left: usize,
-    /// Whether any task has run, or may have.
-    pub started: bool,
-    /// The run time of the longest task that has ended.
-    pub longest: Span,
+    /// The number of tasks without a result.
+    pub unfinished: usize,
+    /// Whether any task has run or may have run.
+    pub may_have_run: bool,
+    /// The longest run time of a finished task.
+    pub longest_run: Span,
 }
 
-/// How far a task is.
+/// The progress of one task.
 #[derive(Debug)]
 pub struct Progress {
-    /// The number of the next attempt.
+    /// The number of attempts so far, which is also the number of the next one.
     pub attempts: u32,
-    /// Endpoints that are avoided at the next attempt.
+    /// Endpoints that the next attempt avoids, oldest first.
     pub avoid: Vec<Slot>,
-    /// Attempts that have not ended; two while a hedge runs.
+    /// Attempts that haven't ended; two while a hedge runs.
     pub pending: Vec<Pending>,
-    /// Whether it has ended with a result.
+    /// Whether the task has a result.
     pub done: bool,
-    /// The result, until the answer takes it.
+    /// The result, until it is moved into the answer.
     pub result: Option<Arc<RawValue>>,
 }
 
-/// An attempt that was sent to an endpoint and has not ended.
+/// An attempt that was sent to an endpoint and hasn't ended.
 #[derive(Debug, Clone)]
 pub struct Pending {
     /// The attempt.
     pub attempt: Attempt,
     /// The endpoint.
     pub slot: Slot,
-    /// The incarnation of the endpoint that was heard last before the start.
+    /// The incarnation that the endpoint last reported before the attempt was sent, if it reported one.
     pub incarnation: Option<Incarnation>,
-    /// When it was started.
-    pub at: Time,
-    /// The timer that looks it up.
-    pub(super) look: Handle,
-    /// Looks that reached no one since the last that did.
-    pub missed: u32,
-    /// Looks that were made.
-    pub looks: u32,
+    /// When the attempt was sent.
+    pub sent_at: Time,
+    /// The timer of the next status check.
+    pub(super) check_timer: Handle,
+    /// Status checks in a row that didn't reach the endpoint.
+    pub missed_checks: u32,
+    /// Status checks that have ended.
+    pub checks: u32,
 }
 
 impl Job<Received> {
-    /// Makes the job one that may start its tasks.
+    /// Moves the job to the stage in which its tasks may start.
     ///
     /// # Panics
     ///
-    /// Panics where the job was never admitted, which is a fault of the core.
+    /// Panics if the job wasn't admitted, which is a bug in the caller.
     pub fn permit(self, _permit: Permit, nonce: Option<Nonce>) -> Job<Running> {
         let admitted = self.stage.admitted.expect("only admitted jobs are claimed");
         let progress = |_: &Task| Progress {
@@ -192,27 +191,27 @@
             stage: Running {
                 admitted,
                 nonce,
-                left: tasks.len(),
+                unfinished: tasks.len(),
                 tasks,
-                started: false,
-                longest: Span::default(),
+                may_have_run: false,
+                longest_run: Span::default(),
             },
             submission: self.submission,
         }
     }
 }
 
-/// A job at whichever stage it is.
+/// A job at one of its stages.
 #[derive(Debug)]
 pub enum Stage {
-    /// Not claimed.
+    /// The job isn't claimed by this instance.
     Received(Job<Received>),
-    /// Claimed.
+    /// The job may start its tasks.
     Running(Job<Running>),
 }
 
 impl Stage {
-    /// Returns who waits for the answer.
+    /// Returns the recipients of the job's answer.
     pub fn waiters(&mut self) -> &mut Vec<Waiter> {
         match self {
             Self::Received(job) => &mut job.waiters,
--- a/src/core/status_check.rs
+++ b/src/core/status_check.rs
@@ -1,9 +1,9 @@
-//! Looking at attempts whose end is late, stopping those that nobody waits for, and what endpoints' failures mean.
+//! Status checks of overdue attempts, stops of attempts that aren't needed, and endpoint health.
 
 use super::{
     execution::{
         Conclusion,
-        ATTEMPTS, //
+        MAX_ATTEMPTS, //
     },
     health,
     message::{
@@ -28,38 +28,38 @@
     prelude::*,
 };
 
-/// Looks in a row that reach no one before an attempt counts as lost.
-const MISSES: u32 = 3;
+/// The number of failed status checks in a row after which an attempt counts as lost.
+const MAX_MISSED_CHECKS: u32 = 3;
 
-/// Between a look that reached no one and the next.
-const LOOK_AGAIN: Span = Span::millis(60);
+/// The delay before the next status check after one that didn't reach the endpoint.
+const MISSED_CHECK_DELAY: Span = Span::millis(60);
 
-/// Between the first two looks at a task that runs; it doubles up to [`LONGEST_LOOK`].
-const LOOK_RUNNING: Span = Span::millis(100);
+/// The base delay between status checks of a running task; it doubles with each check up to [`MAX_CHECK_DELAY`].
+const RUNNING_CHECK_DELAY: Span = Span::millis(100);
 
-/// The longest time between two looks.
-const LONGEST_LOOK: Span = Span::millis(1_600);
+/// The longest delay between two status checks, and the time that a stopped attempt has to end.
+const MAX_CHECK_DELAY: Span = Span::millis(1_600);
 
 impl Core {
-    /// Looks at an attempt that has drawn no answer for longer than it should.
+    /// Hedges an attempt that is overdue, or asks its endpoint for the status; called by the timer.
     pub(super) fn check_overdue_attempt(&mut self, attempt: Attempt) {
         let Some(pending) = self.find_pending(attempt) else {
             return;
         };
-        if pending.looks == 0 && self.is_repeatable(attempt.job) && self.hedge(attempt) {
+        if pending.checks == 0 && self.is_repeatable(attempt.job) && self.hedge(attempt) {
             return;
         }
         self.request_status(&pending, false);
     }
 
-    /// Starts a second copy of an idempotent task that is late, within the budget.
+    /// Queues a second attempt at an overdue idempotent task; returns `false` if no hedge is allowed.
     pub(super) fn hedge(&mut self, attempt: Attempt) -> bool {
         let Some(Stage::Running(job)) = self.jobs.get_mut(&attempt.job) else {
             return false;
         };
         let progress = &mut job.stage.tasks[attempt.task as usize];
         if progress.pending.len() > 1
-            || progress.attempts >= ATTEMPTS
+            || progress.attempts >= MAX_ATTEMPTS
             || !self.hedges.try_take(self.now)
         {
             return false;
@@ -71,7 +71,7 @@
             .collect();
         slots.into_iter().for_each(|slot| progress.avoid(slot));
         self.outputs.push(Output::Measure(Sample::Hedged));
-        self.schedule_status_check(attempt, LONGEST_LOOK);
+        self.schedule_status_check(attempt, MAX_CHECK_DELAY);
         self.enqueue(Item {
             job: attempt.job,
             task: attempt.task,
@@ -79,6 +79,7 @@
         true
     }
 
+    /// Asks the endpoint for the status of an attempt; `stop` also tells it to stop the task, or never to start it.
     pub(super) fn request_status(&mut self, pending: &Pending, stop: bool) {
         if let Some(worker) = self.placement.endpoint(pending.slot) {
             self.outputs.push(Output::Look {
@@ -90,46 +91,47 @@
         }
     }
 
+    /// Handles the result of a status check; `status` is `None` if the endpoint wasn't reached.
     pub(super) fn on_status(&mut self, attempt: Attempt, status: Option<Status>) {
         let Some(pending) = self.with_pending(attempt, |pending| {
-            pending.looks += 1;
-            pending.missed = if status.is_none() {
-                pending.missed + 1
+            pending.checks += 1;
+            pending.missed_checks = if status.is_none() {
+                pending.missed_checks + 1
             } else {
                 0
             };
             pending.clone()
         }) else {
-            let over = matches!(status, Some(Status::Barred { .. } | Status::Ended { .. }));
-            return if over {
+            let is_over = matches!(status, Some(Status::Barred { .. } | Status::Ended { .. }));
+            return if is_over {
                 self.drop_orphan(attempt)
             };
         };
         match status {
-            None if pending.missed >= MISSES => {
+            None if pending.missed_checks >= MAX_MISSED_CHECKS => {
                 self.record_failure(pending.slot, attempt.job);
                 self.abandon_connection(attempt);
                 self.conclude(attempt, None, Conclusion::Lost);
             }
-            None => self.schedule_status_check(attempt, LOOK_AGAIN),
+            None => self.schedule_status_check(attempt, MISSED_CHECK_DELAY),
             Some(Status::Running) => {
-                let wait = LOOK_RUNNING.times(1 << pending.looks.min(4));
-                self.schedule_status_check(attempt, wait.min(LONGEST_LOOK));
+                let delay = RUNNING_CHECK_DELAY.times(1 << pending.checks.min(4));
+                self.schedule_status_check(attempt, delay.min(MAX_CHECK_DELAY));
             }
             Some(Status::Ended { reply }) => {
                 self.abandon_connection(attempt);
                 self.on_reply(attempt, reply);
             }
-            // The start may still be on its way: only once the endpoint has barred it may another be tried.
+            // Prevents a second run: the start request may still arrive, so it is barred before another attempt.
             Some(Status::Unseen) => self.request_status(&pending, true),
             Some(Status::Barred { incarnation }) => {
                 self.record_failure(pending.slot, attempt.job);
                 self.abandon_connection(attempt);
-                // An endpoint that has started again knows nothing of what its last incarnation started. By its
-                // report the task would run twice. An incarnation that was heard before the start left and still
-                // answers is the only one that can have got it.
-                let same = pending.incarnation.is_some() && pending.incarnation == incarnation;
-                let conclusion = if same {
+                // Prevents a second run after a restart: a new incarnation of the endpoint doesn't know what the last
+                // one started. Only the incarnation that was known before the attempt was sent can deny the start.
+                let same_incarnation =
+                    pending.incarnation.is_some() && pending.incarnation == incarnation;
+                let conclusion = if same_incarnation {
                     Conclusion::NotStarted
                 } else {
                     Conclusion::Lost
@@ -139,27 +141,30 @@
         }
     }
 
-    pub(super) fn schedule_status_check(&mut self, attempt: Attempt, wait: Span) {
-        let look = self.timers.set(self.now + wait, Timer::Look(attempt));
-        let known = self.with_pending(attempt, |pending| {
-            std::mem::replace(&mut pending.look, look)
+    /// Sets the timer of the next status check of an attempt, in place of the current one.
+    pub(super) fn schedule_status_check(&mut self, attempt: Attempt, delay: Span) {
+        let timer = self.timers.set(self.now + delay, Timer::Look(attempt));
+        let replaced = self.with_pending(attempt, |pending| {
+            std::mem::replace(&mut pending.check_timer, timer)
         });
-        self.timers.cancel(known.unwrap_or(look));
+        self.timers.cancel(replaced.unwrap_or(timer));
     }
 
+    /// Closes the connection on which an attempt's end is awaited; the end is known from elsewhere.
     pub(super) fn abandon_connection(&mut self, attempt: Attempt) {
         self.outputs.push(Output::Abandon(attempt));
     }
 
-    /// Stops an attempt whose end nobody waits for; its endpoint stays counted as busy until it has ended.
+    /// Stops an attempt whose result isn't needed. It occupies its place at the endpoint until it has ended.
     pub(super) fn stop_attempt(&mut self, pending: Pending) {
-        self.timers.cancel(pending.look);
+        self.timers.cancel(pending.check_timer);
         self.request_status(&pending, true);
         self.orphans.insert(pending.attempt, pending.slot);
         self.timers
-            .set(self.now + LONGEST_LOOK, Timer::Orphan(pending.attempt));
+            .set(self.now + MAX_CHECK_DELAY, Timer::Orphan(pending.attempt));
     }
 
+    /// Frees the place of a stopped attempt that has ended.
     pub(super) fn on_orphan_end(&mut self, attempt: Attempt) {
         if let Some(slot) = self.orphans.remove(&attempt) {
             self.placement.on_task_end(slot, None, None);
@@ -167,7 +172,7 @@
         }
     }
 
-    /// Gives up an attempt of a job that has ended, with its connection.
+    /// Abandons a stopped attempt and frees its place, once its endpoint reports the end or the time for it is up.
     pub(super) fn drop_orphan(&mut self, attempt: Attempt) {
         if self.orphans.contains_key(&attempt) {
             self.abandon_connection(attempt);
@@ -175,7 +180,7 @@
         }
     }
 
-    /// Remembers which incarnation of an endpoint answered last.
+    /// Stores the incarnation that an endpoint last reported.
     pub(super) fn record_incarnation(&mut self, slot: Slot, reply: &Reply) {
         let (Reply::Done { load, .. }
         | Reply::Failed { load, .. }
@@ -186,17 +191,20 @@
         };
     }
 
+    /// Reports a failure of an endpoint to the outlier ejection.
     pub(super) fn record_failure(&mut self, slot: Slot, job: u64) {
         let change = self.health.failed(self.now, slot, job);
         self.apply_health_change(change);
     }
 
+    /// Applies the changes of endpoints' health that are due by time.
     pub(super) fn tick_health(&mut self) {
         for change in self.health.tick(self.now) {
             self.apply_health_change(Some(change));
         }
     }
 
+    /// Applies a change of an endpoint's health to the placement, and logs it.
     pub(super) fn apply_health_change(&mut self, change: Option<health::Change>) {
         let Some(change) = change else {
             return;
@@ -208,7 +216,10 @@
             health::Change::Suspected(_) => Code::EndpointSuspected,
             _ => Code::EndpointReturned,
         };
-        let name = self.placement.endpoint(slot).map(|w| w.name.to_string());
+        let name = self
+            .placement
+            .endpoint(slot)
+            .map(|worker| worker.name.to_string());
         self.event(
             code,
             format!("{} ({eligibility:?})", name.unwrap_or_default()),
--- a/src/core/submission.rs
+++ b/src/core/submission.rs
@@ -1,4 +1,4 @@
-//! From a submission to its claim or its refusal.
+//! Submission of jobs: checks, admission, and the claim or the refusal.
 
 use std::sync::Arc;
 
@@ -6,8 +6,8 @@
     admission,
     answer::{
         conflict,
-        doubtful,
-        refused,
+        qualify_refusal,
+        refusal_in_doubt,
         RETRY_AFTER, //
     },
     claim::{
@@ -38,25 +38,26 @@
     },
 };
 
-/// The deadline of a job that never got as far as a route.
-const DEADLINE: Span = Span::seconds(10);
+/// The deadline of a job that is forwarded or refused before a route gives one.
+const DEFAULT_DEADLINE: Span = Span::seconds(10);
 
-/// A submission as it arrives.
+/// A submission from a caller or from a peer.
 pub(super) struct Arrival {
     pub(super) waiter: Waiter,
     pub(super) submission: Submission,
     pub(super) digest: Digest,
     pub(super) bytes: usize,
-    /// Whether the caller says that it never sent this key before.
+    /// Whether the caller states that it sends this key for the first time.
     pub(super) first: bool,
-    /// The time that is left, where another instance took it in.
+    /// The time left until the deadline, if a peer forwarded the submission.
     pub(super) time_left: Option<Span>,
 }
 
 impl Core {
+    /// Handles a submission: joins it to the job of its key, answers it, admits it or forwards it.
     pub(super) fn submit(&mut self, arrival: Arrival) {
-        if let Some(fault) = fault(&arrival.submission) {
-            let answer = Answer::refusal(Reason::Invalid, fault);
+        if let Some(detail) = find_fault(&arrival.submission) {
+            let answer = Answer::refusal(Reason::Invalid, detail);
             return self.send_answer(arrival.waiter, &answer);
         }
         let Some(key) = arrival.submission.key.clone() else {
@@ -84,6 +85,7 @@
         }
     }
 
+    /// Adds a recipient to the answer of a job that is in progress.
     pub(super) fn join_job(&mut self, number: u64, waiter: Waiter) {
         if let Some(job) = self.jobs.get_mut(&number) {
             job.waiters().push(waiter);
@@ -91,12 +93,14 @@
         }
     }
 
+    /// Stores which job a caller waits for, so that the caller can be removed when its connection is closed.
     fn track_request(&mut self, number: u64, waiter: Waiter) {
         if let Waiter::Request(request) = waiter {
             self.requests.insert(request, number);
         }
     }
 
+    /// Admits a new key of a range of this incarnation while the range is open, and refuses it otherwise.
     fn submit_range(&mut self, arrival: Arrival, key: &Key, range: Range) {
         let answer = match self.registry.admittance(range.epoch) {
             Admittance::Open => return self.submit_new(arrival, None, Origin::Range),
@@ -107,23 +111,23 @@
             Admittance::Forgotten => Answer::new(
                 Outcome::Unknown,
                 Reason::Forgotten,
-                format!("key {key} is older than the kept window"),
+                format!("key {key} is older than the retention window"),
             ),
         };
         self.send_answer(arrival.waiter, &answer.with_key(key.clone()));
     }
 
-    /// Hands a key of another incarnation's range to its owner, which alone may admit it.
+    /// Forwards a key of another incarnation's range to its owner, which alone may admit it.
     fn submit_to_owner(&mut self, arrival: Arrival, owner: Incarnation) {
         let stage = Received {
             admitted: None,
-            wait: Wait::Record,
+            wait: Wait::Outcome,
         };
-        let job = self.create_job(arrival, DEADLINE, stage);
+        let job = self.create_job(arrival, DEFAULT_DEADLINE, stage);
         self.forward_to_owner(job, owner, None);
     }
 
-    /// Admits a submission whose key is not known here, and claims it or refuses it.
+    /// Admits and claims a submission whose key isn't in progress or answered here, or refuses it.
     fn submit_new(&mut self, arrival: Arrival, nonce: Option<Nonce>, origin: Origin) {
         let deadline = arrival.submission.deadline;
         match self.admit(&arrival) {
@@ -135,40 +139,50 @@
                 let job = self.create_job(arrival, deadline, stage);
                 self.claim_key(job, origin);
             }
-            Err(refusal) => self.refuse(arrival, deadline.unwrap_or(DEADLINE), refusal, origin),
+            Err(refusal) => self.refuse(
+                arrival,
+                deadline.unwrap_or(DEFAULT_DEADLINE),
+                refusal,
+                origin,
+            ),
         }
     }
 
     /// Refuses a submission before it is claimed.
     ///
-    /// A resubmission may reach an instance that refuses everything at the moment, while its first copy ran
-    /// elsewhere. A plain "not run" would then be false, and the caller would run the job again under a new
-    /// key. So a key that the caller doesn't call new is looked up in the table first: a claim that stands
-    /// there leads to the owner's answer, and only its absence makes the refusal true.
+    /// Prevents a false "not run", after which the caller would run the job a second time under a new key: an earlier
+    /// submission of the key may have run on another instance. So the claim of a key that may have been sent before
+    /// is read from the table first. If there is one, its owner answers; otherwise the refusal is sent.
     fn refuse(&mut self, arrival: Arrival, deadline: Span, refusal: Answer, origin: Origin) {
         let repeatable = arrival.submission.class.is_some_and(Class::repeatable);
         if origin != Origin::Table || arrival.first || repeatable {
             self.count_answer(&refusal, arrival.submission.class.unwrap_or_default());
             return self.send_answer(arrival.waiter, &refusal);
         }
-        let Some(name) = arrival.submission.key.clone() else {
+        let Some(key) = arrival.submission.key.clone() else {
             return self.send_answer(arrival.waiter, &refusal);
         };
         if !self.store_open() {
-            return self.send_answer(arrival.waiter, &doubtful(&refusal).with_key(name));
+            return self.send_answer(arrival.waiter, &refusal_in_doubt(&refusal).with_key(key));
         }
-        let place = claim::claim_row_key(&arrival.submission.team, &name);
+        let row_key = claim::claim_row_key(&arrival.submission.team, &key);
         let stage = Received {
             admitted: None,
-            wait: Wait::Verify(refusal),
+            wait: Wait::VerifyRefusal(refusal),
         };
         let job = self.create_job(arrival, deadline, stage);
         let number = job.number;
         self.jobs.insert(number, Stage::Received(job));
-        self.operate(number, Operate::Read(place));
+        self.operate(number, Operate::Read(row_key));
     }
 
-    /// Checks a submission against the configuration and the bounds; counts it where it is admitted.
+    /// Checks a submission against the configuration and the limits, and counts it if it is admitted.
+    ///
+    /// Returns the deadline with what was admitted.
+    ///
+    /// # Errors
+    ///
+    /// Returns the refusal; nothing is counted then.
     fn admit(&mut self, arrival: &Arrival) -> Result<(Admitted, Span), Answer> {
         let submission = &arrival.submission;
         if self.draining.is_some() {
@@ -224,13 +238,18 @@
         Ok((admitted, deadline))
     }
 
-    /// Returns the slots that this instance can count on, by its share of the work.
+    /// Returns this instance's share of the route's slots.
     fn own_slots(&self, route: &Route) -> u32 {
         let slots = self.placement.slots(route);
         let own = (f64::from(slots) * self.share).ceil() as u32;
         own.clamp(slots.min(1), slots)
     }
 
+    /// Returns the route of a service.
+    ///
+    /// # Errors
+    ///
+    /// Returns a refusal if no configuration of the service is in force or supported.
     fn find_route(&self, service: &Service) -> Result<Arc<Route>, Answer> {
         self.config.route(service).map_err(|missing| match missing {
             Missing::Schema => Answer::refusal(
@@ -247,13 +266,18 @@
         })
     }
 
+    /// Checks that some endpoint of the route is large enough for each task.
+    ///
+    /// # Errors
+    ///
+    /// Returns a refusal that names the first task that fits no endpoint.
     fn check_needs(&self, route: &Route, submission: &Submission) -> Result<(), Answer> {
-        let mut checked: Option<Need> = None;
+        let mut last_checked: Option<Need> = None;
         for (i, task) in submission.tasks.iter().enumerate() {
-            if checked == Some(task.need) {
+            if last_checked == Some(task.need) {
                 continue;
             }
-            checked = Some(task.need);
+            last_checked = Some(task.need);
             if !self.placement.is_possible(route, task.need) {
                 let detail = format!("tasks[{i}].need: no endpoint of the service has so much");
                 return Err(Answer::refusal(Reason::Impossible, detail));
@@ -262,7 +286,7 @@
         Ok(())
     }
 
-    /// Makes a job of a submission, notes its key and sets its deadline.
+    /// Creates the job of a submission, registers its key and sets the timer of its deadline.
     fn create_job(&mut self, arrival: Arrival, deadline: Span, stage: Received) -> Job<Received> {
         let number = self.next();
         let deadline = self.now + arrival.time_left.unwrap_or(deadline).min(deadline);
@@ -286,16 +310,16 @@
         }
     }
 
-    /// Claims the key of a job that was admitted; where no claim is needed, it runs at once.
+    /// Claims the key of an admitted job in the table; runs the job at once if it needs no such claim.
     fn claim_key(&mut self, job: Job<Received>, origin: Origin) {
         let class = job.stage.admitted.as_ref().map(|admitted| admitted.class);
         if class.is_some_and(Class::repeatable) {
             return self.run_job(job.permit(Permit::without_claim(), None));
         }
-        let Some(name) = job.submission.key.clone() else {
+        let Some(key) = job.submission.key.clone() else {
             return self.run_job(job.permit(Permit::without_claim(), None));
         };
-        if origin == Origin::Range || Range::of(&name).is_some() {
+        if origin == Origin::Range || Range::of(&key).is_some() {
             return self.run_job(job.permit(Permit::by_range(), None));
         }
         if !self.store_open() {
@@ -304,39 +328,40 @@
         let Wait::Claim(nonce) = job.stage.wait.clone() else {
             return self.fail_claim(job);
         };
-        self.insert_claim(&job, &name, nonce);
+        self.insert_claim(&job, &key, nonce);
         self.jobs.insert(job.number, Stage::Received(job));
     }
 
-    /// Ends a job that couldn't be claimed because the table doesn't answer.
+    /// Refuses a job that couldn't be claimed since the table doesn't answer.
     pub(super) fn fail_claim(&mut self, job: Job<Received>) {
         let refusal = Answer::refusal(Reason::Store, "the platform's table can't be reached");
-        let retry = self.jitter(RETRY_AFTER);
-        let refusal = refusal.with_retry(retry);
-        let answer = refused(&refusal, job.first);
+        let retry_after = self.jitter(RETRY_AFTER);
+        let refusal = refusal.with_retry(retry_after);
+        let answer = qualify_refusal(&refusal, job.first);
         self.finish_received(job, answer);
     }
 }
 
-/// Where the key of a new submission comes from.
+/// The origin of a new submission's key, which decides how it is claimed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Origin {
-    /// An own range, or there is none.
+    /// The key is from a range of this incarnation, or there is no key.
     Range,
-    /// The caller's own choice, which the table decides on.
+    /// The caller chose the key, so it needs a claim in the table.
     Table,
-    /// The caller's own choice, known here as never run.
+    /// The caller chose the key, and this incarnation knows that its job never ran.
     Known,
 }
 
-fn fault(submission: &Submission) -> Option<String> {
+/// Returns a message for the first invalid field of a submission, if there is one.
+fn find_fault(submission: &Submission) -> Option<String> {
     if submission.tasks.is_empty() {
         return Some("tasks: a job has at least one task".to_owned());
     }
     if submission.deadline == Some(Span::default()) {
         return Some("deadline_ms: must be at least 1".to_owned());
     }
-    let zero = |task: &crate::job::Task| task.expected == Span::default();
-    let at = submission.tasks.iter().position(zero)?;
-    Some(format!("tasks[{at}].expected_ms: must be at least 1"))
+    let is_zero = |task: &crate::job::Task| task.expected == Span::default();
+    let index = submission.tasks.iter().position(is_zero)?;
+    Some(format!("tasks[{index}].expected_ms: must be at least 1"))
 }
