--- a/src/core/claim_resolution.rs
+++ b/src/core/claim_resolution.rs
@@ -148,7 +148,7 @@
             let answer = Answer::new(
                 Outcome::Unknown,
                 Reason::Store,
-                "the claim of this key can't be decoded",
+                "the claim of this key can't be read",
             );
             return self.finish_received(job, answer);
         };
--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -1,8 +1,8 @@
-//! Placement: which endpoint gets a task.
+//! Placement: picks the endpoint of each task.
 //!
-//! The endpoint with the fewest tasks of this instance for each of its slots gets the next one, weighted by how
-//! slow the endpoint has been lately; ties go by the load that its last answer reported, then at random.
-//! Endpoints that have room are kept in order, so a decision takes the first that fits.
+//! The endpoint with the fewest outstanding tasks of this instance per slot gets the next one, weighted by how slow the
+//! endpoint has been lately. Ties are broken by the load that it last reported, then at random. Endpoints with free
+//! places are kept in this order, so a decision takes the first that fits.
 
 mod entry;
 mod index;
@@ -21,7 +21,7 @@
         Contribution,
         Entry,
         Score,
-        STEPS, //
+        UNITS_PER_TASK, //
     },
     index::Group,
 };
@@ -35,190 +35,191 @@
     },
 };
 
-/// How often the instances together fill the slots of an endpoint before a task goes to another data centre.
+/// The number of tasks per slot, over all instances, from which an endpoint counts as busy and tasks may leave the data
+/// centre.
 ///
-/// Their loads vary, so that the endpoint is seldom full for as long as each has no more than this part.
-const BUSY: u64 = 3;
+/// It is more than 1 since the instances' loads vary: the endpoint is rarely full while each has only its share.
+const BUSY_TASKS_PER_SLOT: u64 = 3;
 
-/// What is added to the score of a suspect endpoint, which puts it behind all others.
+/// The amount added to the score of a suspect endpoint, which ranks it behind all others.
 const SUSPECT_PENALTY: u64 = 1 << 40;
 
-/// An endpoint's index in the table; never reused for another endpoint while work is outstanding.
+/// An endpoint's index in the table; not reused for another endpoint while tasks are outstanding there.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct Slot(pub u32);
 
-/// How an endpoint is picked among those that have room.
+/// How endpoints with free places are ranked.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum Policy {
-    /// At random.
+    /// All equal, so that the pick is random.
     Random,
-    /// Fewest own outstanding tasks, ties at random.
+    /// By the outstanding tasks of this instance.
     Outstanding,
-    /// Fewest own outstanding tasks, ties by the load last reported, then at random.
+    /// By the outstanding tasks of this instance, then by the load last reported.
     #[default]
     OutstandingThenLoad,
-    /// Own outstanding tasks and the load last reported added up.
+    /// By the sum of the outstanding tasks of this instance and the load last reported.
     OutstandingPlusLoad,
 }
 
-/// What a task asks of its endpoint.
+/// What a task requires of its endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct Requirement<'a> {
-    /// The route of its service.
+    /// The route of the task's service.
     pub route: &'a Route,
-    /// What it needs.
+    /// The resources that the task needs.
     pub need: Need,
-    /// How often it may run: endpoints on probation get idempotent tasks only.
+    /// The class of the task: endpoints on probation get idempotent tasks only.
     pub class: Class,
-    /// Endpoints that get it only when no other is eligible.
+    /// Endpoints that get the task only if no other one is eligible.
     pub avoid: &'a [Slot],
 }
 
 /// Why a task can't be placed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Obstacle {
-    /// No endpoint that was ever listed could run it.
+    /// No endpoint that was ever listed is large enough.
     Impossible,
-    /// None that could run it is eligible now.
+    /// No endpoint that is large enough is eligible now.
     NoneEligible,
-    /// All that could run it are at their bound.
+    /// All eligible endpoints that are large enough are at their limit.
     Full,
 }
 
-/// What health allows an endpoint to get.
+/// Which tasks an endpoint may get, according to its health.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum Eligibility {
-    /// Everything.
+    /// All tasks.
     #[default]
     Good,
-    /// What no other endpoint takes.
+    /// Tasks that no other endpoint has a free place for.
     Suspect,
     /// One idempotent task at a time.
     Probation,
     /// One task of any class at a time.
     Trial,
-    /// Nothing.
+    /// No tasks.
     Ejected,
 }
 
-/// What a new list changed.
+/// A change that a new list of endpoints made.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Change {
-    /// An endpoint is new, or is back under its old slot.
+    /// The endpoint is new, or was absent or leaving and is live again.
     Added(Slot),
-    /// Its entry in the list has changed.
+    /// The endpoint's entry in the list has changed.
     Updated(Slot),
-    /// It is leaving.
+    /// The endpoint is leaving.
     Leaving(Slot),
-    /// It is not listed any more.
+    /// The endpoint isn't listed any more.
     Absent(Slot),
-    /// It is forgotten, and the slot may be used for another.
+    /// The endpoint is removed; its slot may be reused.
     Dropped(Slot),
 }
 
 /// Sums over all endpoints.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Total {
-    /// Tasks of this instance that are outstanding.
+    /// Outstanding tasks of this instance.
     pub outstanding: u32,
-    /// Endpoints that take work.
+    /// Eligible endpoints.
     pub eligible: u32,
 }
 
-/// The endpoints, in the order in which they are to get work.
+/// The table of endpoints, in the order in which they get tasks.
 #[derive(Debug)]
 pub struct Placement {
     centre: Centre,
-    outstanding: u32,
+    max_outstanding: u32,
     instances: u32,
     policy: Policy,
     random: SmallRng,
     entries: Vec<Option<Entry>>,
-    spare: Vec<Slot>,
+    free_slots: Vec<Slot>,
     names: HashMap<Endpoint, Slot>,
     groups: Vec<Group>,
-    pools: HashMap<Pool, Vec<usize>>,
-    list: u64,
-    placed: u32,
+    groups_by_pool: HashMap<Pool, Vec<usize>>,
+    list_number: u64,
+    outstanding: u32,
 }
 
 impl Placement {
-    /// Makes an empty table for an instance in `centre` that has at most `outstanding` tasks at one endpoint.
-    pub fn new(centre: Centre, outstanding: u32, seed: u64) -> Self {
+    /// Creates an empty table for an instance in `centre` that has at most `max_outstanding` tasks at one endpoint.
+    pub fn new(centre: Centre, max_outstanding: u32, seed: u64) -> Self {
         Self {
             centre,
-            outstanding: outstanding.max(1),
+            max_outstanding: max_outstanding.max(1),
             instances: 1,
             policy: Policy::default(),
             random: SmallRng::seed_from_u64(seed),
             entries: Vec::new(),
-            spare: Vec::new(),
+            free_slots: Vec::new(),
             names: HashMap::new(),
             groups: Vec::new(),
-            pools: HashMap::new(),
-            list: 0,
-            placed: 0,
+            groups_by_pool: HashMap::new(),
+            list_number: 0,
+            outstanding: 0,
         }
     }
 
-    /// Sets another policy; it is meant for measurements, before anything is listed.
+    /// Sets another policy, for benchmarks; to be called before the first list.
     pub fn with_policy(mut self, policy: Policy) -> Self {
         self.policy = policy;
         self
     }
 
-    /// Picks an endpoint, and counts the task as outstanding there.
+    /// Picks an endpoint for a task, and counts the task as outstanding there.
     ///
     /// # Errors
     ///
-    /// Tells what stands in the way; nothing is counted then.
+    /// Returns why no endpoint can get the task; nothing is counted then.
     pub fn place(&mut self, requirement: &Requirement<'_>) -> Result<Slot, Obstacle> {
         let slot = match self.pick(requirement, requirement.avoid) {
             Some(slot) => slot,
             None => self.pick_avoided(requirement)?,
         };
-        self.placed += 1;
-        self.change(slot, |entry| entry.outstanding += 1);
+        self.outstanding += 1;
+        self.update_entry(slot, |entry| entry.outstanding += 1);
         Ok(slot)
     }
 
-    /// Frees a place at an endpoint, and learns from the load that it reported and from how long the task took.
+    /// Frees the place of a task that has ended, and updates the endpoint's load and speed.
     ///
-    /// A task that failed is to give no time: an endpoint that fails at once would look fast.
+    /// `took` is `None` for a failed task, which prevents an endpoint that fails at once from ranking as fast.
     pub fn on_task_end(&mut self, slot: Slot, took: Option<Span>, load: Option<Load>) {
         let Some(group) = self.entry(slot).map(|entry| entry.group) else {
             return;
         };
-        self.placed = self.placed.saturating_sub(1);
+        self.outstanding = self.outstanding.saturating_sub(1);
         let mean = self.groups[group].speeds.mean();
-        let mut shift = None;
-        self.change(slot, |entry| {
-            debug_assert!(entry.outstanding > 0, "ended more tasks than were placed");
+        let mut means = None;
+        self.update_entry(slot, |entry| {
+            debug_assert!(entry.outstanding > 0, "more tasks ended than were placed");
             entry.outstanding = entry.outstanding.saturating_sub(1);
             if let Some(load) = load {
                 entry.load = load.running.saturating_add(load.queued);
             }
             if let Some(took) = took {
-                shift = Some(entry.speed.learn(took));
-                entry.factor = entry.speed.factor(mean);
+                means = Some(entry.speed.add(took));
+                entry.slowness = entry.speed.slowness(mean);
             }
         });
-        if let Some((before, after)) = shift {
-            self.groups[group].speeds.shift(before, after);
+        if let Some((before, after)) = means {
+            self.groups[group].speeds.replace(before, after);
         }
     }
 
-    /// Marks an endpoint that reported that it is leaving.
+    /// Marks an endpoint that reported to be leaving, so that it gets no more tasks.
     pub fn mark_leaving(&mut self, slot: Slot) {
-        let list = self.list;
-        self.change(slot, |entry| entry.leaving_since = Some(list));
+        let list_number = self.list_number;
+        self.update_entry(slot, |entry| entry.leaving_since = Some(list_number));
     }
 
-    /// Ejects an endpoint, or returns it.
-    pub fn set_eligible(&mut self, slot: Slot, yes: bool) {
+    /// Ejects an endpoint, or makes it fully eligible again.
+    pub fn set_eligible(&mut self, slot: Slot, is_eligible: bool) {
         self.set_eligibility(
             slot,
-            if yes {
+            if is_eligible {
                 Eligibility::Good
             } else {
                 Eligibility::Ejected
@@ -226,9 +227,9 @@
         );
     }
 
-    /// Sets what health allows an endpoint to get.
+    /// Sets which tasks an endpoint may get.
     pub fn set_eligibility(&mut self, slot: Slot, eligibility: Eligibility) {
-        self.change(slot, |entry| entry.eligibility = eligibility);
+        self.update_entry(slot, |entry| entry.eligibility = eligibility);
     }
 
     /// Returns an endpoint's entry in the list.
@@ -236,12 +237,12 @@
         self.entry(slot).map(|entry| &entry.worker)
     }
 
-    /// Returns how many tasks of this instance are outstanding at an endpoint.
+    /// Returns the number of outstanding tasks of this instance at an endpoint.
     pub fn outstanding(&self, slot: Slot) -> u32 {
         self.entry(slot).map_or(0, |entry| entry.outstanding)
     }
 
-    /// Finds an endpoint by its name.
+    /// Returns the slot of an endpoint by its name.
     pub fn find(&self, name: &Endpoint) -> Option<Slot> {
         self.names.get(name).copied()
     }
@@ -249,36 +250,39 @@
     /// Returns the sums over all endpoints.
     pub fn total(&self) -> Total {
         Total {
-            outstanding: self.placed,
+            outstanding: self.outstanding,
             eligible: self.groups.iter().map(|group| group.count.eligible).sum(),
         }
     }
 
-    /// Tells whether an endpoint that the route may use could ever run a task, as far as the lists so far have shown.
+    /// Returns whether any endpoint of the route that was ever listed is large enough; `true` if none was listed.
     pub fn is_possible(&self, route: &Route, need: Need) -> bool {
-        let mut groups = self.reach(route).peekable();
+        let mut groups = self.reachable_groups(route).peekable();
         groups.peek().is_none() || groups.any(|group| fits(&need, &group.has))
     }
 
-    /// Returns how many places below the bound the route has now.
+    /// Returns how many tasks the route's eligible endpoints can get before they reach their limits.
     pub fn free_places(&self, route: &Route) -> u32 {
-        self.reach(route).map(|group| group.count.free).sum()
+        self.reachable_groups(route)
+            .map(|group| group.count.free)
+            .sum()
     }
 
-    /// Returns how many slots the eligible endpoints of the route have.
+    /// Returns the total slots of the route's eligible endpoints.
     pub fn slots(&self, route: &Route) -> u32 {
-        self.reach(route).map(|group| group.count.slots).sum()
+        self.reachable_groups(route)
+            .map(|group| group.count.slots)
+            .sum()
     }
 
-    /// Returns the first endpoint in order that has room, none of `avoid`.
+    /// Returns the best endpoint with a free place that isn't one of `avoid`.
     ///
-    /// The own data centre goes first while one of its endpoints is likely to start the task at once. Once none is, a
-    /// task would wait there, mostly for longer than the way to another data centre takes; so one that goes to
-    /// another whose endpoints have less to do is ahead.
+    /// The own data centre comes first while one of its endpoints is likely to start the task at once. Otherwise
+    /// another data centre with such an endpoint gets the task: waiting usually takes longer than the network.
     fn pick(&mut self, requirement: &Requirement<'_>, avoid: &[Slot]) -> Option<Slot> {
         let own = self.centre.clone();
         let near = self.pick_in(requirement, avoid, |centre| *centre == own);
-        if !requirement.route.spill || near.is_some_and(|near| self.idle(near)) {
+        if !requirement.route.spill || near.is_some_and(|near| self.starts_at_once(near)) {
             return near.map(|(_, slot)| slot);
         }
         let mut far = None;
@@ -292,38 +296,39 @@
             .filter(|other| **other != own)
         {
             let found = self.pick_in(requirement, avoid, |centre| centre == other);
-            if found.is_some_and(|found| self.idle(found)) {
+            if found.is_some_and(|found| self.starts_at_once(found)) {
                 far = found;
                 break;
             }
             far = far.or(found);
         }
-        let last = near.is_none_or(|(score, _)| score.work >= SUSPECT_PENALTY);
-        let far = far.filter(|far| last || self.idle(*far));
+        let near_is_unfit = near.is_none_or(|(score, _)| score.work >= SUSPECT_PENALTY);
+        let far = far.filter(|far| near_is_unfit || self.starts_at_once(*far));
         far.or(near).map(|(_, slot)| slot)
     }
 
-    /// Tells whether an endpoint is likely to start a task at once: this instance has no task there, or no more than
-    /// its part of what keeps the slots busy.
-    fn idle(&self, (score, slot): (Score, Slot)) -> bool {
-        let part = (STEPS * BUSY / u64::from(self.instances)).min(STEPS);
-        score.work <= part || score.work < SUSPECT_PENALTY && self.outstanding(slot) == 0
+    /// Returns whether an endpoint is likely to start a task at once: this instance has no task there, or no more than
+    /// its share of a busy endpoint's tasks.
+    fn starts_at_once(&self, (score, slot): (Score, Slot)) -> bool {
+        let share =
+            (UNITS_PER_TASK * BUSY_TASKS_PER_SLOT / u64::from(self.instances)).min(UNITS_PER_TASK);
+        score.work <= share || score.work < SUSPECT_PENALTY && self.outstanding(slot) == 0
     }
 
-    /// Returns the best endpoint of the first pool that has room in the data centres that `allowed` names.
+    /// Returns the best endpoint of the first pool that has one with a free place in an allowed data centre.
     fn pick_in(
         &mut self,
         requirement: &Requirement<'_>,
         avoid: &[Slot],
-        allowed: impl Fn(&Centre) -> bool,
+        is_allowed: impl Fn(&Centre) -> bool,
     ) -> Option<(Score, Slot)> {
         for pool in &requirement.route.pools {
-            let Some(groups) = self.pools.get(pool) else {
+            let Some(groups) = self.groups_by_pool.get(pool) else {
                 continue;
             };
             let mut best = None;
             for group in groups.iter().map(|group| &self.groups[*group]) {
-                if !allowed(&group.centre) || !fits(&requirement.need, &group.has) {
+                if !is_allowed(&group.centre) || !fits(&requirement.need, &group.has) {
                     continue;
                 }
                 if let Some(slot) = group.trial(requirement.class, avoid) {
@@ -344,17 +349,21 @@
         None
     }
 
-    /// Goes back to an endpoint that was to be avoided, when there is no other that is eligible.
+    /// Picks an endpoint that was to be avoided, if no other one is eligible.
+    ///
+    /// # Errors
+    ///
+    /// Returns why no endpoint can get the task.
     fn pick_avoided(&mut self, requirement: &Requirement<'_>) -> Result<Slot, Obstacle> {
-        let (mut known, mut fit, mut eligible) = (false, false, 0);
-        for group in self.reach(requirement.route) {
-            known = true;
+        let (mut any_listed, mut any_fits, mut eligible) = (false, false, 0);
+        for group in self.reachable_groups(requirement.route) {
+            any_listed = true;
             if fits(&requirement.need, &group.has) {
-                fit = true;
+                any_fits = true;
                 eligible += group.count.eligible;
             }
         }
-        if known && !fit {
+        if any_listed && !any_fits {
             return Err(Obstacle::Impossible);
         }
         if eligible == 0 {
@@ -367,7 +376,7 @@
                     .contribution
                     .is_some_and(|contribution| contribution.eligible)
                     && fits(&requirement.need, &group.has)
-                    && self.reaches(requirement.route, group)
+                    && self.may_use(requirement.route, group)
             })
         });
         if avoided.count() < eligible as usize {
@@ -377,15 +386,19 @@
     }
 
     /// Iterates over the groups that a route may use.
-    fn reach<'a>(&'a self, route: &'a Route) -> impl Iterator<Item = &'a Group> {
-        let groups = route.pools.iter().filter_map(|pool| self.pools.get(pool));
+    fn reachable_groups<'a>(&'a self, route: &'a Route) -> impl Iterator<Item = &'a Group> {
+        let groups = route
+            .pools
+            .iter()
+            .filter_map(|pool| self.groups_by_pool.get(pool));
         groups
             .flatten()
             .map(|group| &self.groups[*group])
-            .filter(|group| self.reaches(route, group))
+            .filter(|group| self.may_use(route, group))
     }
 
-    fn reaches(&self, route: &Route, group: &Group) -> bool {
+    /// Returns whether a route may use a group's data centre.
+    fn may_use(&self, route: &Route, group: &Group) -> bool {
         group.centre == self.centre
             || route.spill && (route.centres.is_empty() || route.centres.contains(&group.centre))
     }
@@ -394,13 +407,14 @@
         self.entries.get(slot.0 as usize)?.as_ref()
     }
 
-    /// Changes an entry, and moves it to its new place in the order.
-    fn change(&mut self, slot: Slot, change: impl FnOnce(&mut Entry)) {
+    /// Applies a change to an entry, and moves the entry to its new place in the order.
+    fn update_entry(&mut self, slot: Slot, change: impl FnOnce(&mut Entry)) {
         let Some(Some(entry)) = self.entries.get_mut(slot.0 as usize) else {
             return;
         };
         change(entry);
-        let contribution = Contribution::of(entry, self.policy, self.outstanding, self.instances);
+        let contribution =
+            Contribution::of(entry, self.policy, self.max_outstanding, self.instances);
         if contribution == entry.contribution {
             return;
         }
@@ -414,7 +428,7 @@
     }
 }
 
-/// Tells whether an endpoint that has `has` could run a task that needs `need`.
+/// Returns whether an endpoint with the resources `has` can run a task that needs `need`.
 fn fits(need: &Need, has: &Need) -> bool {
     need.cores <= has.cores
         && need.memory_mb <= has.memory_mb
--- a/src/core/placement/entry.rs
+++ b/src/core/placement/entry.rs
@@ -1,4 +1,4 @@
-//! What is known of one endpoint, and the rank that follows from it.
+//! The state of one endpoint, and its score.
 
 use super::{
     speed::{
@@ -12,65 +12,72 @@
     SUSPECT_PENALTY, //
 };
 
-/// The steps into which one task at one slot is divided in a score.
-pub(super) const STEPS: u64 = 1 << 10;
+/// The part of a score that one task per slot makes up.
+pub(super) const UNITS_PER_TASK: u64 = 1 << 10;
 
-/// The rank of an endpoint: the lowest gets the next task.
+/// The score of an endpoint: the lowest gets the next task.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(super) struct Score {
-    /// Its work for each slot.
+    /// The outstanding tasks per slot, weighted by speed, in parts of [`UNITS_PER_TASK`].
     pub(super) work: u64,
-    /// The load that it reported last.
+    /// The load that the endpoint last reported.
     pub(super) load: u32,
 }
 
-/// What is known of one endpoint.
+/// The state of one endpoint.
 #[derive(Debug)]
 pub(super) struct Entry {
     pub(super) worker: Worker,
+    /// The index of its group.
     pub(super) group: usize,
     pub(super) outstanding: u32,
+    /// The running and queued tasks that it last reported.
     pub(super) load: u32,
     pub(super) speed: Speed,
-    pub(super) factor: u64,
+    /// How slow it is compared with its group, in parts of [`UNIT`].
+    pub(super) slowness: u64,
     pub(super) eligibility: Eligibility,
-    /// The list that was the newest when it reported that it is leaving.
+    /// The number of the newest list when it reported to be leaving.
     pub(super) leaving_since: Option<u64>,
-    /// The last list that had it.
-    pub(super) list: u64,
-    pub(super) absent: bool,
+    /// The number of the last list that had it.
+    pub(super) list_number: u64,
+    pub(super) is_absent: bool,
+    /// What its group counts of it at present.
     pub(super) contribution: Option<Contribution>,
+    /// Its position among the endpoints with the same score.
     pub(super) position: usize,
 }
 
-/// What an entry adds to its group; none where it gets nothing new.
+/// What an endpoint that may get tasks adds to its group.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) struct Contribution {
     pub(super) eligible: bool,
     pub(super) slots: u32,
+    /// The number of tasks that it may get before it reaches its limit.
     pub(super) free: u32,
-    /// Its rank, while it has room.
+    /// The endpoint's score; `None` if it has no free place.
     pub(super) score: Option<Score>,
-    /// Whether it waits for a task on probation, and whether of any class.
+    /// Set if the endpoint waits for one task on probation; `true` if that may be of any class.
     pub(super) trial: Option<bool>,
 }
 
 impl Contribution {
-    /// Works out what an entry adds to its group.
+    /// Returns what an endpoint adds to its group, or `None` if it may not get tasks.
     pub(super) fn of(
         entry: &Entry,
         policy: Policy,
-        outstanding: u32,
+        max_outstanding: u32,
         instances: u32,
     ) -> Option<Self> {
         let worker = &entry.worker;
-        let live = worker.state == State::Live && entry.leaving_since.is_none() && !entry.absent;
-        if !live || worker.slots == 0 {
+        let is_live =
+            worker.state == State::Live && entry.leaving_since.is_none() && !entry.is_absent;
+        if !is_live || worker.slots == 0 {
             return None;
         }
-        let any = match entry.eligibility {
+        let any_class = match entry.eligibility {
             Eligibility::Good | Eligibility::Suspect => {
-                return Some(Self::good(entry, policy, outstanding, instances));
+                return Some(Self::eligible(entry, policy, max_outstanding, instances));
             }
             Eligibility::Probation => false,
             Eligibility::Trial => true,
@@ -81,14 +88,14 @@
             slots: 0,
             free: 0,
             score: None,
-            trial: (entry.outstanding == 0).then_some(any),
+            trial: (entry.outstanding == 0).then_some(any_class),
         })
     }
 
-    fn good(entry: &Entry, policy: Policy, outstanding: u32, instances: u32) -> Self {
+    fn eligible(entry: &Entry, policy: Policy, max_outstanding: u32, instances: u32) -> Self {
         let share = entry.worker.connections / instances;
-        let bound = outstanding.min(share).max(1);
-        let free = bound.saturating_sub(entry.outstanding);
+        let limit = max_outstanding.min(share).max(1);
+        let free = limit.saturating_sub(entry.outstanding);
         Self {
             eligible: true,
             slots: entry.worker.slots,
@@ -100,13 +107,15 @@
 }
 
 fn score(entry: &Entry, policy: Policy) -> Score {
-    let next = u64::from(entry.outstanding) + 1;
-    let work = |tasks: u64| tasks * entry.factor * STEPS / (UNIT * u64::from(entry.worker.slots));
+    let tasks_after = u64::from(entry.outstanding) + 1;
+    let work = |tasks: u64| {
+        tasks * entry.slowness * UNITS_PER_TASK / (UNIT * u64::from(entry.worker.slots))
+    };
     let (work, load) = match policy {
         Policy::Random => (0, 0),
-        Policy::Outstanding => (work(next), 0),
-        Policy::OutstandingThenLoad => (work(next), entry.load),
-        Policy::OutstandingPlusLoad => (work(next + u64::from(entry.load)), 0),
+        Policy::Outstanding => (work(tasks_after), 0),
+        Policy::OutstandingThenLoad => (work(tasks_after), entry.load),
+        Policy::OutstandingPlusLoad => (work(tasks_after + u64::from(entry.load)), 0),
     };
     let penalty = match entry.eligibility {
         Eligibility::Suspect => SUSPECT_PENALTY,
--- a/src/core/placement/index.rs
+++ b/src/core/placement/index.rs
@@ -1,4 +1,4 @@
-//! The order of the endpoints of one pool, data centre and shape.
+//! The order of the endpoints that have the same pool, data centre and resources.
 
 use std::collections::BTreeMap;
 
@@ -18,14 +18,14 @@
 };
 use crate::prelude::*;
 
-/// The endpoints that have room, by score; those of the same score are drawn from at random.
+/// The endpoints with free places, by score; among equal scores the pick is random.
 #[derive(Debug, Default)]
 pub(super) struct Index {
     buckets: BTreeMap<Score, Vec<Slot>>,
 }
 
 impl Index {
-    /// Returns the first endpoint that is none of `avoid`.
+    /// Returns the best endpoint that isn't one of `avoid`.
     pub(super) fn first(&self, avoid: &[Slot], random: &mut SmallRng) -> Option<(Score, Slot)> {
         self.buckets.iter().find_map(|(score, bucket)| {
             let start = random.random_range(0..bucket.len());
@@ -36,14 +36,14 @@
         })
     }
 
-    /// Adds an endpoint, and returns its position among those of the same score.
+    /// Adds an endpoint, and returns its position among those with the same score.
     fn insert(&mut self, score: Score, slot: Slot) -> usize {
         let bucket = self.buckets.entry(score).or_default();
         bucket.push(slot);
         bucket.len() - 1
     }
 
-    /// Removes an endpoint; returns the one that took its position, if any.
+    /// Removes an endpoint; returns the one that moved to its position, if any.
     fn remove(&mut self, score: Score, position: usize) -> Option<(Slot, usize)> {
         let bucket = self.buckets.get_mut(&score)?;
         bucket.swap_remove(position);
@@ -58,15 +58,15 @@
 /// Sums over the endpoints of a group.
 #[derive(Debug, Default)]
 pub(super) struct Count {
-    /// Endpoints that are eligible.
+    /// The number of eligible endpoints.
     pub(super) eligible: u32,
-    /// Their slots.
+    /// The slots of eligible endpoints.
     pub(super) slots: u32,
-    /// Places below their bounds.
+    /// The tasks that eligible endpoints can get before they reach their limits.
     pub(super) free: u32,
 }
 
-/// The endpoints of one pool in one data centre that have the same to offer.
+/// The endpoints of one pool in one data centre that have the same resources.
 #[derive(Debug)]
 pub(super) struct Group {
     pub(super) pool: Pool,
@@ -76,11 +76,12 @@
     pub(super) index: Index,
     pub(super) count: Count,
     pub(super) speeds: Speeds,
+    /// Endpoints on probation that wait for a task, and whether it may be of any class.
     trials: Vec<(Slot, bool)>,
 }
 
 impl Group {
-    /// Makes a group without endpoints.
+    /// Creates a group without endpoints.
     pub(super) fn new(pool: Pool, centre: Centre, has: Need) -> Self {
         Self {
             pool,
@@ -94,15 +95,15 @@
         }
     }
 
-    /// Returns an endpoint on probation that waits for a task of this class.
+    /// Returns an endpoint on probation that waits for a task of this class and isn't one of `avoid`.
     pub(super) fn trial(&self, class: Class, avoid: &[Slot]) -> Option<Slot> {
         let mut trials = self.trials.iter();
         trials
-            .find(|(slot, any)| (*any || class.repeatable()) && !avoid.contains(slot))
+            .find(|(slot, any_class)| (*any_class || class.repeatable()) && !avoid.contains(slot))
             .map(|(slot, _)| *slot)
     }
 
-    /// Puts an entry in its new place; returns another whose position has changed by that.
+    /// Replaces what an entry adds to the group; returns another endpoint whose position has changed by that.
     pub(super) fn replace(
         &mut self,
         slot: Slot,
@@ -111,15 +112,16 @@
     ) -> Option<(Slot, usize)> {
         let moved = entry
             .contribution
-            .and_then(|contribution| self.take(slot, entry.position, contribution));
+            .and_then(|contribution| self.subtract(slot, entry.position, contribution));
         if let Some(contribution) = new {
-            entry.position = self.put(slot, contribution);
+            entry.position = self.add(slot, contribution);
         }
         entry.contribution = new;
         moved.filter(|(other, _)| *other != slot)
     }
 
-    fn take(
+    /// Subtracts a contribution from the group; returns another endpoint that moved to `position`.
+    fn subtract(
         &mut self,
         slot: Slot,
         position: usize,
@@ -136,12 +138,13 @@
             .and_then(|score| self.index.remove(score, position))
     }
 
-    fn put(&mut self, slot: Slot, contribution: Contribution) -> usize {
+    /// Adds a contribution to the group; returns the endpoint's position.
+    fn add(&mut self, slot: Slot, contribution: Contribution) -> usize {
         self.count.eligible += u32::from(contribution.eligible);
         self.count.slots += contribution.slots;
         self.count.free += contribution.free;
-        if let Some(any) = contribution.trial {
-            self.trials.push((slot, any));
+        if let Some(any_class) = contribution.trial {
+            self.trials.push((slot, any_class));
         }
         contribution
             .score
--- a/src/core/placement/speed.rs
+++ b/src/core/placement/speed.rs
@@ -1,26 +1,25 @@
-//! How fast endpoints have been lately, compared with each other.
+//! The recent service times of endpoints, compared within their group.
 
 use crate::prelude::*;
 
-/// The weight of the newest service time, as a share of 1.
-const WEIGHT: f32 = 1.0 / 16.0;
+/// The weight of the newest service time in the moving average.
+const SAMPLE_WEIGHT: f32 = 1.0 / 16.0;
 
-/// Service times that must be known before an endpoint is judged.
-const SAMPLES: u32 = 8;
+/// The number of service times from which an endpoint is compared with its group.
+const MIN_SAMPLES: u32 = 8;
 
-/// How far an endpoint may be from its group without being judged, in powers of two.
+/// The distance from its group within which an endpoint counts as equal, in powers of two.
 ///
-/// Run times differ by nature, by about one power of two; the mean of the last 16 then errs by 0.2. Within the band
-/// endpoints count as equal, so that ties stay ties.
-const BAND: f32 = 0.75;
+/// Prevents normal variation of run times from deciding between endpoints that are equally fast.
+const TOLERANCE: f32 = 0.75;
 
-/// The most that an endpoint is held back or preferred, in powers of two.
-const MOST: f32 = 3.0;
+/// The maximum distance from its group that counts for an endpoint, in powers of two.
+const MAX_DISTANCE: f32 = 3.0;
 
-/// The factor of an endpoint that is as fast as its group.
+/// The slowness of an endpoint that is as fast as its group.
 pub(super) const UNIT: u64 = 256;
 
-/// The recent service time of one endpoint, as the mean of its logarithms: a few long tasks don't shift it much.
+/// The moving average of one endpoint's service times. It averages logarithms, so that a few long tasks weigh little.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Speed {
     mean: f32,
@@ -28,37 +27,37 @@
 }
 
 impl Speed {
-    /// Learns a service time; returns what the group is to count less and more.
-    pub(super) fn learn(&mut self, took: Span) -> (Option<f32>, Option<f32>) {
-        let before = self.known();
+    /// Adds a service time; returns the mean before and after, for [`Speeds::replace`].
+    pub(super) fn add(&mut self, took: Span) -> (Option<f32>, Option<f32>) {
+        let before = self.mean();
         let sample = (took.0.max(1) as f32).log2();
         self.samples = self.samples.saturating_add(1);
-        let weight = WEIGHT.max(1.0 / self.samples as f32);
+        let weight = SAMPLE_WEIGHT.max(1.0 / self.samples as f32);
         self.mean += (sample - self.mean) * weight;
-        (before, self.known())
+        (before, self.mean())
     }
 
-    /// Lets what is known of an endpoint fade towards its group; returns what the group is to count less and more.
-    pub(super) fn fade(&mut self, group: Option<f32>) -> (Option<f32>, Option<f32>) {
-        let before = self.known();
+    /// Moves the mean towards that of the group; returns the mean before and after, for [`Speeds::replace`].
+    pub(super) fn decay(&mut self, group: Option<f32>) -> (Option<f32>, Option<f32>) {
+        let before = self.mean();
         if let (Some(own), Some(group)) = (before, group) {
-            self.mean += (group - own) * WEIGHT;
+            self.mean += (group - own) * SAMPLE_WEIGHT;
         }
-        (before, self.known())
+        (before, self.mean())
     }
 
-    /// Returns the mean, once there is enough to judge by.
-    pub(super) fn known(&self) -> Option<f32> {
-        (self.samples >= SAMPLES).then_some(self.mean)
+    /// Returns the mean of the logarithms, or `None` while there are too few service times.
+    pub(super) fn mean(&self) -> Option<f32> {
+        (self.samples >= MIN_SAMPLES).then_some(self.mean)
     }
 
-    /// Returns how much slower it is than its group, in parts of [`UNIT`] and in steps of half a power of two.
-    pub(super) fn factor(&self, group: Option<f32>) -> u64 {
-        let (Some(own), Some(group)) = (self.known(), group) else {
+    /// Returns how much slower the endpoint is than its group, in parts of [`UNIT`], rounded to half a power of two.
+    pub(super) fn slowness(&self, group: Option<f32>) -> u64 {
+        let (Some(own), Some(group)) = (self.mean(), group) else {
             return UNIT;
         };
-        let distance = (own - group).clamp(-MOST, MOST);
-        if distance.abs() < BAND {
+        let distance = (own - group).clamp(-MAX_DISTANCE, MAX_DISTANCE);
+        if distance.abs() < TOLERANCE {
             return UNIT;
         }
         let step = (distance * 2.0).round() / 2.0;
@@ -66,7 +65,7 @@
     }
 }
 
-/// The service times of a group: every endpoint counts once, however much it runs.
+/// The mean service time of a group, in which every endpoint counts once.
 #[derive(Debug, Default)]
 pub(super) struct Speeds {
     sum: f64,
@@ -74,8 +73,8 @@
 }
 
 impl Speeds {
-    /// Counts a mean less and another more.
-    pub(super) fn shift(&mut self, before: Option<f32>, after: Option<f32>) {
+    /// Replaces one endpoint's mean by its new one; `None` stands for none.
+    pub(super) fn replace(&mut self, before: Option<f32>, after: Option<f32>) {
         if let Some(before) = before {
             self.sum -= f64::from(before);
             self.count = self.count.saturating_sub(1);
@@ -89,7 +88,7 @@
         }
     }
 
-    /// Returns the mean over the endpoints.
+    /// Returns the mean over the endpoints, or `None` without any.
     pub(super) fn mean(&self) -> Option<f32> {
         (self.count > 0).then(|| (self.sum / f64::from(self.count)) as f32)
     }
--- a/src/core/placement/table.rs
+++ b/src/core/placement/table.rs
@@ -1,4 +1,4 @@
-//! The endpoints as the platform's list has them.
+//! Updates of the table of endpoints from the platform's list.
 
 use std::mem;
 
@@ -17,21 +17,21 @@
     Worker, //
 };
 
-/// Lists that must show an endpoint as live before its own report that it is leaving expires.
+/// The number of lists after which an endpoint's own report that it is leaving expires.
 ///
-/// An endpoint that restarts under its old name and address, between two lists, would get nothing for good. An
-/// endpoint that is still leaving by then refuses the start, which costs one message and marks it again.
-const LISTS: u64 = 60;
+/// Prevents an endpoint that restarts between two lists under its old name and address from never getting a task. If
+/// it is still leaving, it refuses the next start, and is marked again.
+const LEAVING_LISTS: u64 = 60;
 
-/// Groups without endpoints that are remembered, to tell what could run again from what never could.
-const EMPTY_GROUPS: usize = 1 << 10;
+/// The number of groups without endpoints that are kept. They tell a task that could run later from one that never can.
+const MAX_EMPTY_GROUPS: usize = 1 << 10;
 
 impl Placement {
-    /// Takes over a list of endpoints that are shared by `instances` live instances.
+    /// Applies a list of endpoints that `instances` live instances share, and returns the changes.
     ///
-    /// An endpoint that the list leaves out gets nothing new, and is dropped once nothing is outstanding there.
+    /// An endpoint that isn't listed gets no more tasks, and is removed once no task is outstanding there.
     pub fn apply_list(&mut self, workers: &[Worker], instances: usize) -> Vec<Change> {
-        self.list += 1;
+        self.list_number += 1;
         let instances = u32::try_from(instances).unwrap_or(u32::MAX).max(1);
         let shares_changed = mem::replace(&mut self.instances, instances) != instances;
         let mut changes = Vec::new();
@@ -45,22 +45,23 @@
         changes
     }
 
-    /// Divides the endpoints' connections among `instances` live instances from now on.
+    /// Sets the number of live instances that share the endpoints' connections.
     pub fn set_instances(&mut self, instances: usize) {
         let instances = u32::try_from(instances).unwrap_or(u32::MAX).max(1);
         if mem::replace(&mut self.instances, instances) != instances {
-            for place in 0..self.entries.len() {
-                self.change(Slot(place as u32), |_| ());
+            for index in 0..self.entries.len() {
+                self.update_entry(Slot(index as u32), |_| ());
             }
         }
     }
 
+    /// Adds an endpoint under a new or reused slot.
     fn add(&mut self, worker: &Worker) -> Change {
-        let slot = self.spare.pop().unwrap_or_else(|| {
+        let slot = self.free_slots.pop().unwrap_or_else(|| {
             self.entries.push(None);
             Slot(self.entries.len() as u32 - 1)
         });
-        let group = self.join(worker);
+        let group = self.join_group(worker);
         self.names.insert(worker.name.clone(), slot);
         self.entries[slot.0 as usize] = Some(Entry {
             worker: worker.clone(),
@@ -68,43 +69,44 @@
             outstanding: 0,
             load: 0,
             speed: Speed::default(),
-            factor: UNIT,
+            slowness: UNIT,
             eligibility: Eligibility::Good,
             leaving_since: None,
-            list: self.list,
-            absent: false,
+            list_number: self.list_number,
+            is_absent: false,
             contribution: None,
             position: 0,
         });
-        self.change(slot, |_| ());
+        self.update_entry(slot, |_| ());
         Change::Added(slot)
     }
 
+    /// Updates an endpoint from its entry in the list; returns the change, if there is one.
     fn update(&mut self, slot: Slot, worker: &Worker) -> Option<Change> {
-        let list = self.list;
+        let list_number = self.list_number;
         let entry = self.entries[slot.0 as usize].as_mut()?;
-        if entry.list == list {
-            return None; // The list names it twice: the first line counts.
+        if entry.list_number == list_number {
+            return None; // The list has the endpoint twice; the first entry counts.
         }
-        entry.list = list;
+        entry.list_number = list_number;
         let expired = entry
             .leaving_since
-            .is_some_and(|since| list - since >= LISTS);
-        if entry.worker == *worker && !entry.absent && !expired {
+            .is_some_and(|since| list_number - since >= LEAVING_LISTS);
+        if entry.worker == *worker && !entry.is_absent && !expired {
             return None;
         }
         let before = entry.worker.clone();
-        let returned = entry.absent || before.state != State::Live;
-        let regrouped = (&before.pool, &before.centre, before.has)
+        let returned = entry.is_absent || before.state != State::Live;
+        let group_changed = (&before.pool, &before.centre, before.has)
             != (&worker.pool, &worker.centre, worker.has);
-        if regrouped {
+        if group_changed {
             self.regroup(slot, worker);
         }
-        self.change(slot, |entry| {
+        self.update_entry(slot, |entry| {
             entry.worker = worker.clone();
-            entry.absent = false;
-            let moved = before.address != worker.address;
-            if worker.state == State::Live && (returned || moved || expired) {
+            entry.is_absent = false;
+            let address_changed = before.address != worker.address;
+            if worker.state == State::Live && (returned || address_changed || expired) {
                 entry.leaving_since = None;
             }
         });
@@ -115,129 +117,137 @@
         })
     }
 
-    /// Marks what the list left out, drops what is idle, and applies new shares.
+    /// Marks endpoints that aren't listed, removes those without outstanding tasks, and applies a new number of
+    /// instances.
     fn sweep(&mut self, shares_changed: bool, changes: &mut Vec<Change>) {
-        for place in 0..self.entries.len() {
-            let slot = Slot(place as u32);
-            let Some(entry) = &self.entries[place] else {
+        for index in 0..self.entries.len() {
+            let slot = Slot(index as u32);
+            let Some(entry) = &self.entries[index] else {
                 continue;
             };
-            let missing = entry.list != self.list;
-            if missing && !entry.absent {
-                self.change(slot, |entry| entry.absent = true);
+            let is_missing = entry.list_number != self.list_number;
+            if is_missing && !entry.is_absent {
+                self.update_entry(slot, |entry| entry.is_absent = true);
                 changes.push(Change::Absent(slot));
             } else if shares_changed {
-                self.change(slot, |_| ());
+                self.update_entry(slot, |_| ());
             }
-            let idle = self.outstanding(slot) == 0;
-            if missing && idle {
-                self.drop_entry(slot);
+            let is_idle = self.outstanding(slot) == 0;
+            if is_missing && is_idle {
+                self.remove_entry(slot);
                 changes.push(Change::Dropped(slot));
-            } else if idle {
-                self.fade(slot);
+            } else if is_idle {
+                self.decay_slowness(slot);
             }
         }
     }
 
-    /// Lets the factor of an idle endpoint fade with each list.
+    /// Moves an idle endpoint's slowness towards that of its group, once for each list.
     ///
-    /// A slow endpoint may get nothing while there is little to do. Nothing would tell then that it has recovered,
-    /// and it would go on to get nothing.
-    fn fade(&mut self, slot: Slot) {
-        let Some(entry) = self.entry(slot).filter(|entry| entry.factor != UNIT) else {
+    /// Prevents a slow endpoint that gets no tasks from being avoided forever: only new tasks show that it has recovered.
+    fn decay_slowness(&mut self, slot: Slot) {
+        let Some(entry) = self.entry(slot).filter(|entry| entry.slowness != UNIT) else {
             return;
         };
         let group = entry.group;
         let mean = self.groups[group].speeds.mean();
-        let mut shift = (None, None);
-        self.change(slot, |entry| {
-            shift = entry.speed.fade(mean);
-            entry.factor = entry.speed.factor(mean);
+        let mut means = (None, None);
+        self.update_entry(slot, |entry| {
+            means = entry.speed.decay(mean);
+            entry.slowness = entry.speed.slowness(mean);
         });
-        self.groups[group].speeds.shift(shift.0, shift.1);
+        self.groups[group].speeds.replace(means.0, means.1);
     }
 
-    fn drop_entry(&mut self, slot: Slot) {
-        self.leave(slot);
+    /// Removes an endpoint from the table, and frees its slot.
+    fn remove_entry(&mut self, slot: Slot) {
+        self.leave_group(slot);
         if let Some(entry) = self.entries[slot.0 as usize].take() {
             self.names.remove(&entry.worker.name);
-            self.spare.push(slot);
+            self.free_slots.push(slot);
         }
     }
 
-    /// Takes an endpoint out of its group.
-    fn leave(&mut self, slot: Slot) {
-        self.change(slot, |entry| entry.absent = true);
+    /// Removes an endpoint from its group.
+    fn leave_group(&mut self, slot: Slot) {
+        self.update_entry(slot, |entry| entry.is_absent = true);
         let Some(Some(entry)) = self.entries.get_mut(slot.0 as usize) else {
             return;
         };
         let group = &mut self.groups[entry.group];
-        group.speeds.shift(entry.speed.known(), None);
+        group.speeds.replace(entry.speed.mean(), None);
         group.members -= 1;
     }
 
-    /// Moves an endpoint to the group that suits its entry in the list now; its history there starts afresh.
+    /// Moves an endpoint to the group that its changed entry belongs to, and resets its speed.
     fn regroup(&mut self, slot: Slot, worker: &Worker) {
-        self.leave(slot);
-        let group = self.join(worker);
+        self.leave_group(slot);
+        let group = self.join_group(worker);
         if let Some(Some(entry)) = self.entries.get_mut(slot.0 as usize) {
             entry.group = group;
             entry.speed = Speed::default();
-            entry.factor = UNIT;
+            entry.slowness = UNIT;
         }
     }
 
-    /// Finds or makes the group of an endpoint, and counts the endpoint as a member.
-    fn join(&mut self, worker: &Worker) -> usize {
-        let mut known = self.pools.get(&worker.pool).into_iter().flatten().copied();
-        let found = known.find(|group| {
+    /// Finds or creates the group of an endpoint, counts the endpoint as a member, and returns the group's index.
+    fn join_group(&mut self, worker: &Worker) -> usize {
+        let mut candidates = self
+            .groups_by_pool
+            .get(&worker.pool)
+            .into_iter()
+            .flatten()
+            .copied();
+        let found = candidates.find(|group| {
             let group = &self.groups[*group];
             group.centre == worker.centre && group.has == worker.has
         });
-        let place = found.unwrap_or_else(|| self.make_group(worker));
-        self.groups[place].members += 1;
-        place
+        let index = found.unwrap_or_else(|| self.create_group(worker));
+        self.groups[index].members += 1;
+        index
     }
 
-    fn make_group(&mut self, worker: &Worker) -> usize {
+    /// Creates the group of an endpoint, in place of a removable one if there is one, and returns its index.
+    fn create_group(&mut self, worker: &Worker) -> usize {
         let group = Group::new(worker.pool.clone(), worker.centre.clone(), worker.has);
-        let place = match self.forgettable() {
-            Some(place) => self.forget(place),
+        let index = match self.removable_group() {
+            Some(index) => self.remove_group(index),
             None => self.groups.len(),
         };
-        if place == self.groups.len() {
+        if index == self.groups.len() {
             self.groups.push(group);
         } else {
-            self.groups[place] = group;
+            self.groups[index] = group;
         }
-        self.pools
+        self.groups_by_pool
             .entry(worker.pool.clone())
             .or_default()
-            .push(place);
-        place
+            .push(index);
+        index
     }
 
-    /// Returns an empty group, once there are too many of them to remember.
-    fn forgettable(&self) -> Option<usize> {
-        if self.groups.len() < EMPTY_GROUPS {
+    /// Returns the index of a group without endpoints, once there are too many of them.
+    fn removable_group(&self) -> Option<usize> {
+        if self.groups.len() < MAX_EMPTY_GROUPS {
             return None;
         }
         let empty = |group: &Group| group.members == 0;
         let count = self.groups.iter().filter(|group| empty(group)).count();
-        if count < EMPTY_GROUPS {
+        if count < MAX_EMPTY_GROUPS {
             return None;
         }
         self.groups.iter().position(empty)
     }
 
-    fn forget(&mut self, place: usize) -> usize {
-        let pool = self.groups[place].pool.clone();
-        if let Some(groups) = self.pools.get_mut(&pool) {
-            groups.retain(|group| *group != place);
+    /// Removes a group from its pool, so that its index can be reused.
+    fn remove_group(&mut self, index: usize) -> usize {
+        let pool = self.groups[index].pool.clone();
+        if let Some(groups) = self.groups_by_pool.get_mut(&pool) {
+            groups.retain(|group| *group != index);
             if groups.is_empty() {
-                self.pools.remove(&pool);
+                self.groups_by_pool.remove(&pool);
             }
         }
-        place
+        index
     }
 }
--- a/src/core/queue.rs
+++ b/src/core/queue.rs
@@ -1,7 +1,7 @@
-//! The order in which waiting tasks get their places: fair between teams, longest first within a job.
+//! The queue of tasks that wait for an endpoint: fair between teams, longest task first within a job.
 //!
-//! Start-time fair queueing: every team has a virtual time that moves on by the expected time of what it takes,
-//! divided by its weight, and the team that is furthest behind goes next.
+//! Start-time fair queueing: each team has a virtual time, which advances by the expected run time of every task that
+//! it takes from the queue, divided by its weight. The team with the lowest virtual time goes next.
 
 use std::{
     cmp::Reverse,
@@ -14,74 +14,75 @@
 
 use crate::prelude::*;
 
-/// The steps of virtual time in a microsecond of work at weight 1.
-const STEPS: u128 = 1 << 10;
+/// The units of virtual time for a microsecond of work at weight 1.
+const UNITS_PER_MICRO: u128 = 1 << 10;
 
-/// The least that a task counts, so that tasks declared to take no time don't go first for ever.
-const LEAST: Span = Span::millis(1);
+/// The shortest run time that a task is charged. Prevents tasks with tiny declared run times from always going first.
+const MIN_CHARGE: Span = Span::millis(1);
 
-/// The most that a task counts: a wrong declaration shuts a team out for no longer than this.
-const MOST: Span = Span::seconds(10);
+/// The longest run time that a task is charged. Limits how long a wrong declaration delays its team.
+const MAX_CHARGE: Span = Span::seconds(10);
 
-/// Teams that are remembered before those that wait for nothing and owe nothing are forgotten.
-const TEAMS: usize = 64;
+/// The number of teams from which those without waiting tasks and without debt are removed.
+const MIN_SWEEP_TEAMS: usize = 64;
 
-/// Teams that are remembered before all that wait for nothing are forgotten, debts or not.
+/// The number of idle teams beyond which they are removed even with debt.
 ///
-/// Callers name their teams: without a bound, ever new names would fill the memory.
-const MOST_TEAMS: usize = 1 << 12;
+/// Prevents memory exhaustion by callers that make up new team names.
+const MAX_IDLE_TEAMS: usize = 1 << 12;
 
 /// A task that waits for an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Item {
-    /// The number of its job.
+    /// The number of the task's job.
     pub job: u64,
-    /// Its place in the job.
+    /// The task's index in the job.
     pub task: u32,
 }
 
-/// The place of a task within its team: the oldest job first, and in it the longest task first.
-type Place = (u64, Reverse<Span>, u64);
+/// The order of a team's tasks: oldest job first, then longest task first, then oldest entry first.
+type Order = (u64, Reverse<Span>, u64);
 
-/// The waiting tasks of one team: a flow, as fair queueing calls it.
+/// The waiting tasks of one team, which fair queueing calls a flow.
 #[derive(Debug)]
 struct Flow<T> {
     weight: u32,
     virtual_time: u128,
-    items: BTreeMap<Place, T>,
+    items: BTreeMap<Order, T>,
 }
 
-/// Waiting tasks, a bounded number of them.
+/// A bounded queue of waiting tasks.
 #[derive(Debug)]
 pub struct Queue<T> {
-    bound: usize,
+    capacity: usize,
     len: usize,
-    serial: u64,
+    next_serial: u64,
     virtual_time: u128,
-    sweep: usize,
+    /// The number of teams at which idle ones are removed next.
+    sweep_at: usize,
     flows: HashMap<Team, Flow<T>>,
     order: BTreeSet<(u128, Team)>,
 }
 
 impl<T> Queue<T> {
-    /// Makes an empty queue for at most `bound` tasks.
-    pub fn new(bound: usize) -> Self {
+    /// Creates an empty queue for at most `capacity` tasks.
+    pub fn new(capacity: usize) -> Self {
         Self {
-            bound,
+            capacity,
             len: 0,
-            serial: 0,
+            next_serial: 0,
             virtual_time: 0,
-            sweep: TEAMS,
+            sweep_at: MIN_SWEEP_TEAMS,
             flows: HashMap::new(),
             order: BTreeSet::new(),
         }
     }
 
-    /// Adds a task; a team's newest weight counts.
+    /// Adds a task, and sets the weight of its team.
     ///
     /// # Errors
     ///
-    /// Gives the task back when the queue is full.
+    /// Returns the task if the queue is full.
     pub fn push(
         &mut self,
         team: &Team,
@@ -90,10 +91,10 @@
         expected: Span,
         item: T,
     ) -> Result<(), T> {
-        if self.len >= self.bound {
+        if self.len >= self.capacity {
             return Err(item);
         }
-        self.forget_idle();
+        self.remove_idle_teams();
         let now = self.virtual_time;
         let flow = self.flows.entry(team.clone()).or_insert_with(|| Flow {
             weight,
@@ -106,19 +107,19 @@
             self.order.insert((flow.virtual_time, team.clone()));
         }
         flow.items
-            .insert((job, Reverse(expected), self.serial), item);
-        self.serial += 1;
+            .insert((job, Reverse(expected), self.next_serial), item);
+        self.next_serial += 1;
         self.len += 1;
         Ok(())
     }
 
-    /// Returns the task that goes next.
+    /// Returns the next task without removing it.
     pub fn peek(&self) -> Option<&T> {
         let (_, team) = self.order.first()?;
         self.flows.get(team)?.items.values().next()
     }
 
-    /// Takes the task that goes next.
+    /// Removes and returns the next task, and charges its team the expected run time.
     pub fn pop(&mut self) -> Option<T> {
         let (virtual_time, team) = self.order.pop_first()?;
         self.virtual_time = virtual_time;
@@ -132,31 +133,39 @@
         Some(item)
     }
 
-    /// Charges a team for the time that a task took beyond what was expected; a declaration that is too short buys
-    /// nothing that way.
+    /// Replaces the expected run time that a team was charged for a task by the actual one.
+    ///
+    /// Prevents a team from getting more than its share by declaring run times that are too short.
     pub fn charge_run_time(&mut self, team: &Team, expected: Span, took: Span) {
         let Some(flow) = self.flows.get_mut(team) else {
             return;
         };
         let charged = cost(expected, flow.weight);
-        let due = cost(took, flow.weight);
+        let actual = cost(took, flow.weight);
         let before = flow.virtual_time;
-        flow.virtual_time = before.saturating_sub(charged).saturating_add(due);
+        flow.virtual_time = before.saturating_sub(charged).saturating_add(actual);
         if !flow.items.is_empty() {
             self.order.remove(&(before, team.clone()));
             self.order.insert((flow.virtual_time, team.clone()));
         }
     }
 
-    /// Removes the tasks of a job.
+    /// Removes and returns the waiting tasks of a job.
     pub fn remove_job(&mut self, team: &Team, job: u64) -> Vec<T> {
         let Some(flow) = self.flows.get_mut(team) else {
             return Vec::new();
         };
         let first = (job, Reverse(Span(u64::MAX)), 0);
         let last = (job, Reverse(Span(0)), u64::MAX);
-        let places: Vec<Place> = flow.items.range(first..=last).map(|(p, _)| *p).collect();
-        let removed: Vec<T> = places.iter().filter_map(|p| flow.items.remove(p)).collect();
+        let keys: Vec<Order> = flow
+            .items
+            .range(first..=last)
+            .map(|(key, _)| *key)
+            .collect();
+        let removed: Vec<T> = keys
+            .iter()
+            .filter_map(|key| flow.items.remove(key))
+            .collect();
         self.len -= removed.len();
         if flow.items.is_empty() {
             self.order.remove(&(flow.virtual_time, team.clone()));
@@ -164,38 +173,38 @@
         removed
     }
 
-    /// Returns how many tasks wait.
+    /// Returns the number of waiting tasks.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Returns how many teams are remembered.
+    /// Returns the number of teams, idle ones included.
     pub fn teams(&self) -> usize {
         self.flows.len()
     }
 
-    /// Tells whether no task waits.
+    /// Returns whether no task waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Forgets idle teams, whenever their number has doubled.
-    fn forget_idle(&mut self) {
-        if self.flows.len() < self.sweep {
+    /// Removes idle teams each time the number of teams has doubled.
+    fn remove_idle_teams(&mut self) {
+        if self.flows.len() < self.sweep_at {
             return;
         }
         let now = self.virtual_time;
-        let crowded = self.flows.len() - self.order.len() > MOST_TEAMS;
+        let too_many = self.flows.len() - self.order.len() > MAX_IDLE_TEAMS;
         self.flows.retain(|_, flow| {
-            let owes = flow.virtual_time > now && !crowded;
-            !flow.items.is_empty() || owes
+            let keeps_debt = flow.virtual_time > now && !too_many;
+            !flow.items.is_empty() || keeps_debt
         });
-        self.sweep = TEAMS.max(2 * self.flows.len());
+        self.sweep_at = MIN_SWEEP_TEAMS.max(2 * self.flows.len());
     }
 }
 
-/// Returns how far a task moves its team's virtual time on.
+/// Returns by how much a task of this run time advances its team's virtual time.
 fn cost(span: Span, weight: u32) -> u128 {
-    let span = span.clamp(LEAST, MOST);
-    u128::from(span.0) * STEPS / u128::from(weight.max(1))
+    let span = span.clamp(MIN_CHARGE, MAX_CHARGE);
+    u128::from(span.0) * UNITS_PER_MICRO / u128::from(weight.max(1))
 }
