--- a/src/core/placement/table.rs
+++ b/src/core/placement/table.rs
@@ -144,7 +144,8 @@
 
     /// Moves an idle endpoint's slowness towards that of its group, once for each list.
     ///
-    /// Prevents a slow endpoint that gets no tasks from being avoided forever: only new tasks show that it has recovered.
+    /// Prevents a slow endpoint that gets no tasks from being avoided forever: only new tasks show that it has
+    /// recovered.
     fn decay_slowness(&mut self, slot: Slot) {
         let Some(entry) = self.entry(slot).filter(|entry| entry.slowness != UNIT) else {
             return;
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,4 +1,4 @@
-//! The decisions of the core, tried on their own.
+//! Unit tests of the core's policies: admission, health, membership, placement, queue and retry.
 
 #[path = "policy/admission.rs"]
 mod admission;
--- a/tests/policy/placement.rs
+++ b/tests/policy/placement.rs
@@ -1,14 +1,14 @@
 use crate::support::*;
 
-const BOUND: u32 = 16;
+const MAX_OUTSTANDING: u32 = 16;
 
 pub(crate) fn placement(list: &[Worker]) -> Placement {
-    let mut placement = Placement::new(name(OWN), BOUND, 7);
+    let mut placement = Placement::new(name(OWN), MAX_OUTSTANDING, 7);
     placement.apply_list(list, 7);
     placement
 }
 
-/// What a plain table would know of one endpoint.
+/// The expected state of one endpoint.
 #[derive(Clone)]
 struct Model {
     worker: Worker,
@@ -24,11 +24,13 @@
         self.listed && !self.reported_leaving && !self.ejected && self.worker.state == State::Live
     }
 
-    fn bound(&self, instances: u32) -> u32 {
-        BOUND.min(self.worker.connections / instances).max(1)
+    fn limit(&self, instances: u32) -> u32 {
+        MAX_OUTSTANDING
+            .min(self.worker.connections / instances)
+            .max(1)
     }
 
-    /// Fewest outstanding for each slot, then the load reported last.
+    /// Returns the rank by outstanding tasks per slot, then by the load last reported; the lowest is the best.
     fn rank(&self) -> (u64, u32) {
         let work = u64::from(self.outstanding + 1) * 1024 / u64::from(self.worker.slots);
         (work, self.load)
@@ -38,30 +40,31 @@
         self.worker.centre == name(OWN)
     }
 
-    /// Whether a task is likely to start at once: the first one, or three for each slot of all instances together,
-    /// and no more than one for each slot.
-    fn idle(&self, instances: u32) -> bool {
-        let part = (3 * 1024 / u64::from(instances)).min(1024);
-        self.outstanding == 0 || self.rank().0 <= part
+    /// Returns whether a task is likely to start at once: it is the first one, or within this instance's share of three
+    /// tasks per slot and at most one per slot.
+    fn starts_at_once(&self, instances: u32) -> bool {
+        let share = (3 * 1024 / u64::from(instances)).min(1024);
+        self.outstanding == 0 || self.rank().0 <= share
     }
 }
 
-/// A table and its model, driven side by side by arbitrary steps.
-struct Pair {
+/// The placement and a model of each endpoint, to which the same steps are applied.
+struct Comparison {
     placement: Placement,
     models: BTreeMap<Slot, Model>,
     instances: u32,
 }
 
-impl Pair {
+impl Comparison {
     fn new() -> Self {
         Self {
-            placement: Placement::new(name(OWN), BOUND, 7),
+            placement: Placement::new(name(OWN), MAX_OUTSTANDING, 7),
             models: BTreeMap::new(),
             instances: 1,
         }
     }
 
+    /// Applies a list with the workers of `mask`.
     fn list(&mut self, mask: u16, value: u8) {
         let mut list = Vec::new();
         for number in (0..12).filter(|number| mask >> number & 1 == 1) {
@@ -76,8 +79,8 @@
         }
         self.instances = 1 + u32::from(value % 16);
         self.placement.apply_list(&list, self.instances as usize);
-        let absent = |(slot, model): (&Slot, &Model)| (!model.listed).then_some(*slot);
-        let absent: Vec<Slot> = self.models.iter().filter_map(absent).collect();
+        let if_absent = |(slot, model): (&Slot, &Model)| (!model.listed).then_some(*slot);
+        let absent: Vec<Slot> = self.models.iter().filter_map(if_absent).collect();
         for model in self.models.values_mut() {
             model.listed = false;
         }
@@ -94,10 +97,10 @@
                 outstanding: 0,
                 load: 0,
             });
-            let same = model.worker.name == worker.name;
-            assert!(same, "the slot of {} was reused", model.worker.name);
-            let back = absent.contains(&slot) || model.worker.state == State::Leaving;
-            if back && worker.state == State::Live {
+            let same_worker = model.worker.name == worker.name;
+            assert!(same_worker, "the slot of {} was reused", model.worker.name);
+            let returned = absent.contains(&slot) || model.worker.state == State::Leaving;
+            if returned && worker.state == State::Live {
                 model.reported_leaving = false;
             }
             model.listed = true;
@@ -107,45 +110,55 @@
             .retain(|_, model| model.listed || model.outstanding > 0);
     }
 
+    /// Places a task; returns whether the choice is one that the models allow.
     fn place(&mut self, value: u8) -> bool {
         let route = route();
         let requirement = Requirement {
             need: need(1 + u32::from(value % 2)),
             ..requirement(&route, &[])
         };
-        let open = |model: &&Model| {
+        let has_place = |model: &&Model| {
             model.eligible()
-                && model.outstanding < model.bound(self.instances)
+                && model.outstanding < model.limit(self.instances)
                 && requirement.need.cores <= model.worker.has.cores
         };
-        // The best of the own data centre and of the others; among equals any may be taken.
+        // The best endpoints of the own data centre, or of the others; any of them may be picked.
         let best = |near: bool| {
-            let of = || {
+            let candidates = || {
                 self.models
                     .values()
-                    .filter(open)
-                    .filter(|m| m.near() == near)
+                    .filter(has_place)
+                    .filter(|model| model.near() == near)
             };
-            let rank = of().map(Model::rank).min();
-            of().filter(|m| Some(m.rank()) == rank).collect::<Vec<_>>()
+            let rank = candidates().map(Model::rank).min();
+            candidates()
+                .filter(|model| Some(model.rank()) == rank)
+                .collect::<Vec<_>>()
         };
         let (near, far) = (best(true), best(false));
         let Ok(slot) = self.placement.place(&requirement) else {
             return near.is_empty() && far.is_empty();
         };
-        let busy = |models: &[&Model]| models.iter().any(|m| !m.idle(self.instances));
+        let busy = |models: &[&Model]| {
+            models
+                .iter()
+                .any(|model| !model.starts_at_once(self.instances))
+        };
         let model = &self.models[&slot];
-        let of = if model.near() { &near } else { &far };
-        let idle = model.idle(self.instances);
-        let right = of.iter().any(|best| best.worker.name == model.worker.name)
+        let candidates = if model.near() { &near } else { &far };
+        let starts_at_once = model.starts_at_once(self.instances);
+        let is_allowed = candidates
+            .iter()
+            .any(|best| best.worker.name == model.worker.name)
             && match model.near() {
-                true => idle || far.is_empty() || busy(&far),
-                false => near.is_empty() || busy(&near) && idle,
+                true => starts_at_once || far.is_empty() || busy(&far),
+                false => near.is_empty() || busy(&near) && starts_at_once,
             };
         self.model(slot).outstanding += 1;
-        right
+        is_allowed
     }
 
+    /// Applies one arbitrary step; returns whether the placement agrees with the models.
     fn step(&mut self, (kind, mask, value): (u8, u16, u8)) -> bool {
         let count = self.models.len().max(1);
         let slot = self.models.keys().nth(usize::from(value) % count).copied();
@@ -156,9 +169,9 @@
                 self.model(slot).reported_leaving = true;
             }
             (2, Some(slot)) => {
-                let yes = mask % 2 == 0;
-                self.placement.set_eligible(slot, yes);
-                self.model(slot).ejected = !yes;
+                let is_eligible = mask % 2 == 0;
+                self.placement.set_eligible(slot, is_eligible);
+                self.model(slot).ejected = !is_eligible;
             }
             (3..=6, Some(slot)) if self.model(slot).outstanding > 0 => {
                 let running = u32::from(mask % 8);
@@ -177,15 +190,16 @@
     }
 
     fn model(&mut self, slot: Slot) -> &mut Model {
-        self.models.get_mut(&slot).expect("a known slot")
+        self.models.get_mut(&slot).expect("the slot has a model")
     }
 
+    /// Returns whether the placement's sums over all endpoints equal those of the models.
     fn sums_agree(&self) -> bool {
         let eligible = || self.models.values().filter(|model| model.eligible());
         let slots: u32 = eligible().map(|model| model.worker.slots).sum();
         let free = |model: &Model| {
             model
-                .bound(self.instances)
+                .limit(self.instances)
                 .saturating_sub(model.outstanding)
         };
         let free: u32 = eligible().map(free).sum();
@@ -195,63 +209,60 @@
 }
 
 quickcheck! {
-    /// Over any steps: never past a bound, never to an endpoint that is leaving, ejected, unlisted or too small, and
-    /// always to one of the best ranks that a search of all would find.
+    /// A task must only go to an endpoint below its limit that is listed, not leaving, not ejected and large enough,
+    /// and that ranks best among these in a search of all endpoints.
     fn agrees_with_a_plain_table(steps: Vec<(u8, u16, u8)>) -> bool {
-        let mut pair = Pair::new();
-        steps.into_iter().all(|step| pair.step(step))
+        let mut comparison = Comparison::new();
+        steps.into_iter().all(|step| comparison.step(step))
     }
 }
 
 #[test]
 fn stragglers_get_less() {
-    // The caller sees late answers from a job whose tasks all look alike. One endpoint of eight is eight times as
-    // slow as the others, and says nothing of it. Its tasks end late, so its recent service time stands out; it
-    // must get clearly less than its share then, but not nothing, or its recovery would go unseen.
+    // Guards against late answers due to an endpoint that is much slower than the others and doesn't report it. It must
+    // get clearly less than its share, but more than nothing, so that its recovery is noticed.
     let mut placement = placement(&workers(8));
     let slow = placement.find(&name("worker-3")).expect("listed");
     let route = route();
-    let mut given = [0; 2];
+    let mut placed_counts = [0; 2];
     for round in 0..200 {
         let placed: Vec<Slot> = (0..32)
             .map(|_| placement.place(&requirement(&route, &[])).expect("room"))
             .collect();
         for slot in placed {
-            given[usize::from(slot == slow)] += u32::from(round >= 20);
+            placed_counts[usize::from(slot == slow)] += u32::from(round >= 20);
             let took = if slot == slow { 1_600 } else { 200 };
             placement.on_task_end(slot, Some(Span::millis(took)), None);
         }
         placement.apply_list(&workers(8), 7);
     }
-    let (others, slow) = (given[0] / 7, given[1]);
+    let (others, slow) = (placed_counts[0] / 7, placed_counts[1]);
     assert!(
         slow * 3 < others,
-        "the straggler got {slow}, each of the others {others}"
+        "the slow endpoint got {slow} tasks, each of the others {others}"
     );
-    assert!(slow > 0, "the straggler got nothing at all");
+    assert!(slow > 0, "the slow endpoint got no task");
 }
 
 #[test]
 fn ties_are_drawn_evenly() {
-    // The caller sees waits although half of the endpoints are idle. Instances that share endpoints and settle ties
-    // alike all pick the same ones. Among equals each must come up about equally often.
+    // Guards against waits at some endpoints while others are idle, if all instances break ties the same way. Equal
+    // endpoints must be picked about equally often.
     let mut placement = placement(&workers(10));
-    let mut given = BTreeMap::<Slot, u32>::new();
+    let mut picks = BTreeMap::<Slot, u32>::new();
     let route = route();
     for _ in 0..10_000 {
         let slot = placement.place(&requirement(&route, &[])).expect("room");
-        *given.entry(slot).or_default() += 1;
+        *picks.entry(slot).or_default() += 1;
         placement.on_task_end(slot, None, None);
     }
-    assert!(given.len() == 10 && given.values().all(|count| (850..1_150).contains(count)));
+    assert!(picks.len() == 10 && picks.values().all(|count| (850..1_150).contains(count)));
 }
 
 #[test]
 fn spills_only_when_the_own_data_centre_is_busy_full_or_gone() {
-    // The caller sees longer answers when work crosses data centres for nothing, when it waits at home while another
-    // is idle, and refusals when it may not cross although its own is full or gone. Of seven instances each has three
-    // sevenths of the slots before the other data centre is used; then that fills up the same way; then the own one
-    // up to its bound, and last the other, only if the route lets work leave.
+    // Guards against needless traffic between data centres, and against waits or refusals while another one has places.
+    // A data centre counts as busy from this instance's share of three tasks per slot, here 3 tasks.
     let mut placement = placement(&[worker(0, OWN), worker(1, OTHER)]);
     let mut route = route();
     let (own, other) = (Slot(0), Slot(1));
@@ -282,9 +293,8 @@
 
 #[test]
 fn retries_go_elsewhere_first() {
-    // The caller sees a failure that a retry should have hidden. An endpoint that fails at once is idle again before
-    // all others, and looks best to the retry. It must be left out while there is any other, be that one full, and
-    // be used when there is none.
+    // Guards against a retry at the endpoint that just failed, which ranks best since it is idle. It must be avoided
+    // while another one is eligible, even if that is full, and be used if there is none.
     let mut placement = placement(&workers(2));
     let route = route();
     let avoid = [Slot(0)];
@@ -300,9 +310,9 @@
 }
 
 #[test]
-fn tells_never_from_not_now() {
-    // The caller is told that its job can never run, and gives it up, when it only came at a bad moment. A task is
-    // refused for good only when no endpoint that was ever listed is large enough.
+fn distinguishes_impossible_from_not_eligible() {
+    // Guards against a permanent refusal of a job that could run later. Only a task that is too large for every
+    // endpoint that was ever listed is impossible.
     let mut placement = placement(&workers(2));
     let route = route();
     let large = Requirement {
@@ -320,8 +330,8 @@
 
 #[test]
 fn probation_gets_one_idempotent_task_at_a_time() {
-    // The caller of a start-once job sees it fail at an endpoint that was ejected a moment ago. An endpoint on
-    // probation may fail again, so it must get idempotent tasks alone, which can be retried, and one at a time.
+    // Guards against start-once jobs that fail at an endpoint which was just ejected. On probation it must only get
+    // idempotent tasks, which can be retried, and one at a time.
     let mut placement = placement(&workers(2));
     placement.set_eligibility(Slot(0), Eligibility::Probation);
     let route = route();
@@ -338,10 +348,9 @@
 }
 
 #[test]
-fn the_word_of_a_leaving_endpoint_outlives_a_late_list() {
-    // The caller sees a refused start and a delay. The endpoint has said that it is leaving, and then the platform's
-    // list, which is late, shows it as live again and again. It must get nothing, until a list shows that it came
-    // back: under another address, after an absence, or as live for so long that the word is out of date.
+fn a_leaving_endpoint_gets_nothing_while_lists_are_stale() {
+    // Guards against refused starts at an endpoint that reported to be leaving while the platform's list still shows it
+    // as live. It must get no task until it is listed with another address, or its report has expired.
     let list = workers(1);
     let mut placement = placement(&list);
     let route = route();
--- a/tests/policy/retry.rs
+++ b/tests/policy/retry.rs
@@ -1,7 +1,8 @@
 use crate::support::*;
 
 quickcheck! {
-    /// Over any ends, retries are at most a tenth of the successes, what was saved, and one a second.
+    /// For any sequence of successes and failures, retries must be at most a tenth of the successes, plus the initial
+    /// 10 tokens, plus one a second.
     fn retries_stay_within_the_budget(ends: Vec<(bool, u16)>) -> bool {
         let mut budget = Budget::for_retries();
         let (mut now, mut successes, mut retries) = (Time(0), 0, 0);
@@ -17,7 +18,7 @@
         })
     }
 
-    /// The wait is never nothing, never longer than a second, and differs from draw to draw.
+    /// Delays must be between 5 ms and 1 s, and must vary.
     fn waits_are_bounded(attempt: u32, seed: u64) -> bool {
         let mut random = SmallRng::seed_from_u64(seed);
         let waits: Vec<Span> = (0..20).map(|_| backoff(attempt, &mut random)).collect();
@@ -27,10 +28,9 @@
 }
 
 #[test]
-fn a_storm_of_failures_is_not_multiplied() {
-    // The caller sees failures everywhere, and the endpoints that still work are overrun. Half of all starts fail,
-    // and each failure would be retried until it succeeds, which doubles the messages. With the budget, starts must
-    // stay within a tenth of the successes above the tasks, plus the floor.
+fn retries_do_not_multiply_a_burst_of_failures() {
+    // Guards against retries that overload the endpoints which still work while half of all starts fail. Retries must
+    // stay within a tenth of the successes, plus one a second and the initial 10 tokens.
     let mut budget = Budget::for_retries();
     let mut random = SmallRng::seed_from_u64(5);
     let (mut now, mut starts, mut successes) = (Time(0), 0, 0);
@@ -49,13 +49,16 @@
     }
     let allowed = tasks + successes / 10 + 10 + 20;
     assert!(starts <= allowed, "{starts} starts for {tasks} tasks");
-    assert!(starts > tasks + tasks / 20, "hardly any retry: {starts}");
+    assert!(
+        starts > tasks + tasks / 20,
+        "too few retries: {starts} starts"
+    );
 }
 
 #[test]
 fn an_outage_is_followed_by_some_retries_still() {
-    // The caller sees the first failures after an outage although a retry would do. All successes stopped for a
-    // minute, so nothing was earned. The floor must still give some.
+    // Guards against failures after an outage that a retry would hide: without successes, no tokens are earned. One
+    // token a second must still be available.
     let mut budget = Budget::for_retries();
     while budget.try_take(Time(0)) {}
     let after = Time(0) + Span::seconds(5);
@@ -64,20 +67,22 @@
 }
 
 #[test]
-fn second_copies_are_few_and_late() {
-    // The caller sees twice the messages. Every task that runs a little longer than the rest gets a second copy. A
-    // copy may start only past the p99 of its kind, only once that is known, and one for twenty successes at most.
+fn hedges_are_few_and_late() {
+    // Guards against twice the load by hedging every task that runs a little longer than others. A hedge may start only
+    // after the p99 of its service, once enough durations are recorded, and once for twenty successes.
     let mut hedge = Hedge::new();
     let service = name("preview");
     assert_eq!(hedge.delay(&service), None);
     for number in 0..1_000 {
         hedge.on_success(&service, Span::millis(100 + number % 100));
     }
-    let wait = hedge.delay(&service).expect("enough is known");
+    let wait = hedge
+        .delay(&service)
+        .expect("enough durations are recorded");
     assert!((195..=202).contains(&wait.as_millis()), "{wait}");
-    let copies = (0..1_000).filter(|_| hedge.try_take(Time(0))).count();
+    let hedges = (0..1_000).filter(|_| hedge.try_take(Time(0))).count();
     assert!(
-        (40..=50).contains(&copies),
-        "{copies} copies for 1,000 successes"
+        (40..=50).contains(&hedges),
+        "{hedges} hedges for 1,000 successes"
     );
 }
--- a/tests/policy/support.rs
+++ b/tests/policy/support.rs
@@ -1,4 +1,4 @@
-//! What the tests import, and their workers, routes and names.
+//! Imports that the tests share, and helpers that build workers, routes and requirements.
 
 use std::{
     fmt::Debug,
@@ -72,7 +72,7 @@
 pub(crate) const OWN: &str = "ulemiste-a";
 pub(crate) const OTHER: &str = "maardu";
 
-/// Parses a name of any kind.
+/// Parses an identifier of any type.
 pub(crate) fn name<T: FromStr<Err: Debug>>(text: impl AsRef<str>) -> T {
     text.as_ref().parse().expect("a valid name")
 }
@@ -84,7 +84,7 @@
     }
 }
 
-/// Makes a worker with 8 slots, 64 connections and 64 cores.
+/// Returns a worker with 8 slots, 64 connections and 64 cores.
 pub(crate) fn worker(number: usize, centre: &str) -> Worker {
     Worker {
         name: name(format!("worker-{number}")),
@@ -99,12 +99,12 @@
     }
 }
 
-/// Makes workers of the own data centre.
+/// Returns workers of the own data centre.
 pub(crate) fn workers(count: usize) -> Vec<Worker> {
     (0..count).map(|number| worker(number, OWN)).collect()
 }
 
-/// Makes a route to the pool of the workers, over all data centres.
+/// Returns a route to the workers' pool in all data centres.
 pub(crate) fn route() -> Route {
     Route {
         service: name("preview"),
@@ -120,7 +120,7 @@
     }
 }
 
-/// Makes the wish for an endpoint for a small task that starts once.
+/// Returns the requirement of a start-once task that needs one core.
 pub(crate) fn requirement<'a>(route: &'a Route, avoid: &'a [Slot]) -> Requirement<'a> {
     Requirement {
         route,
