--- a/src/core/claim.rs
+++ b/src/core/claim.rs
@@ -142,11 +142,13 @@
         serde_json::from_str(&self.0).expect("a kept answer is valid JSON")
     }
 
+    /// Returns the estimated memory in bytes.
     fn memory(&self) -> usize {
         self.0.len() + ALLOCATION_BYTES
     }
 }
 
+/// A key's entry, with its estimated memory in bytes.
 #[derive(Debug)]
 struct KeyState {
     digest: Digest,
@@ -348,6 +350,7 @@
         self.epochs.get_mut(&range.epoch)
     }
 
+    /// Adds to the estimated memory of the range that a key belongs to.
     fn add_epoch_bytes(&mut self, key: &Key, bytes: usize) {
         if let Some(epoch) = self.own_epoch(key) {
             epoch.bytes += bytes;
--- a/src/core/completion.rs
+++ b/src/core/completion.rs
@@ -33,7 +33,7 @@
 };
 
 impl Core {
-    /// Returns what admission counted for a job that won't run here.
+    /// Releases what admission counted for a job that this instance won't run.
     pub(super) fn release_admission(&mut self, job: &mut Job<Received>) {
         if let Some(admitted) = job.stage.admitted.take() {
             let tasks = job.submission.tasks.len() as u32;
@@ -201,7 +201,7 @@
 
     /// Removes a caller whose connection is closed from the recipients of its job.
     ///
-    /// The job continues and its answer is kept, unless nobody could ask for it.
+    /// The job continues and its answer is kept. An idempotent job without a key or another recipient is cancelled.
     pub(super) fn on_hangup(&mut self, request: Request) {
         let Some(number) = self.requests.remove(&request) else {
             return;
--- a/src/core/execution.rs
+++ b/src/core/execution.rs
@@ -57,7 +57,7 @@
     Failed(String),
     /// The task didn't start, and never will under this attempt.
     NotStarted,
-    /// The task may have run; the endpoint can't tell.
+    /// The task may have run: the endpoint can't be reached, or has restarted.
     Lost,
 }
 
@@ -97,11 +97,11 @@
         let team = &job.submission.team;
         let weight = route.quotas.get(team).map_or(1, |quota| quota.weight);
         let expected = job.submission.tasks[item.task as usize].expected;
-        let waiting = self.limits.waiting;
+        let max_waiting = self.limits.waiting;
         let queue = self
             .queues
             .entry(route.service.clone())
-            .or_insert_with(|| super::queue::Queue::new(waiting));
+            .or_insert_with(|| super::queue::Queue::new(max_waiting));
         queue.push(team, weight, item.job, expected, item).is_ok()
     }
 
@@ -190,7 +190,7 @@
             number: progress.attempts,
         };
         progress.attempts += 1;
-        // An idempotent task is hedged once it runs longer than nearly all others of its service; of any other task
+        // An idempotent task is hedged once it runs longer than nearly all others of its service. For any other task
         // the endpoint is asked for the status.
         let default_delay = task.expected.times(2) + self.timing.look;
         let class = job.stage.admitted.class;
@@ -305,7 +305,7 @@
         let took = self.now.since(pending.sent_at);
         let succeeded = matches!(conclusion, Conclusion::Done(_));
         if let Some(load) = load {
-            self.update_share(pending.slot, load);
+            self.update_work_share(pending.slot, load);
         }
         self.placement
             .on_task_end(pending.slot, succeeded.then_some(took), load);
@@ -339,7 +339,7 @@
     ///
     /// Prevents the admission of jobs that miss their deadlines: an instance knows only its own tasks, so without the
     /// share it would underestimate the wait by the work of all other instances.
-    fn update_share(&mut self, slot: Slot, load: Load) {
+    fn update_work_share(&mut self, slot: Slot, load: Load) {
         let own = self.placement.outstanding(slot).max(1);
         let total = load.running.saturating_add(load.queued).saturating_add(1);
         let sample = f64::from(own) / f64::from(total.max(own));
@@ -405,8 +405,8 @@
         if attempt.number == 0 {
             return self.enqueue(item);
         }
-        let wait = retry::backoff(attempt.number, &mut self.random);
-        self.timers.set(self.now + wait, Timer::Retry(item));
+        let delay = retry::backoff(attempt.number, &mut self.random);
+        self.timers.set(self.now + delay, Timer::Retry(item));
     }
 
     /// Schedules a retry of an idempotent task that may have run; returns `false` if no retry is allowed.
@@ -422,13 +422,13 @@
         if progress.attempts >= MAX_ATTEMPTS || !self.retries.try_take(self.now) {
             return false;
         }
-        let wait = retry::backoff(progress.attempts - 1, &mut self.random);
+        let delay = retry::backoff(progress.attempts - 1, &mut self.random);
         let item = Item {
             job: attempt.job,
             task: attempt.task,
         };
         self.outputs.push(Output::Measure(Sample::Retried));
-        self.timers.set(self.now + wait, Timer::Retry(item));
+        self.timers.set(self.now + delay, Timer::Retry(item));
         true
     }
 
@@ -440,8 +440,8 @@
         let outcome = job.outcome(reason);
         let mut answer = Answer::new(outcome, reason, detail);
         if outcome == Outcome::NotRun && reason != Reason::Impossible {
-            let span = self.jitter(Span::millis(500));
-            answer = answer.with_retry(span);
+            let retry_after = self.jitter(Span::millis(500));
+            answer = answer.with_retry(retry_after);
         }
         self.finish_running(job, answer);
     }
@@ -456,7 +456,9 @@
         };
         let detail = match outcome {
             Outcome::NotRun => format!("{cause} before any task was started"),
-            Outcome::Unknown => format!("{cause} while tasks were running; they were told to stop"),
+            Outcome::Unknown => {
+                format!("{cause} while tasks were outstanding; they were told to stop")
+            }
             _ => format!("{cause} before every task had run"),
         };
         self.finish_running(job, Answer::new(outcome, reason, detail));
--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -136,10 +136,12 @@
     random: SmallRng,
     entries: Vec<Option<Entry>>,
     free_slots: Vec<Slot>,
-    names: HashMap<Endpoint, Slot>,
+    slots_by_name: HashMap<Endpoint, Slot>,
     groups: Vec<Group>,
     groups_by_pool: HashMap<Pool, Vec<usize>>,
+    /// The number of lists applied so far.
     list_number: u64,
+    /// The outstanding tasks at all endpoints.
     outstanding: u32,
 }
 
@@ -154,7 +156,7 @@
             random: SmallRng::seed_from_u64(seed),
             entries: Vec::new(),
             free_slots: Vec::new(),
-            names: HashMap::new(),
+            slots_by_name: HashMap::new(),
             groups: Vec::new(),
             groups_by_pool: HashMap::new(),
             list_number: 0,
@@ -244,7 +246,7 @@
 
     /// Returns the slot of an endpoint by its name.
     pub fn find(&self, name: &Endpoint) -> Option<Slot> {
-        self.names.get(name).copied()
+        self.slots_by_name.get(name).copied()
     }
 
     /// Returns the sums over all endpoints.
--- a/src/core/placement/table.rs
+++ b/src/core/placement/table.rs
@@ -36,7 +36,7 @@
         let shares_changed = mem::replace(&mut self.instances, instances) != instances;
         let mut changes = Vec::new();
         for worker in workers {
-            changes.extend(match self.names.get(&worker.name) {
+            changes.extend(match self.slots_by_name.get(&worker.name) {
                 Some(slot) => self.update(*slot, worker),
                 None => Some(self.add(worker)),
             });
@@ -62,7 +62,7 @@
             Slot(self.entries.len() as u32 - 1)
         });
         let group = self.join_group(worker);
-        self.names.insert(worker.name.clone(), slot);
+        self.slots_by_name.insert(worker.name.clone(), slot);
         self.entries[slot.0 as usize] = Some(Entry {
             worker: worker.clone(),
             group,
@@ -164,7 +164,7 @@
     fn remove_entry(&mut self, slot: Slot) {
         self.leave_group(slot);
         if let Some(entry) = self.entries[slot.0 as usize].take() {
-            self.names.remove(&entry.worker.name);
+            self.slots_by_name.remove(&entry.worker.name);
             self.free_slots.push(slot);
         }
     }
--- a/src/core/queue.rs
+++ b/src/core/queue.rs
@@ -23,7 +23,7 @@
 /// The longest run time that a task is charged. Limits how long a wrong declaration delays its team.
 const MAX_CHARGE: Span = Span::seconds(10);
 
-/// The number of teams from which those without waiting tasks and without debt are removed.
+/// The minimum number of teams at which those without waiting tasks and without debt are removed.
 const MIN_SWEEP_TEAMS: usize = 64;
 
 /// The number of idle teams beyond which they are removed even with debt.
--- a/src/core/stage.rs
+++ b/src/core/stage.rs
@@ -46,7 +46,7 @@
     pub deadline: Time,
     /// The timer of the deadline.
     pub(super) timer: Handle,
-    /// Whether the caller says that it never sent the key before.
+    /// Whether the caller states that it sends the key for the first time.
     pub first: bool,
     /// The recipients of the answer.
     pub waiters: Vec<Waiter>,
--- a/src/core/status_check.rs
+++ b/src/core/status_check.rs
@@ -150,7 +150,7 @@
         self.timers.cancel(replaced.unwrap_or(timer));
     }
 
-    /// Closes the connection on which an attempt's end is awaited; the end is known from elsewhere.
+    /// Closes the connection on which the end of an attempt is awaited.
     pub(super) fn abandon_connection(&mut self, attempt: Attempt) {
         self.outputs.push(Output::Abandon(attempt));
     }
