--- a/src/core.rs
+++ b/src/core.rs
@@ -1,7 +1,7 @@
-//! The decisions: a core without input or output.
+//! The decisions of an instance, as a state machine without I/O.
 //!
-//! [`Input`] goes in together with the time, a list of [`Output`] comes out. There is no socket, clock, thread
-//! or unseeded random source in here, so that every order of events can be tried.
+//! [`Core::step`] takes an [`Input`] and the time, and returns a list of [`Output`]. There is no socket, clock, thread
+//! or unseeded random source in here, so tests can replay any order of events.
 
 use std::{
     collections::{
@@ -61,42 +61,42 @@
     Timers, //
 };
 
-/// A gap between two steps that is logged as a pause of the whole instance.
-const PAUSE: Span = Span::millis(1_000);
+/// The time between two steps from which on a pause of the whole process is logged.
+const PAUSE_THRESHOLD: Span = Span::millis(1_000);
 
-/// Who an instance is.
+/// The identity of an instance.
 #[derive(Debug, Clone)]
 pub struct Identity {
-    /// Its name.
+    /// The instance's name; it stays the same across restarts.
     pub name: Instance,
-    /// Its data centre.
+    /// The instance's data centre.
     pub centre: Centre,
-    /// Its incarnation: drawn at each start.
+    /// A random number drawn at each start; it tells one run of the instance from the next.
     pub incarnation: Incarnation,
-    /// The data centres whose endpoints it uses; empty stands for all.
+    /// The data centres whose endpoints the instance uses; empty means all.
     pub reach: Vec<Centre>,
 }
 
-/// Counts of what the core holds, for metrics.
+/// Gauges of what the core holds, for metrics.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Stats {
     /// Jobs in progress.
     pub jobs: usize,
     /// Tasks that wait for an endpoint.
     pub waiting: usize,
-    /// Keys that are known.
+    /// Idempotency keys in the registry.
     pub keys: usize,
-    /// Bytes of what is known of keys.
+    /// Bytes that the registry of keys takes.
     pub bytes: usize,
     /// Tasks outstanding at endpoints.
     pub outstanding: usize,
-    /// Endpoints that take work.
+    /// Endpoints that may get tasks.
     pub eligible: usize,
-    /// Endpoints that are ejected.
+    /// Endpoints that are ejected or on probation.
     pub ejected: usize,
     /// Live instances, this one included.
     pub instances: usize,
-    /// The configuration that is applied.
+    /// The revision of the configuration that is applied.
     pub revision: Revision,
 }
 
@@ -108,24 +108,24 @@
     random: SmallRng,
     now: Time,
     serial: u64,
-    /// When the list was first read.
-    listed: Option<Time>,
+    /// When the platform's list was first read.
+    first_listed: Option<Time>,
     draining: Option<Time>,
-    drained: bool,
-    /// Whether the instance has been ready once.
-    announced: bool,
-    /// This instance's share of the work at the endpoints, as their answers tell.
+    reported_drained: bool,
+    /// Whether the instance has been ready at least once.
+    was_ready: bool,
+    /// This instance's share of the tasks at the endpoints, between 0 and 1, estimated from their replies.
     endpoint_share: f64,
-    /// Whose turn it is when services compete for endpoints.
+    /// Rotates the service that is served first when several compete for endpoints.
     next_service: usize,
-    /// The list that was taken over last.
+    /// The platform's list that was applied last.
     list: Option<Arc<List>>,
     jobs: HashMap<u64, stage::Any>,
     requests: HashMap<message::Request, u64>,
     registry: claim::Registry,
     queues: BTreeMap<Service, queue::Queue<queue::Item>>,
     orphans: HashMap<Attempt, placement::Slot>,
-    /// The incarnation of each endpoint that was heard last.
+    /// The incarnation in the last reply of each endpoint.
     endpoint_incarnations: HashMap<placement::Slot, Incarnation>,
     placement: placement::Placement,
     admission: admission::Admission,
@@ -135,15 +135,15 @@
     membership: membership::Membership,
     config: config::Config,
     store: store::Store,
-    tickets: HashMap<u64, store::Purpose>,
+    commands: HashMap<u64, store::Purpose>,
     calls: HashMap<u64, peering::Pending>,
-    peers_reported: Time,
+    peers_reported_at: Time,
     timers: Timers,
     outputs: Vec<Output>,
 }
 
 impl Core {
-    /// Makes the core of an instance that has just started.
+    /// Creates the core of an instance that has just started; `seed` feeds all its random choices.
     pub fn new(identity: Identity, limits: Limits, timing: Timing, seed: u64) -> Self {
         let Identity {
             name,
@@ -155,10 +155,10 @@
             random: SmallRng::seed_from_u64(seed),
             now: Time::default(),
             serial: 0,
-            listed: None,
+            first_listed: None,
             draining: None,
-            drained: false,
-            announced: false,
+            reported_drained: false,
+            was_ready: false,
             endpoint_share: 1.0,
             next_service: 0,
             list: None,
@@ -182,9 +182,9 @@
             ),
             config: config::Config::new(name, centre, timing.poll, seed),
             store: store::Store::default(),
-            tickets: HashMap::new(),
+            commands: HashMap::new(),
             calls: HashMap::new(),
-            peers_reported: Time::default(),
+            peers_reported_at: Time::default(),
             timers: Timers::default(),
             outputs: Vec::new(),
             identity,
@@ -193,14 +193,14 @@
         }
     }
 
-    /// Takes one input and returns what is to be done about it.
+    /// Handles one input and returns the outputs that it causes.
     ///
-    /// Timers that are due go first: an instance that wakes from a pause answers the work whose deadline has
-    /// passed before it looks at anything that would have it started.
+    /// Timers that are due run first. Otherwise an instance that wakes from a pause could start tasks of jobs whose
+    /// deadline has passed.
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Output> {
-        let gap = now.since(self.now);
-        if gap >= PAUSE && self.now != Time::default() {
-            self.log_event(Code::Awoke, format!("for {gap}"));
+        let pause = now.since(self.now);
+        if pause >= PAUSE_THRESHOLD && self.now != Time::default() {
+            self.log_event(Code::Awoke, format!("for {pause}"));
         }
         self.now = self.now.max(now);
         self.run_timers();
@@ -226,46 +226,47 @@
             Input::Cancel { request, team, key } => self.cancel(request, &team, &key),
             Input::Find { request, team, key } => self.find(request, &team, &key),
             Input::Hangup(request) => self.hang_up(request),
-            Input::Ask { request, ask } => self.configure(config::Input::Ask(request, ask)),
+            Input::Ask { request, ask } => self.step_config(config::Input::Ask(request, ask)),
             Input::Completed(Ticket::Claim(ticket), result) => self.on_completion(ticket, result),
             Input::Completed(Ticket::Config(ticket), result) => {
-                self.configure(config::Input::Completed(ticket, result));
+                self.step_config(config::Input::Completed(ticket, result));
             }
             Input::Ended(attempt, end) => self.ended(attempt, end),
             Input::Looked(attempt, status) => self.looked(attempt, status),
             Input::Called(caller, call) => self.on_call(caller, call),
             Input::Returned(id, result) => self.on_return(id, result),
             Input::Listed(list) => self.apply_list(&list),
-            Input::Tick => self.tick(),
+            Input::Tick => self.on_tick(),
             Input::Wake => {}
-            Input::Drain => self.drain(),
-            Input::Interrupt => self.interrupt(),
+            Input::Drain => self.start_drain(),
+            Input::Interrupt => self.end_drain(),
         }
-        self.check_ready();
-        self.check_drained();
+        self.report_ready();
+        self.report_drained();
         std::mem::take(&mut self.outputs)
     }
 
-    /// Returns when the next step is due even without an input.
+    /// Returns when the next timer is due: by then `step` has to be called even without an input.
     pub fn next_due(&self) -> Option<Time> {
         self.timers.next_due()
     }
 
-    /// Returns the range that callers may take keys from now.
+    /// Returns the range from which callers may take keys now.
     pub fn range(&self) -> claim::Range {
         self.registry.range()
     }
 
-    /// Tells whether the instance can serve: it has the list and a configuration, knows its peers, and isn't draining.
+    /// Returns whether the instance can serve: it has the platform's list and a configuration, has exchanged
+    /// heartbeats with its peers, and isn't draining.
     pub fn is_ready(&self) -> bool {
-        let Some(listed) = self.listed else {
+        let Some(first_listed) = self.first_listed else {
             return false;
         };
-        let converged = self.membership.has_converged(self.now, listed);
+        let converged = self.membership.has_converged(self.now, first_listed);
         converged && self.config.is_ready() && self.draining.is_none()
     }
 
-    /// Returns counts of what the core holds.
+    /// Returns gauges of what the core holds.
     pub fn stats(&self) -> Stats {
         Stats {
             jobs: self.jobs.len(),
@@ -289,7 +290,7 @@
         self.serial
     }
 
-    /// Returns a span between half of `span` and one and a half of it, so that returns don't come together.
+    /// Returns a random span between 0.5 and 1.5 times `span`, so that retries don't come all at once.
     fn jitter(&mut self, span: Span) -> Span {
         Span(span.0 / 2 + self.random.random_range(0..=span.0))
     }
@@ -307,29 +308,29 @@
     }
 
     fn apply_list(&mut self, list: &Arc<List>) {
-        self.listed.get_or_insert(self.now);
+        self.first_listed.get_or_insert(self.now);
         self.membership.apply_list(self.now, &list.instances);
-        // Instances that never use these endpoints take no part of their connections.
+        // Only instances that use the same endpoints share their connections.
         let sharing = self.membership.live_count_in(&self.identity.reach);
         let changes = self.placement.listed(&list.endpoints, sharing);
         for change in changes {
-            self.apply_listed(change);
+            self.apply_endpoint_change(change);
         }
-        // The same list comes again and again; only a new one is worth a copy of all endpoints.
-        let known = self
+        // The list is often read unchanged; the endpoints are copied only when it is a new one.
+        let unchanged = self
             .list
             .as_ref()
-            .is_some_and(|known| Arc::ptr_eq(known, list));
-        if !known {
+            .is_some_and(|last| Arc::ptr_eq(last, list));
+        if !unchanged {
             self.list = Some(list.clone());
-            self.configure(config::Input::Workers(list.endpoints.clone()));
+            self.step_config(config::Input::Workers(list.endpoints.clone()));
         }
         self.outputs
             .push(Output::Share(self.membership.live_count()));
         self.dispatch();
     }
 
-    fn apply_listed(&mut self, change: placement::Change) {
+    fn apply_endpoint_change(&mut self, change: placement::Change) {
         use placement::Change;
         match change {
             Change::Added(slot) | Change::Updated(slot) => {
@@ -348,23 +349,23 @@
         }
     }
 
-    fn tick(&mut self) {
+    fn on_tick(&mut self) {
         let dropped = self.registry.trim(self.now);
         self.log_forgotten(dropped);
         self.tick_health();
         self.tick_membership();
-        self.configure(config::Input::Tick);
+        self.step_config(config::Input::Tick);
         self.dispatch();
     }
 
     fn log_forgotten(&mut self, dropped: usize) {
-        // Age alone drops keys all the time; only a full registry is worth a line.
+        // Keys expire by age all the time; only a full registry is logged.
         if dropped > 0 && self.registry.full() {
             self.log_event(Code::Forgotten, format!("{dropped} keys"));
         }
     }
 
-    fn drain(&mut self) {
+    fn start_drain(&mut self) {
         if self.draining.is_none() {
             self.draining = Some(self.now);
             self.log_event(
@@ -374,9 +375,9 @@
         }
     }
 
-    /// Answers what is left when a drain is cut short, with the truth about each job.
-    fn interrupt(&mut self) {
-        self.drain();
+    /// Ends a drain early: answers every job in progress with what is known of it.
+    fn end_drain(&mut self) {
+        self.start_drain();
         let mut numbers: Vec<_> = self.jobs.keys().copied().collect();
         numbers.sort_unstable();
         for number in numbers {
@@ -384,9 +385,9 @@
         }
     }
 
-    fn check_ready(&mut self) {
-        if !self.announced && self.is_ready() {
-            self.announced = true;
+    fn report_ready(&mut self) {
+        if !self.was_ready && self.is_ready() {
+            self.was_ready = true;
             self.log_event(
                 Code::Ready,
                 format!("at revision {}", self.config.revision()),
@@ -394,17 +395,17 @@
         }
     }
 
-    fn check_drained(&mut self) {
-        if self.draining.is_none() || self.drained {
+    fn report_drained(&mut self) {
+        if self.draining.is_none() || self.reported_drained {
             return;
         }
         if self.jobs.is_empty() && !self.is_recording() {
-            self.drained = true;
+            self.reported_drained = true;
             self.outputs.push(Output::Drained);
         }
     }
 
-    fn configure(&mut self, input: config::Input) {
+    fn step_config(&mut self, input: config::Input) {
         for output in self.config.step(self.now, input) {
             match output {
                 config::Output::Report(request, report) => {
@@ -422,7 +423,7 @@
                     self.outputs.push(Output::Return(caller, result));
                 }
                 config::Output::Event(event) => self.outputs.push(Output::Event(event)),
-                // The configuration logs it itself; jobs keep the route that they were accepted with.
+                // The configuration has logged it; jobs keep the route that they were accepted with.
                 config::Output::InForce(_) => {}
             }
         }
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -1,7 +1,7 @@
-//! Admission: a job is taken whole or refused whole, at once.
+//! Admission control: a job is admitted or refused as a whole, at once.
 //!
-//! A job is refused when a bound is reached or when it would probably miss its deadline. What is expected comes
-//! from declared run times, scaled by how far the declarations have been off lately.
+//! A job is refused when a limit is reached or when it would probably miss its deadline. Estimates come from declared
+//! run times, scaled by the recent ratio of actual to declared ones.
 
 use std::collections::HashMap;
 
@@ -17,66 +17,66 @@
     settings::Limits, //
 };
 
-/// The least and the most that declared times are scaled by.
-const SCALES: (f64, f64) = (1.0 / 16.0, 16.0);
+/// The bounds of the factor by which declared times are scaled.
+const SCALE_BOUNDS: (f64, f64) = (1.0 / 16.0, 16.0);
 
-/// How fast older durations fade: about the last 256 tasks count.
-const FADING: f64 = 1.0 / 256.0;
+/// The weight that earlier run times lose with each further task: about the last 256 tasks count.
+const DECAY: f64 = 1.0 / 256.0;
 
-/// The declared and real time that the scale starts from, so that the first tasks don't swing it.
-const PRIOR: f64 = 5_000_000.0;
+/// The declared and the actual time that the scale starts from, so that the first tasks don't move it far.
+const PRIOR_MICROS: f64 = 5_000_000.0;
 
-/// How many times its deadline a job may take alone, as declared, before it is refused for that.
-const INFEASIBLE: u64 = 4;
+/// A job that would take more than this many times its remaining time on its own is refused for good.
+const INFEASIBLE_FACTOR: u64 = 4;
 
-/// The least time after which a refused caller is asked back.
-const SOONEST: Span = Span::millis(50);
+/// The shortest delay after which a refused caller is asked to retry.
+const MIN_RETRY: Span = Span::millis(50);
 
-/// The most time after which a refused caller is asked back.
-const LATEST: Span = Span::seconds(30);
+/// The longest delay after which a refused caller is asked to retry.
+const MAX_RETRY: Span = Span::seconds(30);
 
-/// What a job that is to be admitted demands.
+/// What a job needs in order to be admitted.
 #[derive(Debug, Clone, Copy)]
 pub struct Demand<'a> {
-    /// Its team.
+    /// The job's team.
     pub team: &'a Team,
-    /// Its tasks.
+    /// The number of its tasks.
     pub tasks: u32,
-    /// Its size in memory.
+    /// Its size in memory, in bytes.
     pub bytes: usize,
-    /// The declared run times of its tasks, added up.
+    /// The sum of the declared run times of its tasks.
     pub work: Span,
-    /// The longest of them.
+    /// The longest declared run time among its tasks.
     pub longest: Span,
     /// The time that is left until its deadline.
     pub time_left: Span,
-    /// What its team may use.
+    /// The quota of its team, if there is one.
     pub quota: Option<Quota>,
-    /// The slots that this instance may count on.
+    /// The slots at endpoints that this instance can expect to get.
     pub slots: u32,
 }
 
-/// Why a job is not taken; nothing of it was counted.
+/// Why a job is refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// The reason.
+    /// The reason, as the answer reports it.
     pub reason: Reason,
-    /// The same in a sentence.
+    /// The reason as a sentence.
     pub detail: String,
-    /// When to come back, where that helps.
+    /// The delay after which a retry may succeed; none if it never would.
     pub retry_after: Option<Span>,
 }
 
-/// What is admitted and not finished.
+/// The jobs that are admitted and not finished.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Jobs.
+    /// The number of jobs.
     pub jobs: usize,
-    /// Tasks.
+    /// The number of their unfinished tasks.
     pub tasks: usize,
-    /// Bytes.
+    /// Their size in memory, in bytes.
     pub bytes: usize,
-    /// Declared run time.
+    /// The declared run time of the unfinished tasks.
     pub work: Span,
 }
 
@@ -98,12 +98,12 @@
 
 /// What one team has in progress.
 #[derive(Debug, Default)]
-struct Share {
+struct TeamUsage {
     usage: Usage,
     weight: u32,
 }
 
-/// Decides which jobs are taken.
+/// Decides which jobs are admitted.
 #[derive(Debug)]
 pub struct Admission {
     jobs: usize,
@@ -111,16 +111,16 @@
     waiting: usize,
     random: SmallRng,
     total: Usage,
-    teams: HashMap<Team, Share>,
+    teams: HashMap<Team, TeamUsage>,
     weights: u64,
     declared: f64,
-    real: f64,
-    /// When the work that was refused so far would be done, had it been asked back one job after the other.
-    returns: Time,
+    actual: f64,
+    /// When the refused jobs would be done if they were retried one after another.
+    backlog_end: Time,
 }
 
 impl Admission {
-    /// Makes an admission within `limits`, with nothing admitted.
+    /// Creates an admission control within `limits`, with nothing admitted.
     pub fn new(limits: &Limits, seed: u64) -> Self {
         Self {
             jobs: limits.jobs,
@@ -130,66 +130,66 @@
             total: Usage::default(),
             teams: HashMap::new(),
             weights: 0,
-            declared: PRIOR,
-            real: PRIOR,
-            returns: Time::default(),
+            declared: PRIOR_MICROS,
+            actual: PRIOR_MICROS,
+            backlog_end: Time::default(),
         }
     }
 
-    /// Takes a job whole, or refuses it whole.
+    /// Admits a job and counts it, or refuses it.
     ///
     /// # Errors
     ///
-    /// Tells why the job is refused and when to come back; nothing of it is counted then.
+    /// Returns why the job is refused and when to retry; nothing of it is counted then.
     pub fn admit(&mut self, now: Time, demand: &Demand<'_>) -> Result<(), Refusal> {
         self.check_fits(demand)?;
         if demand.slots == 0 {
             let detail = "no endpoint of the service is eligible".to_owned();
-            return Err(self.refuse(now, demand, Reason::NoEndpoint, detail, SOONEST));
+            return Err(self.refuse(now, demand, Reason::NoEndpoint, detail, MIN_RETRY));
         }
         if let Err(detail) = self.check_bounds(demand) {
             let wait = self.turnover(demand);
             return Err(self.refuse(now, demand, Reason::Busy, detail, wait));
         }
         self.check_deadline(now, demand)?;
-        self.count(demand);
+        self.add(demand);
         Ok(())
     }
 
-    /// Counts tasks of a job as finished while the job goes on.
+    /// Subtracts finished tasks of a job that goes on; `work` is their declared run time.
     pub fn finish_tasks(&mut self, team: &Team, tasks: u32, work: Span) {
         self.subtract(team, 0, tasks, 0, work);
     }
 
-    /// Counts a job out, with what was admitted of it and not yet counted as finished.
+    /// Subtracts a job that has ended, with its tasks, bytes and declared run time that are still counted.
     pub fn release_job(&mut self, team: &Team, tasks: u32, bytes: usize, work: Span) {
         self.subtract(team, 1, tasks, bytes, work);
     }
 
-    /// Learns how long a task took that was declared to take `expected`.
+    /// Records that a task took `took` and was declared to take `expected`.
     pub fn record_run_time(&mut self, expected: Span, took: Span) {
-        self.declared += expected.0.max(1_000) as f64 - self.declared * FADING;
-        self.real += took.0 as f64 - self.real * FADING;
+        self.declared += expected.0.max(1_000) as f64 - self.declared * DECAY;
+        self.actual += took.0 as f64 - self.actual * DECAY;
     }
 
-    /// Returns what declared times are multiplied by.
+    /// Returns the factor by which declared times are multiplied.
     pub fn scale(&self) -> f64 {
-        (self.real / self.declared).clamp(SCALES.0, SCALES.1)
+        (self.actual / self.declared).clamp(SCALE_BOUNDS.0, SCALE_BOUNDS.1)
     }
 
-    /// Returns what is admitted and not finished.
+    /// Returns the usage of all teams.
     pub fn usage(&self) -> Usage {
         self.total
     }
 
-    /// Returns what a team has admitted and not finished.
+    /// Returns the usage of one team.
     pub fn team_usage(&self, team: &Team) -> Usage {
         self.teams
             .get(team)
             .map_or_else(Usage::default, |share| share.usage)
     }
 
-    /// Refuses for good what could not even be taken by an idle instance.
+    /// Refuses for good a job that even an idle instance couldn't admit.
     fn check_fits(&self, demand: &Demand<'_>) -> Result<(), Refusal> {
         let quota = demand.quota.map_or(0, |quota| quota.outstanding);
         let detail = if quota > 0 && demand.tasks > quota {
@@ -217,6 +217,7 @@
         })
     }
 
+    /// Checks the team's quota and the limits of the instance against what is in progress.
     fn check_bounds(&self, demand: &Demand<'_>) -> Result<(), String> {
         let own = self.team_usage(demand.team);
         let quota = demand.quota.map_or(0, |quota| quota.outstanding) as usize;
@@ -225,13 +226,13 @@
             return Err(format!("the team's quota of {quota} tasks is in use"));
         }
         let total = self.total;
-        if !room(total.jobs, own.jobs, 1, self.jobs) {
+        if !has_room(total.jobs, own.jobs, 1, self.jobs) {
             return Err("too many jobs are in progress".to_owned());
         }
-        if !room(total.tasks, own.tasks, tasks, self.waiting) {
+        if !has_room(total.tasks, own.tasks, tasks, self.waiting) {
             return Err("too many tasks are in progress".to_owned());
         }
-        if !room(total.bytes, own.bytes, demand.bytes, self.bytes) {
+        if !has_room(total.bytes, own.bytes, demand.bytes, self.bytes) {
             return Err("jobs in progress take too much memory".to_owned());
         }
         Ok(())
@@ -239,12 +240,12 @@
 
     /// Refuses a job that would probably miss its deadline.
     ///
-    /// What the job itself takes, as declared, counts up to half of its deadline: declarations are often far off,
-    /// and a job must not be shut out of an idle instance by a guess.
+    /// The job's own run time counts for at most half of its remaining time. Otherwise an idle instance could refuse a
+    /// job because of an inaccurate declaration.
     fn check_deadline(&mut self, now: Time, demand: &Demand<'_>) -> Result<(), Refusal> {
-        let alone = self.busy_span(demand.work - demand.longest, demand.slots)
-            + self.scaled(demand.longest);
-        if alone > demand.time_left.times(INFEASIBLE) {
+        let alone = self.occupancy(demand.work - demand.longest, demand.slots)
+            + self.scale_span(demand.longest);
+        if alone > demand.time_left.times(INFEASIBLE_FACTOR) {
             let detail = format!(
                 "it would take about {alone} alone, far past its deadline in {}",
                 demand.time_left
@@ -255,7 +256,7 @@
                 retry_after: None,
             });
         }
-        let wait = self.wait(demand);
+        let wait = self.expected_wait(demand);
         let finish = wait + alone.min(Span(demand.time_left.0 / 2));
         if finish <= demand.time_left {
             return Ok(());
@@ -267,40 +268,40 @@
         Err(self.refuse(now, demand, Reason::Busy, detail, finish - demand.time_left))
     }
 
-    /// Returns how long the work ahead of a job is expected to hold it up.
+    /// Returns the time for which a job is expected to wait for others.
     ///
-    /// Places go to the teams by their weights, so a job waits for the work of its own team at its share of the
-    /// slots, but never for more than all the work there is.
-    fn wait(&self, demand: &Demand<'_>) -> Span {
+    /// Slots are shared among the teams by weight, so a job waits for the work of its own team at that team's share,
+    /// but never for more than all admitted work.
+    fn expected_wait(&self, demand: &Demand<'_>) -> Span {
         let own = self.teams.get(demand.team);
         let ahead = own.map_or_else(Span::default, |share| share.usage.work);
         let counted = own.map_or(0, |share| u64::from(share.weight));
-        let weight = u64::from(weight(demand));
+        let weight = u64::from(weight_of(demand));
         let weights = self.weights - counted + weight;
         let at_share = u128::from(ahead.0) * u128::from(weights) / u128::from(weight);
         let at_share = Span(u64::try_from(at_share).unwrap_or(u64::MAX));
-        self.busy_span(at_share.min(self.total.work), demand.slots)
+        self.occupancy(at_share.min(self.total.work), demand.slots)
     }
 
-    /// Returns for how long declared work keeps `slots` busy.
-    fn busy_span(&self, work: Span, slots: u32) -> Span {
-        Span(self.scaled(work).0 / u64::from(slots.max(1)))
+    /// Returns the time for which declared work is expected to keep `slots` busy.
+    fn occupancy(&self, work: Span, slots: u32) -> Span {
+        Span(self.scale_span(work).0 / u64::from(slots.max(1)))
     }
 
-    /// Returns the time in which as many tasks are expected to end as the job has.
+    /// Returns the time in which as many tasks are expected to finish as the job has.
     fn turnover(&self, demand: &Demand<'_>) -> Span {
         let mean = self.total.work.0 / self.total.tasks.max(1) as u64;
-        self.busy_span(Span(mean).times(u64::from(demand.tasks)), demand.slots)
+        self.occupancy(Span(mean).times(u64::from(demand.tasks)), demand.slots)
     }
 
-    fn scaled(&self, declared: Span) -> Span {
+    fn scale_span(&self, declared: Span) -> Span {
         Span((declared.0 as f64 * self.scale()) as u64)
     }
 
-    /// Makes a refusal that asks the caller back after about `wait`.
+    /// Creates a refusal that asks the caller to retry after about `wait`.
     ///
-    /// Callers that are refused together and come back together are refused together again. So each is asked back
-    /// when the work of those refused before it would be done, and a random time later.
+    /// The delay grows by the work that was refused before, plus a random jitter. Otherwise callers that are refused
+    /// together would retry together and be refused again.
     fn refuse(
         &mut self,
         now: Time,
@@ -309,21 +310,21 @@
         detail: String,
         wait: Span,
     ) -> Refusal {
-        let start = self.returns.max(now + wait.max(SOONEST));
-        let takes = self.busy_span(demand.work, demand.slots);
-        self.returns = (start + takes).min(now + LATEST);
-        let wait = start.since(now).min(Span(LATEST.0 / 2));
-        let jitter = self.random.random_range(0..=wait.0.max(SOONEST.0));
+        let start = self.backlog_end.max(now + wait.max(MIN_RETRY));
+        let duration = self.occupancy(demand.work, demand.slots);
+        self.backlog_end = (start + duration).min(now + MAX_RETRY);
+        let wait = start.since(now).min(Span(MAX_RETRY.0 / 2));
+        let jitter = self.random.random_range(0..=wait.0.max(MIN_RETRY.0));
         Refusal {
             reason,
             detail,
-            retry_after: Some((wait + Span(jitter)).min(LATEST)),
+            retry_after: Some((wait + Span(jitter)).min(MAX_RETRY)),
         }
     }
 
-    fn count(&mut self, demand: &Demand<'_>) {
+    fn add(&mut self, demand: &Demand<'_>) {
         let share = self.teams.entry(demand.team.clone()).or_default();
-        let weight = weight(demand);
+        let weight = weight_of(demand);
         self.weights = self.weights - u64::from(share.weight) + u64::from(weight);
         share.weight = weight;
         share.usage.add(1, demand.tasks, demand.bytes, demand.work);
@@ -333,7 +334,7 @@
     fn subtract(&mut self, team: &Team, jobs: usize, tasks: u32, bytes: usize, work: Span) {
         self.total.subtract(jobs, tasks, bytes, work);
         let Some(share) = self.teams.get_mut(team) else {
-            debug_assert!(false, "released more than was admitted");
+            debug_assert!(false, "more was released than was admitted");
             return;
         };
         share.usage.subtract(jobs, tasks, bytes, work);
@@ -344,14 +345,14 @@
     }
 }
 
-fn weight(demand: &Demand<'_>) -> u32 {
+fn weight_of(demand: &Demand<'_>) -> u32 {
     demand.quota.map_or(1, |quota| quota.weight).max(1)
 }
 
-/// Tells whether there is room for `more`, when a team may take no more than it leaves free.
+/// Returns whether a team that uses `own` of `bound` may take `more`: no more than what all teams leave free.
 ///
-/// With one bound for all, a flood by one team would fill it and shut the others out. By this dynamic threshold one
-/// team gets at most half of it, two a third each, and there is always some left for the next.
-fn room(total: usize, own: usize, more: usize, bound: usize) -> bool {
+/// With a fixed limit, one team's burst would fill it and lock the others out. This dynamic threshold gives a single
+/// team at most half of the limit, two teams a third each, and always leaves some for the next.
+fn has_room(total: usize, own: usize, more: usize, bound: usize) -> bool {
     own + more <= bound.saturating_sub(total)
 }
--- a/src/core/health.rs
+++ b/src/core/health.rs
@@ -1,4 +1,4 @@
-//! Outlier ejection: endpoints that fail everything get nothing for a while.
+//! Outlier ejection: an endpoint that fails task after task gets none for a while, and is then tried again.
 
 use std::collections::{
     BTreeSet,
@@ -20,44 +20,44 @@
     table::wire::Worker,
 };
 
-/// Failures one after the other that eject an endpoint, when they are from several jobs.
-const FAILURES: u32 = 3;
+/// The consecutive failures that eject an endpoint, if they are from more than one job.
+const EJECTION_FAILURES: u32 = 3;
 
-/// The part of a group that may be out at once, as its divisor.
-const CAP: u32 = 3;
+/// At most the group's size divided by this may be out at once.
+const CAP_DIVISOR: u32 = 3;
 
-/// How long the first ejection lasts; each further one doubles it.
+/// The length of the first ejection; each further one doubles it.
 const FIRST_EJECTION: Span = Span::seconds(5);
 
-/// The most often that the span is doubled.
-const DOUBLINGS: u32 = 6;
+/// How many times the length of an ejection doubles at most.
+const MAX_DOUBLINGS: u32 = 6;
 
-/// Time without an ejection that makes up for one.
-const RECOVERY: Span = Span::seconds(60);
+/// The time in good standing that takes back one doubling.
+const RECOVERY_PERIOD: Span = Span::seconds(60);
 
-/// How long an endpoint on probation waits for an idempotent task before any task will do.
+/// How long an endpoint on probation waits for an idempotent task before it may get a task of any class.
 ///
-/// Where all work is non-idempotent, an endpoint would stay out for good otherwise. At worst one task fails for
-/// each ejection, which the caller is told.
+/// Without it, an endpoint would stay out for good where all tasks are non-idempotent. At worst one task fails per
+/// ejection, and its caller is told so.
 const PROBATION_TIMEOUT: Span = Span::seconds(30);
 
-/// What has changed for an endpoint.
+/// A change of an endpoint's eligibility.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Change {
-    /// It gets nothing for a while.
+    /// It gets no tasks for a while.
     Ejected(Slot),
     /// It gets one idempotent task at a time.
     Probation(Slot),
     /// It gets one task of any class at a time.
     Trial(Slot),
-    /// It gets what no other takes, since too many are out for it to be ejected.
+    /// It gets only tasks that no other endpoint has room for: it should be ejected, but the cap is reached.
     Suspected(Slot),
-    /// It gets everything again.
+    /// It gets all tasks again.
     Restored(Slot),
 }
 
 impl Change {
-    /// Returns the endpoint and its new eligibility, to be passed to placement.
+    /// Returns the endpoint and its new eligibility, for placement.
     pub fn eligibility(self) -> (Slot, Eligibility) {
         match self {
             Self::Ejected(slot) => (slot, Eligibility::Ejected),
@@ -69,14 +69,14 @@
     }
 }
 
-/// The endpoints that are compared to find outliers: one pool in one data centre.
+/// The endpoints that share one cap on ejections: those of one pool in one data centre.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Group {
     pool: Pool,
     centre: Centre,
 }
 
-/// How many endpoints a group has, and how many of them are out.
+/// The size of a group, and how many of its endpoints are ejected, on probation or on trial.
 #[derive(Default, Debug)]
 struct Count {
     members: u32,
@@ -88,38 +88,43 @@
     fn cap(&self) -> u32 {
         match self.members {
             0 | 1 => 0,
-            members => (members / CAP).max(1),
+            members => (members / CAP_DIVISOR).max(1),
         }
     }
 }
 
-/// What is known of one endpoint.
+/// The state of one endpoint.
 #[derive(Debug)]
 struct Record {
     group: Group,
     eligibility: Eligibility,
+    /// Consecutive failures.
     failures: u32,
-    job: u64,
-    several: bool,
+    /// The job of the first of them.
+    first_job: u64,
+    /// Whether they are from more than one job.
+    several_jobs: bool,
+    /// Past ejections, less those made up for by time in good standing.
     ejections: u32,
-    since: Time,
+    restored_at: Time,
+    /// When the present eligibility ends.
     due: Option<Time>,
 }
 
 impl Record {
-    /// Counts a failure; tells whether it is enough for an ejection.
-    fn count(&mut self, job: u64) -> bool {
+    /// Counts a failure; returns whether the failures are enough for an ejection.
+    fn count_failure(&mut self, job: u64) -> bool {
         if self.failures == 0 {
-            self.job = job;
-            self.several = false;
+            self.first_job = job;
+            self.several_jobs = false;
         }
-        self.several |= self.job != job;
+        self.several_jobs |= self.first_job != job;
         self.failures = self.failures.saturating_add(1);
-        self.failures >= FAILURES && self.several
+        self.failures >= EJECTION_FAILURES && self.several_jobs
     }
 }
 
-/// Decides which endpoints are out.
+/// Decides which endpoints are ejected, and when they come back.
 #[derive(Debug)]
 pub struct Health {
     random: SmallRng,
@@ -129,7 +134,7 @@
 }
 
 impl Health {
-    /// Makes a decision that knows no endpoint.
+    /// Creates the state without endpoints; `seed` feeds the jitter of ejections.
     pub fn new(seed: u64) -> Self {
         Self {
             random: SmallRng::seed_from_u64(seed),
@@ -139,7 +144,7 @@
         }
     }
 
-    /// Takes up an endpoint, or moves it to the group where the list has it now.
+    /// Inserts an endpoint, or moves it if the list has it in another group now.
     pub fn insert(&mut self, slot: Slot, worker: &Worker) {
         let group = Group {
             pool: worker.pool.clone(),
@@ -154,16 +159,16 @@
             group,
             eligibility: Eligibility::Good,
             failures: 0,
-            job: 0,
-            several: false,
+            first_job: 0,
+            several_jobs: false,
             ejections: 0,
-            since: Time::default(),
+            restored_at: Time::default(),
             due: None,
         };
         self.records.insert(slot, record);
     }
 
-    /// Forgets an endpoint.
+    /// Removes an endpoint.
     pub fn remove(&mut self, slot: Slot) {
         let Some(record) = self.records.remove(&slot) else {
             return;
@@ -175,21 +180,21 @@
             return;
         };
         count.members -= 1;
-        count.out -= u32::from(out(record.eligibility));
+        count.out -= u32::from(is_out(record.eligibility));
         if count.members == 0 {
             self.groups.remove(&record.group);
         }
     }
 
-    /// Counts a task of `job` that failed at an endpoint, or was lost with the connection to it.
+    /// Handles a task of `job` that failed at an endpoint, or was lost with the connection to it.
     ///
-    /// Failures of one job alone never eject: the job may be what is wrong, and would take endpoint after endpoint
-    /// out of the pool with its tasks. The cap holds where several jobs are wrong.
+    /// Failures of one job alone never eject: a faulty job would otherwise eject one endpoint after another. The cap
+    /// limits the harm of several faulty jobs.
     pub fn on_failure(&mut self, now: Time, slot: Slot, job: u64) -> Option<Change> {
         let record = self.records.get_mut(&slot)?;
         match record.eligibility {
             Eligibility::Good | Eligibility::Suspect => {
-                let outlier = record.count(job);
+                let outlier = record.count_failure(job);
                 let count = self.groups.get_mut(&record.group)?;
                 if !outlier {
                     return None;
@@ -205,7 +210,7 @@
         }
     }
 
-    /// Counts a task that an endpoint ran to its end.
+    /// Handles a task that an endpoint completed.
     pub fn on_success(&mut self, now: Time, slot: Slot) -> Option<Change> {
         let record = self.records.get_mut(&slot)?;
         record.failures = 0;
@@ -215,7 +220,7 @@
                 self.transition(slot, Eligibility::Good, None);
                 Some(Change::Restored(slot))
             }
-            // Work from before the ejection: it does not fail everything, so it is tried at once.
+            // A task from before the ejection succeeded, so the endpoint is tried at once.
             Eligibility::Ejected => {
                 self.transition(slot, Eligibility::Probation, Some(now + PROBATION_TIMEOUT));
                 Some(Change::Probation(slot))
@@ -224,23 +229,23 @@
         }
     }
 
-    /// Ends ejections that are over, and returns endpoints where more are out than the cap allows by now.
+    /// Ends ejections that are over, and restores endpoints where more are out than the cap allows now.
     pub fn tick(&mut self, now: Time) -> Vec<Change> {
         let mut changes = Vec::new();
         while let Some((due, slot)) = self.due.first().copied().filter(|(due, _)| *due <= now) {
             self.due.remove(&(due, slot));
-            changes.extend(self.next_phase(now, slot));
+            changes.extend(self.advance(now, slot));
         }
         changes.extend(self.enforce_cap(now));
         changes
     }
 
-    /// Returns how many endpoints are ejected or on probation.
+    /// Returns how many endpoints are ejected, on probation or on trial.
     pub fn ejected_count(&self) -> usize {
         self.groups.values().map(|count| count.out as usize).sum()
     }
 
-    /// Tells whether an endpoint may get a task of this class.
+    /// Returns whether an endpoint may get a task of this class.
     pub fn allows(&self, slot: Slot, class: Class) -> bool {
         match self.records.get(&slot).map(|record| record.eligibility) {
             Some(Eligibility::Good | Eligibility::Suspect | Eligibility::Trial) => true,
@@ -249,10 +254,11 @@
         }
     }
 
-    fn next_phase(&mut self, now: Time, slot: Slot) -> Option<Change> {
+    /// Moves an endpoint whose eligibility has run out to the next one.
+    fn advance(&mut self, now: Time, slot: Slot) -> Option<Change> {
         let record = self.records.get_mut(&slot)?;
         record.due = None;
-        // It is tried again; its next failure makes it a suspect at once.
+        // Its failures are still counted, so its next one makes it a suspect at once.
         if record.eligibility == Eligibility::Suspect {
             self.transition(slot, Eligibility::Good, None);
             return Some(Change::Restored(slot));
@@ -265,26 +271,26 @@
         Some(Change::Trial(slot))
     }
 
-    /// Puts an endpoint behind all others that the cap keeps from being ejected.
+    /// Makes an endpoint that the cap keeps from being ejected the last choice for tasks.
     ///
-    /// An endpoint that fails at once is idle again before all others, and would draw most of the tasks. Where more of
-    /// a pool fail than may be ejected, nearly every job would meet one of them.
+    /// An endpoint that fails at once is idle sooner than all others and would attract most tasks. Where more of a pool
+    /// fail than may be ejected, nearly every job would have a task on one of them.
     fn suspect(&mut self, now: Time, slot: Slot) -> Option<Change> {
-        let known = self.records.get(&slot)?.eligibility == Eligibility::Suspect;
+        let was_suspect = self.records.get(&slot)?.eligibility == Eligibility::Suspect;
         self.transition(slot, Eligibility::Suspect, Some(now + FIRST_EJECTION));
-        (!known).then_some(Change::Suspected(slot))
+        (!was_suspect).then_some(Change::Suspected(slot))
     }
 
     fn eject(&mut self, now: Time, slot: Slot) -> Option<Change> {
         let record = self.records.get_mut(&slot)?;
-        if !out(record.eligibility) {
-            let recovered = now.since(record.since).0 / RECOVERY.0;
+        if !is_out(record.eligibility) {
+            let recovered = now.since(record.restored_at).0 / RECOVERY_PERIOD.0;
             let recovered = u32::try_from(recovered).unwrap_or(u32::MAX);
             record.ejections = record.ejections.saturating_sub(recovered);
         }
-        let span = FIRST_EJECTION.times(1 << record.ejections.min(DOUBLINGS));
-        record.ejections = (record.ejections + 1).min(DOUBLINGS);
-        // The jitter keeps endpoints that were ejected together from coming back together.
+        let span = FIRST_EJECTION.times(1 << record.ejections.min(MAX_DOUBLINGS));
+        record.ejections = (record.ejections + 1).min(MAX_DOUBLINGS);
+        // Without jitter, endpoints that were ejected together would come back together.
         let jitter = self.random.random_range(0..=span.0 / 5);
         self.transition(slot, Eligibility::Ejected, Some(now + span + Span(jitter)));
         Some(Change::Ejected(slot))
@@ -293,13 +299,14 @@
     fn restore(&mut self, now: Time, slot: Slot) -> Option<Change> {
         self.transition(slot, Eligibility::Good, None);
         let record = self.records.get_mut(&slot)?;
-        record.since = now;
+        record.restored_at = now;
         record.failures = 0;
         let count = self.groups.get_mut(&record.group)?;
         count.out -= 1;
         Some(Change::Restored(slot))
     }
 
+    /// Sets an endpoint's eligibility, and when it ends.
     fn transition(&mut self, slot: Slot, eligibility: Eligibility, due: Option<Time>) {
         let Some(record) = self.records.get_mut(&slot) else {
             return;
@@ -314,7 +321,7 @@
         }
     }
 
-    /// Returns endpoints of groups that have shrunk, so that the cap holds for those that are left.
+    /// Restores endpoints of groups that have shrunk until the cap holds again.
     fn enforce_cap(&mut self, now: Time) -> Vec<Change> {
         let over = |count: &Count| count.out > count.cap();
         if !self.groups.values().any(over) {
@@ -323,7 +330,7 @@
         let mut slots: Vec<(Option<Time>, Slot)> = self
             .records
             .iter()
-            .filter(|(_, record)| out(record.eligibility))
+            .filter(|(_, record)| is_out(record.eligibility))
             .map(|(slot, record)| (record.due, *slot))
             .collect();
         slots.sort_unstable();
@@ -341,7 +348,7 @@
     }
 }
 
-/// Tells whether an endpoint counts against the cap.
-fn out(eligibility: Eligibility) -> bool {
+/// Returns whether an endpoint counts against the cap.
+fn is_out(eligibility: Eligibility) -> bool {
     !matches!(eligibility, Eligibility::Good | Eligibility::Suspect)
 }
--- a/src/core/membership.rs
+++ b/src/core/membership.rs
@@ -1,7 +1,7 @@
-//! Membership: which instances there are, from the platform's late list and from what is seen.
+//! Membership: which instances are alive, from the platform's list, which lags behind, and from heartbeats.
 //!
-//! It only decides where to look first, and how shared things are divided. A wrong view costs time; it never lets
-//! a task run twice, since nobody ever takes over another's claim.
+//! The view decides which peer is asked first and how shared limits are divided. A wrong view costs time only: a task
+//! never runs twice because of it, since no instance takes over another's claim.
 
 mod peer;
 mod target;
@@ -33,35 +33,35 @@
     table::wire::Member,
 };
 
-/// The most peers that are known at once.
-const PEERS: usize = 1 << 12;
+/// The most peers that are kept at once.
+const MAX_PEERS: usize = 1 << 12;
 
-/// The most incarnations that are known to be gone, the latest ones.
-const GONE: usize = 1 << 12;
+/// The most ended incarnations that are remembered; the oldest ones are dropped first.
+const MAX_ENDED: usize = 1 << 12;
 
-/// After so many spans of silence, a peer that is not listed is forgotten.
-const FORGOTTEN: u64 = 30;
+/// A peer that is not listed is removed after this many times the silence timeout.
+const EXPIRY_SILENCES: u64 = 30;
 
-/// What is to be done, or has changed.
+/// A heartbeat to send, or a change to report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// A heartbeat is due.
+    /// Send a heartbeat.
     Heartbeat {
         /// The peer.
         to: Instance,
-        /// Where it listens.
+        /// The address on which it listens.
         address: String,
     },
-    /// A peer is there.
+    /// A peer became alive.
     Found(Instance),
-    /// A peer is gone or can't be reached.
+    /// A peer is silent, has ended or can't be reached.
     Lost(Instance),
 }
 
 /// The instances as this one sees them.
 #[derive(Debug)]
 pub struct Membership {
-    me: Instance,
+    own_name: Instance,
     centre: Centre,
     incarnation: Incarnation,
     heartbeat: Span,
@@ -69,28 +69,28 @@
     random: SmallRng,
     peers: BTreeMap<Instance, Peer>,
     owners: HashMap<Incarnation, Instance>,
-    gone: HashSet<Incarnation>,
-    gone_order: VecDeque<Incarnation>,
+    ended: HashSet<Incarnation>,
+    ended_order: VecDeque<Incarnation>,
     live: usize,
-    next: Time,
-    /// The peer whose observation was passed on last; the first is another for each instance.
+    next_heartbeat: Time,
+    /// The peer whose observation was sent last. It starts at the own name, so that instances start at different peers.
     cursor: Instance,
-    /// Whether observations are passed on, since there are peers that not everybody calls.
-    gossips: bool,
+    /// Whether heartbeats carry observations: needed where some instances get no heartbeat from some others.
+    forwards_observations: bool,
 }
 
 impl Membership {
-    /// Makes the view of an instance that knows no other.
+    /// Creates the view of an instance that knows no peer yet.
     pub fn new(
-        me: Instance,
+        own_name: Instance,
         centre: Centre,
         incarnation: Incarnation,
         timing: &Timing,
         seed: u64,
     ) -> Self {
         Self {
-            cursor: me.clone(),
-            me,
+            cursor: own_name.clone(),
+            own_name,
             centre,
             incarnation,
             heartbeat: timing.heartbeat,
@@ -98,26 +98,26 @@
             random: SmallRng::seed_from_u64(seed),
             peers: BTreeMap::new(),
             owners: HashMap::new(),
-            gone: HashSet::new(),
-            gone_order: VecDeque::new(),
+            ended: HashSet::new(),
+            ended_order: VecDeque::new(),
             live: 1,
-            next: Time::default(),
-            gossips: true,
+            next_heartbeat: Time::default(),
+            forwards_observations: true,
         }
     }
 
-    /// Takes over the platform's list. Peers that it leaves out count for as long as they are heard.
+    /// Applies the platform's list. A peer that it leaves out stays alive as long as it is heard.
     pub fn apply_list(&mut self, now: Time, members: &[Member]) {
         for peer in self.peers.values_mut() {
             peer.listed = None;
         }
-        for member in members.iter().filter(|member| member.name != self.me) {
-            if self.peers.len() >= PEERS && !self.peers.contains_key(&member.name) {
+        for member in members.iter().filter(|member| member.name != self.own_name) {
+            if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&member.name) {
                 continue;
             }
             let peer = self.peers.entry(member.name.clone());
-            let peer =
-                peer.or_insert_with(|| Peer::new(now, &member.name, &member.centre, &self.me));
+            let peer = peer
+                .or_insert_with(|| Peer::new(now, &member.name, &member.centre, &self.own_name));
             peer.listed = Some(member.state);
             peer.centre.clone_from(&member.centre);
             if peer.address != member.address {
@@ -125,27 +125,27 @@
                 peer.clear_failures();
             }
         }
-        self.update_all(now);
+        self.update_all_liveness(now);
     }
 
-    /// Takes in a heartbeat, whichever side called.
+    /// Handles a heartbeat, whether a peer sent it or returned it.
     ///
-    /// A new incarnation under a known name replaces the old one for good.
+    /// A new incarnation under the same name replaces the old one.
     pub fn on_heartbeat(&mut self, now: Time, heartbeat: &Heartbeat) {
-        if heartbeat.name == self.me {
+        if heartbeat.name == self.own_name {
             return;
         }
-        if self.peers.len() >= PEERS && !self.peers.contains_key(&heartbeat.name) {
+        if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&heartbeat.name) {
             return;
         }
-        // A heartbeat of the old incarnation may come late, after the new one's. If the one that is taken for the newer is
-        // silent while the other goes on, the view was wrong.
+        // A delayed heartbeat of the old incarnation must not replace the new one. If the one taken for newer is silent
+        // while the other goes on, the order was wrong, and the other is taken.
         let silence = self.silence;
-        let gone = self.gone.contains(&heartbeat.incarnation);
+        let ended = self.ended.contains(&heartbeat.incarnation);
         let peer = self.peers.entry(heartbeat.name.clone());
-        let peer =
-            peer.or_insert_with(|| Peer::new(now, &heartbeat.name, &heartbeat.centre, &self.me));
-        if gone && peer.heard.is_some_and(|heard| now.since(heard) < silence) {
+        let peer = peer
+            .or_insert_with(|| Peer::new(now, &heartbeat.name, &heartbeat.centre, &self.own_name));
+        if ended && peer.heard.is_some_and(|heard| now.since(heard) < silence) {
             return;
         }
         peer.heard = Some(now);
@@ -156,15 +156,16 @@
         self.update_liveness(now, &heartbeat.name);
     }
 
-    /// Takes in that a call to a peer failed: it counts as gone until it is heard, or for a while.
+    /// Handles a failed call to a peer: it counts as dead until it is heard again, or the failure expires.
     pub fn on_call_failed(&mut self, now: Time, name: &Instance) {
         if let Some(peer) = self.peers.get_mut(name) {
-            peer.lost = Some(now);
+            peer.call_failed = Some(now);
         }
         self.update_liveness(now, name);
     }
 
-    /// Takes in the observations of a peer. They can't outweigh what this instance saw itself.
+    /// Handles a peer's observations of others. They don't override newer ones, nor this
+    /// instance's own failed calls and unanswered heartbeats.
     pub fn on_observations(&mut self, now: Time, observations: &[Observation]) {
         for observation in observations {
             let Some(peer) = self.peers.get_mut(&observation.name) else {
@@ -174,7 +175,7 @@
             let known = peer.incarnation;
             let newer = peer.seen.is_none_or(|known| seen > known);
             if known != Some(observation.incarnation) {
-                if known.is_some() && !newer || self.gone.contains(&observation.incarnation) {
+                if known.is_some() && !newer || self.ended.contains(&observation.incarnation) {
                     continue;
                 }
                 self.set_incarnation(&observation.name, observation.incarnation);
@@ -186,14 +187,14 @@
         }
     }
 
-    /// Returns the observations that go with the next heartbeat or its return: new incarnations first, then others.
+    /// Returns the observations for the next heartbeat, new incarnations first, and advances to the peers after them.
     pub fn next_observations(&mut self, now: Time) -> Vec<Observation> {
         let mut observations = Vec::new();
         let start = (Bound::Excluded(&self.cursor), Bound::Unbounded);
         let new = self.peers.range(start).chain(&self.peers);
         let new = new
             .filter(|(_, peer)| peer.retransmissions > 0)
-            .take(peer::NEW_OBSERVATIONS);
+            .take(peer::MAX_NEW_OBSERVATIONS);
         let names: Vec<Instance> = new.map(|(name, _)| name.clone()).collect();
         for name in names {
             if let Some(peer) = self.peers.get_mut(&name) {
@@ -201,11 +202,16 @@
                 observations.extend(peer.observation(now));
             }
         }
-        let most = observations.len() + if self.gossips { peer::OBSERVATIONS } else { 0 };
+        let limit = observations.len()
+            + if self.forwards_observations {
+                peer::MAX_OBSERVATIONS
+            } else {
+                0
+            };
         let rest = self.peers.range(start).chain(&self.peers);
         let mut last = None;
         for (name, peer) in rest.take(self.peers.len()) {
-            if observations.len() >= most {
+            if observations.len() >= limit {
                 break;
             }
             observations.extend(peer.observation(now));
@@ -217,73 +223,74 @@
         observations
     }
 
-    /// Returns the heartbeats that are due, and which peers were found or lost since the last call.
+    /// Returns the heartbeats that are due, and the peers found or lost since the last call.
     pub fn tick(&mut self, now: Time) -> Vec<Action> {
-        if now < self.next {
+        if now < self.next_heartbeat {
             return Vec::new();
         }
-        self.forget(now);
-        self.update_all(now);
-        let mut actions = self.changes();
+        self.remove_expired(now);
+        self.update_all_liveness(now);
+        let mut actions = self.take_changes();
         let (targets, crowded) = self.targets(now);
-        self.gossips = crowded || self.has_uncalled();
+        self.forwards_observations = crowded || self.has_uncalled();
         let period = self
             .heartbeat
-            .times(if crowded { target::STRETCH } else { 1 });
+            .times(if crowded { target::CROWDED_FACTOR } else { 1 });
         let jitter = self.random.random_range(0..=period.0 / 10);
-        self.next = now + (period - Span(jitter));
+        self.next_heartbeat = now + (period - Span(jitter));
         for name in targets {
             let Some(peer) = self.peers.get_mut(&name) else {
                 continue;
             };
-            peer.note_heartbeat(now);
+            peer.on_heartbeat_sent(now);
             let address = peer.address.clone();
             actions.push(Action::Heartbeat { to: name, address });
         }
         actions
     }
 
-    /// Returns the peer whose current incarnation this is, and where it listens.
+    /// Returns the name and address of the peer that runs under an incarnation.
     pub fn owner(&self, incarnation: Incarnation) -> Option<(Instance, String)> {
         let name = self.owners.get(&incarnation)?;
         let peer = self.peers.get(name)?;
         (!peer.address.is_empty()).then(|| (name.clone(), peer.address.clone()))
     }
 
-    /// Tells whether this instance and the peers that it knows of have heard one another, or had the time to.
+    /// Returns whether all listed peers that are alive have been heard, or the silence timeout has passed since `since`.
     ///
-    /// Until then neither side knows the other's incarnation, and would call the owner of a key gone that is there.
+    /// Before that, an instance doesn't know its peers' incarnations and would report the owner of a key as lost
+    /// while it runs.
     pub fn has_converged(&self, now: Time, since: Time) -> bool {
-        let known = |peer: &Peer| peer.heard.is_some() || !peer.is_alive(now, self.silence);
-        now.since(since) >= self.silence || self.peers.values().all(known)
+        let settled = |peer: &Peer| peer.heard.is_some() || !peer.is_alive(now, self.silence);
+        now.since(since) >= self.silence || self.peers.values().all(settled)
     }
 
-    /// Returns where a peer listens, as far as the list has it.
+    /// Returns the address of a peer, if it was ever listed.
     pub fn address(&self, name: &Instance) -> Option<String> {
         let peer = self.peers.get(name)?;
         (!peer.address.is_empty()).then(|| peer.address.clone())
     }
 
-    /// Tells whether an incarnation is known to have ended: its name runs under another.
+    /// Returns whether an incarnation is known to have ended, since its name runs under another.
     pub fn has_ended(&self, incarnation: Incarnation) -> bool {
-        self.gone.contains(&incarnation)
+        self.ended.contains(&incarnation)
     }
 
-    /// Tells whether a peer counts as alive.
+    /// Returns whether a peer counts as alive; this instance always does.
     pub fn is_alive(&self, now: Time, name: &Instance) -> bool {
-        *name == self.me
+        *name == self.own_name
             || self
                 .peers
                 .get(name)
                 .is_some_and(|peer| peer.is_alive(now, self.silence))
     }
 
-    /// Returns how many instances share the endpoints and the platform, this one included.
+    /// Returns how many instances are alive, this one included.
     pub fn live_count(&self) -> usize {
         self.live
     }
 
-    /// Returns how many instances in these data centres are alive, this one included; in all where none is named.
+    /// Returns how many instances in `centres` are alive, this one included; no centres means all.
     pub fn live_count_in(&self, centres: &[Centre]) -> usize {
         if centres.is_empty() {
             return self.live;
@@ -297,7 +304,7 @@
         self.peers.values()
     }
 
-    /// Notes the incarnation under which a peer runs; the one before has ended.
+    /// Sets the incarnation under which a peer runs and marks the one before as ended.
     fn set_incarnation(&mut self, name: &Instance, incarnation: Incarnation) {
         if incarnation == self.incarnation {
             return;
@@ -308,29 +315,29 @@
         if peer.incarnation == Some(incarnation) {
             return;
         }
-        peer.retransmissions = peer::RETRANSMISSIONS;
+        peer.retransmissions = peer::NEW_RETRANSMISSIONS;
         if let Some(old) = peer.incarnation.replace(incarnation) {
-            self.mark_gone(old);
+            self.mark_ended(old);
         }
-        self.gone.remove(&incarnation);
+        self.ended.remove(&incarnation);
         self.owners.insert(incarnation, name.clone());
     }
 
-    fn mark_gone(&mut self, incarnation: Incarnation) {
+    fn mark_ended(&mut self, incarnation: Incarnation) {
         self.owners.remove(&incarnation);
-        if self.gone.insert(incarnation) {
-            self.gone_order.push_back(incarnation);
+        if self.ended.insert(incarnation) {
+            self.ended_order.push_back(incarnation);
         }
-        while self.gone_order.len() > GONE {
-            if let Some(oldest) = self.gone_order.pop_front() {
-                self.gone.remove(&oldest);
+        while self.ended_order.len() > MAX_ENDED {
+            if let Some(oldest) = self.ended_order.pop_front() {
+                self.ended.remove(&oldest);
             }
         }
     }
 
-    /// Forgets peers that are not listed and have not been seen for long.
-    fn forget(&mut self, now: Time) {
-        let wait = self.silence.times(FORGOTTEN);
+    /// Removes peers that are not listed and have not been seen for [`EXPIRY_SILENCES`].
+    fn remove_expired(&mut self, now: Time) {
+        let wait = self.silence.times(EXPIRY_SILENCES);
         let owners = &mut self.owners;
         self.peers.retain(|_, peer| {
             let seen = peer.seen.is_some_and(|seen| now.since(seen) < wait);
@@ -342,7 +349,7 @@
         });
     }
 
-    /// Updates whether one peer is alive.
+    /// Updates whether one peer is alive, and the count of live instances.
     fn update_liveness(&mut self, now: Time, name: &Instance) {
         if let Some(peer) = self.peers.get_mut(name) {
             self.live -= usize::from(peer.alive);
@@ -351,8 +358,8 @@
         }
     }
 
-    /// Updates whether each peer is alive.
-    fn update_all(&mut self, now: Time) {
+    /// Updates whether each peer is alive, and the count of live instances.
+    fn update_all_liveness(&mut self, now: Time) {
         self.live = 1;
         for peer in self.peers.values_mut() {
             peer.alive = peer.is_alive(now, self.silence);
@@ -360,8 +367,8 @@
         }
     }
 
-    /// Returns which peers were found or lost since the last call.
-    fn changes(&mut self) -> Vec<Action> {
+    /// Returns the peers found or lost since the last call.
+    fn take_changes(&mut self) -> Vec<Action> {
         let changed = |peer: &&mut Peer| peer.reported_alive != peer.alive;
         let peers = self.peers.values_mut().filter(changed);
         peers
--- a/src/core/membership/peer.rs
+++ b/src/core/membership/peer.rs
@@ -1,4 +1,4 @@
-//! What is known of one other instance.
+//! The state of one peer: another instance.
 
 use sha2::Digest as _;
 
@@ -8,64 +8,65 @@
     table::wire::State,
 };
 
-/// Observations that go along with each heartbeat, all peers in turn.
-pub(super) const OBSERVATIONS: usize = 4;
+/// The observations in each heartbeat, besides those of new incarnations; the peers take turns.
+pub(super) const MAX_OBSERVATIONS: usize = 4;
 
-/// The most observations of new incarnations that go along besides.
-pub(super) const NEW_OBSERVATIONS: usize = 8;
+/// The most observations of new incarnations in each heartbeat.
+pub(super) const MAX_NEW_OBSERVATIONS: usize = 8;
 
-/// How often a new incarnation is passed on ahead of its turn, so that it spreads faster than its turn comes.
-pub(super) const RETRANSMISSIONS: u8 = 4;
+/// How many heartbeats carry a new incarnation ahead of the peer's turn, so that restarts spread fast.
+pub(super) const NEW_RETRANSMISSIONS: u8 = 4;
 
-/// The age past which an observation is not passed on.
-const OLDEST: Span = Span::seconds(120);
+/// The age from which on an observation is not sent any more.
+const MAX_OBSERVATION_AGE: Span = Span::seconds(120);
 
-/// How many spans of silence a failed call counts against a peer that is not called any more.
-const FAILURE_EXPIRY: u64 = 15;
+/// A failed call counts against a peer for this many times the silence timeout.
+const FAILURE_SILENCES: u64 = 15;
 
-/// After so many spans of silence, a peer that nobody has seen any more counts as gone, whatever the list says.
+/// A listed peer that nobody has seen for this many times the silence timeout counts as dead.
 ///
-/// Observations grow old on their way over several instances: in a trial with 320 of them to about two minutes.
-const STALE: u64 = 90;
+/// It has to exceed [`MAX_OBSERVATION_AGE`], since observations age on their way over several instances.
+const STALE_SILENCES: u64 = 90;
 
-/// Another instance.
+/// Another instance, as this one sees it.
 #[derive(Debug, Clone)]
 pub struct Peer {
     /// Its name.
     pub name: Instance,
     /// Its data centre.
     pub centre: Centre,
-    /// Where it listens to its peers; empty while it was never listed.
+    /// The address on which it listens to its peers; empty if it was never listed.
     pub address: String,
-    /// The configuration that it applied when it was last heard.
+    /// The revision of the configuration in its last heartbeat.
     pub revision: Revision,
-    /// Its incarnation, as far as known.
+    /// Its incarnation, once known.
     pub incarnation: Option<Incarnation>,
     /// Whether it counts as alive.
     pub alive: bool,
+    /// Its state on the platform's list, if it is listed.
     pub(super) listed: Option<State>,
     /// When it was first listed or heard.
-    pub(super) known: Time,
-    /// When this instance heard it.
+    pub(super) first_known: Time,
+    /// When this instance last got a heartbeat of it.
     pub(super) heard: Option<Time>,
-    /// When anybody heard it, as far as known.
+    /// When any instance last got a heartbeat of it, as far as known.
     pub(super) seen: Option<Time>,
-    /// When the last heartbeat went to it.
+    /// When the last heartbeat was sent to it.
     pub(super) heartbeat_sent: Option<Time>,
-    /// When the first heartbeat went to it since it was heard.
-    pub(super) unanswered: Option<Time>,
-    /// When a call to it failed, unless it was heard since.
-    pub(super) lost: Option<Time>,
-    /// How often its incarnation is still to be passed on ahead of its turn.
+    /// When the first heartbeat was sent to it since it was last heard.
+    pub(super) unanswered_since: Option<Time>,
+    /// When a call to it last failed, unless it was heard since.
+    pub(super) call_failed: Option<Time>,
+    /// How many more heartbeats carry its incarnation ahead of its turn.
     pub(super) retransmissions: u8,
-    /// Whether it was alive when a change was last reported.
+    /// Whether it was alive in the last report.
     pub(super) reported_alive: bool,
-    /// Its rank among those of its data centre that this instance may choose.
+    /// Its rank among the peers of its data centre; different for each observing instance.
     pub(super) rank: [u8; 32],
 }
 
 impl Peer {
-    pub(super) fn new(now: Time, name: &Instance, centre: &Centre, me: &Instance) -> Self {
+    pub(super) fn new(now: Time, name: &Instance, centre: &Centre, own_name: &Instance) -> Self {
         Self {
             name: name.clone(),
             centre: centre.clone(),
@@ -74,62 +75,63 @@
             incarnation: None,
             alive: false,
             listed: None,
-            known: now,
+            first_known: now,
             heard: None,
             seen: None,
             heartbeat_sent: None,
-            unanswered: None,
-            lost: None,
+            unanswered_since: None,
+            call_failed: None,
             retransmissions: 0,
             reported_alive: false,
-            rank: rank(me.as_str(), name),
+            rank: rank(own_name.as_str(), name),
         }
     }
 
-    /// Notes that a heartbeat goes to it.
-    pub(super) fn note_heartbeat(&mut self, now: Time) {
+    /// Records that a heartbeat is sent to it.
+    pub(super) fn on_heartbeat_sent(&mut self, now: Time) {
         self.heartbeat_sent = Some(now);
-        self.unanswered.get_or_insert(now);
+        self.unanswered_since.get_or_insert(now);
     }
 
-    /// Forgets heartbeats without an answer and failed calls.
+    /// Clears unanswered heartbeats and the failed call.
     pub(super) fn clear_failures(&mut self) {
-        self.unanswered = None;
-        self.lost = None;
+        self.unanswered_since = None;
+        self.call_failed = None;
     }
 
-    /// Tells whether it counts as alive.
+    /// Returns whether it counts as alive.
     ///
-    /// One that is called counts until it has been silent for long enough or a call failed. One that is not called
-    /// counts as the list says, unless it was seen by others and is not any more.
+    /// A peer that gets heartbeats is dead once one has been unanswered for the silence timeout, or a call failed.
+    /// Otherwise a listed peer is alive until nobody has seen it for [`STALE_SILENCES`], and a peer that is not listed
+    /// until nobody has seen it for the silence timeout.
     pub(super) fn is_alive(&self, now: Time, silence: Span) -> bool {
-        let expiry = silence.times(FAILURE_EXPIRY);
+        let expiry = silence.times(FAILURE_SILENCES);
         let recent = |time: &Time| now.since(*time) < expiry;
-        if self.lost.as_ref().is_some_and(recent) {
+        if self.call_failed.as_ref().is_some_and(recent) {
             return false;
         }
-        let called_lately = self.heartbeat_sent.as_ref().is_some_and(recent);
+        let recently_called = self.heartbeat_sent.as_ref().is_some_and(recent);
         let silent = |since: Time| now.since(since) >= silence;
-        if called_lately && self.unanswered.is_some_and(silent) {
+        if recently_called && self.unanswered_since.is_some_and(silent) {
             return false;
         }
-        let stale = |seen: Time| now.since(seen) >= silence.times(STALE);
+        let stale = |seen: Time| now.since(seen) >= silence.times(STALE_SILENCES);
         match self.listed {
-            Some(_) => !stale(self.seen.unwrap_or(self.known)),
+            Some(_) => !stale(self.seen.unwrap_or(self.first_known)),
             None => self.seen.is_some_and(|seen| !silent(seen)),
         }
     }
 
-    /// Returns the last contact between it and this instance.
+    /// Returns when this instance last sent it a heartbeat or heard it.
     pub(super) fn last_contact(&self) -> Option<Time> {
         self.heartbeat_sent.max(self.heard)
     }
 
-    /// Returns the observation that can be passed on of it.
+    /// Returns the observation of it to send to others, if it is recent enough.
     pub(super) fn observation(&self, now: Time) -> Option<Observation> {
         let age = now.since(self.seen?);
         let incarnation = self.incarnation?;
-        (age < OLDEST).then(|| Observation {
+        (age < MAX_OBSERVATION_AGE).then(|| Observation {
             name: self.name.clone(),
             incarnation,
             age,
@@ -137,7 +139,7 @@
     }
 }
 
-/// Ranks an instance for a topic; all instances and versions rank alike.
+/// Returns the rank of an instance for a topic by rendezvous hashing; the same in all instances and versions.
 fn rank(topic: &str, name: &Instance) -> [u8; 32] {
     let hash = sha2::Sha256::new();
     let hash = hash.chain_update(topic).chain_update([0]);
--- a/src/core/membership/target.rs
+++ b/src/core/membership/target.rs
@@ -1,4 +1,4 @@
-//! The choice of the peers that get the next heartbeats.
+//! Chooses the peers that get the next heartbeats.
 
 use std::collections::BTreeMap;
 
@@ -8,20 +8,21 @@
 };
 use crate::prelude::*;
 
-/// The most heartbeats in one period, however many peers there are.
-const HEARTBEATS: usize = 6;
+/// The most heartbeats in one period; it bounds the traffic at any number of instances.
+const MAX_HEARTBEATS: usize = 6;
 
-/// The least of them that go to the own data centre, while it has so many peers.
-const OWN_CENTRE: usize = 4;
+/// The heartbeats in one period that are reserved for the own data centre, if it has that many peers.
+const MIN_OWN_CENTRE: usize = 4;
 
-/// How many peers of each other data centre are chosen.
-const CHOSEN: usize = 2;
+/// How many peers of each other data centre get heartbeats.
+const PEERS_PER_CENTRE: usize = 2;
 
-/// By how much the period grows once there are more peers than heartbeats.
-pub(super) const STRETCH: u64 = 2;
+/// The factor by which the period grows when there are more peers than heartbeats.
+pub(super) const CROWDED_FACTOR: u64 = 2;
 
 impl Membership {
-    /// Tells whether some peers get no heartbeat from here, since another data centre has more than are chosen there.
+    /// Returns whether some peers never get a heartbeat from this instance, since another data centre has more than
+    /// [`PEERS_PER_CENTRE`].
     pub(super) fn has_uncalled(&self) -> bool {
         let mut counts = BTreeMap::<&Centre, usize>::new();
         for peer in self
@@ -31,49 +32,51 @@
         {
             *counts.entry(&peer.centre).or_default() += 1;
         }
-        counts.values().any(|count| *count > CHOSEN)
+        counts.values().any(|count| *count > PEERS_PER_CENTRE)
     }
 
-    /// Returns who gets a heartbeat now, and whether there are more who should than can.
+    /// Returns the peers that get a heartbeat now, and whether there are more candidates than [`MAX_HEARTBEATS`].
     ///
-    /// All of the own data centre and two of each other one are called in turn, those first with whom there has been
-    /// no contact for longest. A call goes both ways, so a peer that called lately is left out.
+    /// Candidates are all peers of the own data centre and [`PEERS_PER_CENTRE`] of each other one; those without contact
+    /// for longest come first. A heartbeat is answered by one, so a peer that sent one recently is left out.
     pub(super) fn targets(&self, now: Time) -> (Vec<Instance>, bool) {
-        let (mut own, mut other) = (Vec::new(), BTreeMap::<&Centre, Vec<&Peer>>::new());
+        let (mut own, mut others) = (Vec::new(), BTreeMap::<&Centre, Vec<&Peer>>::new());
         for peer in self.peers.values().filter(|peer| !peer.address.is_empty()) {
             if peer.centre == self.centre {
                 own.push(peer);
             } else {
-                other.entry(&peer.centre).or_default().push(peer);
+                others.entry(&peer.centre).or_default().push(peer);
             }
         }
-        let mut other: Vec<&Peer> = other.into_values().flat_map(chosen).collect();
-        let crowded = own.len() + other.len() > HEARTBEATS;
-        let due = |peer: &&Peer| {
-            let lately = |contact| now.since(contact).0 < self.heartbeat.0 / 2;
-            !peer.last_contact().is_some_and(lately)
+        let mut others: Vec<&Peer> = others.into_values().flat_map(choose_peers).collect();
+        let crowded = own.len() + others.len() > MAX_HEARTBEATS;
+        let is_due = |peer: &&Peer| {
+            let recent = |contact| now.since(contact).0 < self.heartbeat.0 / 2;
+            !peer.last_contact().is_some_and(recent)
         };
-        own.retain(due);
-        other.retain(due);
-        let first = OWN_CENTRE.max(HEARTBEATS.saturating_sub(other.len()));
-        let mut targets = least_recent(own, first);
-        targets.extend(least_recent(
-            other,
-            HEARTBEATS - targets.len().min(HEARTBEATS),
+        own.retain(is_due);
+        others.retain(is_due);
+        let own_count = MIN_OWN_CENTRE.max(MAX_HEARTBEATS.saturating_sub(others.len()));
+        let mut targets = take_least_recent(own, own_count);
+        targets.extend(take_least_recent(
+            others,
+            MAX_HEARTBEATS - targets.len().min(MAX_HEARTBEATS),
         ));
         (targets, crowded)
     }
 }
 
-/// Chooses among the peers of a data centre: different instances choose different ones, each keeps to its choice
-/// while they are there.
-fn chosen(mut peers: Vec<&Peer>) -> Vec<&Peer> {
+/// Chooses the peers of another data centre that get heartbeats.
+///
+/// The rank makes different instances choose different peers, and each keep its choice while the peers are alive.
+fn choose_peers(mut peers: Vec<&Peer>) -> Vec<&Peer> {
     peers.sort_by_key(|peer| (!peer.alive, peer.rank));
-    peers.truncate(CHOSEN);
+    peers.truncate(PEERS_PER_CENTRE);
     peers
 }
 
-fn least_recent(mut peers: Vec<&Peer>, count: usize) -> Vec<Instance> {
+/// Returns up to `count` peers, those without contact for longest first.
+fn take_least_recent(mut peers: Vec<&Peer>, count: usize) -> Vec<Instance> {
     peers.sort_by_key(|peer| peer.last_contact());
     peers.truncate(count);
     peers.into_iter().map(|peer| peer.name.clone()).collect()
--- a/src/core/peering.rs
+++ b/src/core/peering.rs
@@ -20,7 +20,7 @@
 };
 
 /// How often the configuration gets the state of the other instances.
-const PEERS: Span = Span::millis(200);
+const PEERS_PERIOD: Span = Span::millis(200);
 
 /// A call that has not returned.
 #[derive(Debug)]
@@ -71,7 +71,7 @@
                 self.outputs
                     .push(Output::Return(caller, Return::Heartbeat(own)));
             }
-            Call::Config(call) => self.configure(config::Input::Called(caller, call)),
+            Call::Config(call) => self.step_config(config::Input::Called(caller, call)),
         }
     }
 
@@ -96,7 +96,7 @@
                     Return::Config(result) => Ok(result),
                     _ => Err(()),
                 };
-                self.configure(config::Input::Returned(id, result));
+                self.step_config(config::Input::Returned(id, result));
             }
         }
     }
@@ -134,10 +134,10 @@
                 }
             }
         }
-        if self.now.since(self.peers_reported) < PEERS {
+        if self.now.since(self.peers_reported_at) < PEERS_PERIOD {
             return;
         }
-        self.peers_reported = self.now;
+        self.peers_reported_at = self.now;
         let peers = self.membership.peers().map(|peer| config::Peer {
             name: peer.name.clone(),
             centre: peer.centre.clone(),
@@ -146,7 +146,7 @@
             alive: peer.alive,
         });
         let peers = peers.collect();
-        self.configure(config::Input::Peers(peers));
+        self.step_config(config::Input::Peers(peers));
     }
 
     fn send_heartbeat(&mut self, to: Instance, address: String) {
--- a/src/core/store.rs
+++ b/src/core/store.rs
@@ -91,7 +91,7 @@
 
     fn start_command_for(&mut self, purpose: Purpose, operate: Command) {
         let ticket = self.next_serial();
-        self.tickets.insert(ticket, purpose);
+        self.commands.insert(ticket, purpose);
         self.outputs
             .push(Output::Command(Ticket::Claim(ticket), operate));
     }
@@ -159,13 +159,13 @@
 
     /// Tells whether outcomes are still being recorded.
     pub(super) fn is_recording(&self) -> bool {
-        self.tickets
+        self.commands
             .values()
             .any(|purpose| !matches!(purpose, Purpose::Job(_)))
     }
 
     pub(super) fn on_completion(&mut self, ticket: u64, result: message::Completion) {
-        let Some(purpose) = self.tickets.remove(&ticket) else {
+        let Some(purpose) = self.commands.remove(&ticket) else {
             return;
         };
         self.track_store(&result);
