--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -1,4 +1,4 @@
-//! What goes into the core and what comes out of it.
+//! The inputs and outputs of the core, and what they carry.
 
 use std::sync::Arc;
 
@@ -28,20 +28,20 @@
     },
 };
 
-/// Names a request of a caller within this instance, until it is answered.
+/// Identifies a request of a caller or an operator within this instance, until it is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Request(pub u64);
 
-/// Names an operation on the platform until it ends, and which part of the core asked for it.
+/// Identifies a command to the platform until it completes, and the part of the core that sent it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Ticket {
-    /// Asked for by the claims.
+    /// Sent for a claim.
     Claim(u64),
-    /// Asked for by the configuration.
+    /// Sent by the configuration.
     Config(u64),
 }
 
-/// Names a call to a peer until it returns, and which part of the core made it.
+/// Identifies a call to a peer until it returns, and the part of the core that made it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum CallId {
     /// A forwarded submission.
@@ -52,70 +52,70 @@
     Config(u64),
 }
 
-/// Names a call from a peer until it is returned.
+/// Identifies a call from a peer until it is returned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct IncomingCall(pub u64);
 
-/// An operation on the platform.
+/// A command to the platform: to its table or its object store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// A group of writes; groups that wait are committed together.
+    /// Commits a group of writes to the table; waiting groups share one transaction.
     Commit(Group),
-    /// A group of writes that may wait for the next commit, or a moment.
+    /// Commits a group of writes that may wait for the next commit, or a short delay.
     CommitLater(Group),
-    /// Reads a row.
+    /// Reads the row at a key.
     Read(String),
     /// Reads rows in the order of their keys.
     Scan {
-        /// What the keys begin with.
+        /// The prefix of the keys.
         prefix: String,
-        /// The key after which to start, itself left out.
+        /// The key after which the scan starts.
         after: String,
-        /// The most rows to give.
+        /// The most rows to return.
         limit: u32,
     },
-    /// Puts an object.
+    /// Writes an object.
     Put {
-        /// Its name.
+        /// The object's name.
         name: String,
-        /// Its bytes.
+        /// The object's content.
         bytes: Arc<[u8]>,
     },
-    /// Gets an object.
+    /// Reads the object of this name.
     Get(String),
 }
 
-/// What an operation on the platform gave.
+/// How a command to the platform completed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Completion {
-    /// A group was decided.
+    /// The group was applied, or its conditions failed.
     Verdict(Verdict),
-    /// A row was read.
+    /// The row that was read; none if there is none.
     Row(Option<Row>),
-    /// Rows were read.
+    /// The rows that were read.
     Rows(Vec<Row>),
-    /// An object was put.
+    /// The object was written.
     Stored,
-    /// An object was read.
+    /// The object that was read; none if there is none.
     Object(Option<Arc<[u8]>>),
-    /// Nothing took effect: the request never left, or the platform refused it.
+    /// Nothing took effect: the request wasn't sent, or the platform refused it.
     Refused,
-    /// The request left and no answer came: it may take effect, even later.
+    /// The request was sent and no reply came: it may have taken effect, or may yet.
     Unknown,
 }
 
-/// An instance as some peer observed it: its incarnation, and how long ago it was heard.
+/// What a heartbeat reports of a third instance: its incarnation, and how long ago it was heard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
     /// The instance.
     pub name: Instance,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// How long ago it was heard.
+    /// The time since any instance heard it.
     pub age: Span,
 }
 
-/// Tells that an instance is alive, and where its configuration stands.
+/// Shows that an instance is alive, and which configuration it applies.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Heartbeat {
     /// Its name.
@@ -124,24 +124,24 @@
     pub centre: Centre,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// The configuration that it applies.
+    /// The revision of the configuration that it applies.
     pub revision: Revision,
     /// Whether it is draining.
     pub draining: bool,
-    /// What it observed of others, and was passed on to it.
+    /// Its observations of other instances, and those passed on to it.
     pub observations: Vec<Observation>,
 }
 
-/// A submission on its way to the instance that owns its key.
+/// A submission that is forwarded to the instance that owns its key.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Forward {
     /// The incarnation that owns the key; any other returns [`Return::StaleIncarnation`].
     pub owner: Incarnation,
     /// The submission, with its key.
     pub submission: Submission,
-    /// The digest of the caller's body.
+    /// The digest of the body that the caller sent.
     pub digest: Digest,
-    /// The time that is left.
+    /// The time that is left until the deadline.
     #[serde(rename = "left_ms")]
     pub left: Span,
 }
@@ -149,7 +149,7 @@
 /// A call to a peer.
 #[derive(Debug, Clone)]
 pub enum Call {
-    /// Runs a submission, joins it or gives its kept answer.
+    /// Asks for a submission's answer: the peer runs the job, joins its run or returns the kept answer.
     Submit(Forward),
     /// A heartbeat.
     Heartbeat(Heartbeat),
@@ -157,53 +157,53 @@
     Config(call::Call),
 }
 
-/// What a call gave.
+/// What a call to a peer returned.
 #[derive(Debug, Clone)]
 pub enum Return {
     /// The answer to a submission.
     Answer(Answer),
-    /// The peer runs under another incarnation than the one that was called.
+    /// The peer runs under another incarnation than [`Forward::owner`].
     StaleIncarnation,
     /// The peer's own heartbeat.
     Heartbeat(Heartbeat),
     /// The return of a call of the configuration.
     Config(call::Return),
-    /// The call never left.
+    /// The call wasn't sent.
     Refused,
-    /// The call may have arrived; no return came.
+    /// The call was sent and no return came; the peer may have handled it.
     Lost,
 }
 
-/// What comes of a start at an endpoint.
+/// How a start of a task at an endpoint ended.
 #[derive(Debug, Clone)]
 pub enum End {
-    /// The endpoint replied with the end.
+    /// The endpoint replied.
     Replied(Reply),
-    /// No byte of it left, since the endpoint can't be reached.
+    /// Nothing was sent, since the endpoint can't be reached.
     Unsent,
-    /// No byte of it left, since this instance had no room or no time for it.
+    /// Nothing was sent, since this instance had no free connection or no time left.
     Withheld,
-    /// It may have arrived; the connection broke before a reply came.
+    /// The connection broke before a reply came; the endpoint may have got the start.
     Broken,
 }
 
-/// Something that is counted.
+/// A sample for the metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sample {
     /// A job was answered.
     Answered {
-        /// What became of it.
+        /// The job's outcome.
         outcome: Outcome,
-        /// Why.
+        /// The reason of the outcome.
         reason: Reason,
-        /// Its class.
+        /// The job's class.
         class: Class,
     },
     /// A job was completed.
     Completed {
-        /// The time from its arrival to its answer.
+        /// The time from the job's arrival to its answer.
         took: Span,
-        /// The run time of its longest task.
+        /// The run time of the job's longest task.
         ideal: Span,
     },
     /// A task was started.
@@ -214,7 +214,7 @@
     Hedged,
 }
 
-/// What happens.
+/// An event that the core handles.
 #[derive(Debug, Clone)]
 pub enum Input {
     /// A caller submits a job.
@@ -223,14 +223,14 @@
         request: Request,
         /// The job.
         submission: Submission,
-        /// The digest of its body.
+        /// The digest of the request body.
         digest: Digest,
-        /// The size of its body in bytes.
+        /// The size of the request body in bytes.
         bytes: usize,
-        /// Whether the caller says that it never sent this key before.
+        /// Whether the caller states that it never sent this key before.
         first: bool,
     },
-    /// A caller asks what became of a job.
+    /// A caller asks for the state of a job.
     Find {
         /// The request.
         request: Request,
@@ -248,20 +248,20 @@
         /// The job's key.
         key: Key,
     },
-    /// A caller's connection is gone.
+    /// A caller closed its connection before it was answered.
     Hangup(Request),
-    /// An operator asks something.
+    /// An operator sends a request.
     Ask {
         /// The request.
         request: Request,
-        /// What is asked.
+        /// What the operator asks for.
         ask: Ask,
     },
-    /// An operation on the platform ended.
+    /// A command to the platform completed.
     Completed(Ticket, Completion),
-    /// A start ended, one way or the other.
+    /// A start at an endpoint ended.
     Ended(Attempt, End),
-    /// A look at an attempt, or a stop, gave this; none where the endpoint can't be reached.
+    /// An endpoint reported the status of an attempt after a look or a stop; none if it can't be reached.
     Looked(Attempt, Option<Status>),
     /// A peer calls.
     Called(IncomingCall, Call),
@@ -269,56 +269,58 @@
     Returned(CallId, Return),
     /// The platform's list was read.
     Listed(Arc<List>),
-    /// Time has passed: the regular duties are due.
+    /// The periodic work is due.
     Tick,
     /// A timer is due.
     Wake,
-    /// The instance is told to end.
+    /// The instance is to stop: it takes no new jobs and finishes those in progress.
     Drain,
-    /// The drain is cut short: what is left is answered now.
+    /// The drain ends early: the remaining jobs are answered now.
     Interrupt,
 }
 
-/// What is to be done.
+/// An action for the parts that do I/O.
 #[derive(Debug, Clone)]
 pub enum Output {
     /// Answers a caller.
     Answer(Request, Answer),
     /// Answers an operator.
     Report(Request, Report),
-    /// Operates on the platform.
+    /// Sends a command to the platform.
     Command(Ticket, Command),
     /// Starts a task at an endpoint.
     Start {
         /// The endpoint.
         endpoint: Endpoint,
-        /// Where it listens.
+        /// The address on which it listens.
         address: String,
-        /// What it gets.
+        /// The request to start the task.
         start: Start,
-        /// After which it must not leave any more.
+        /// The time after which the start must not be sent any more.
         expires: Time,
     },
-    /// Gives up the connection on which an attempt waits for its end; the end is known otherwise.
+    /// Closes the connection on which an attempt's reply is awaited; its end is known or no longer needed.
     Abandon(Attempt),
-    /// Looks at an attempt over a new connection; a stop also bars it where it never started.
+    /// Asks an endpoint for the status of an attempt over a new connection.
+    ///
+    /// With `stop`, the endpoint also stops the attempt, and never starts it if it hasn't yet.
     Look {
         /// The endpoint.
         endpoint: Endpoint,
-        /// Where it listens.
+        /// The address on which it listens.
         address: String,
         /// The attempt.
         attempt: Attempt,
-        /// Whether it is to be stopped.
+        /// Whether the attempt is to be stopped.
         stop: bool,
     },
     /// Calls a peer.
     Call {
         /// The peer.
         to: Instance,
-        /// Where it listens.
+        /// The address on which it listens.
         address: String,
-        /// Names the call when it returns.
+        /// Identifies the call when it returns.
         id: CallId,
         /// The call.
         call: Call,
@@ -327,12 +329,12 @@
     },
     /// Returns a call.
     Return(IncomingCall, Return),
-    /// How many live instances share the platform's budget of writes.
+    /// Sets the number of live instances that share the platform's write rate.
     Share(usize),
-    /// Counts something for the metrics.
+    /// Records a sample for the metrics.
     Measure(Sample),
     /// Writes an event to the log.
     Event(Event),
-    /// Everything is answered and flushed: the instance can end.
+    /// The drain is complete: all jobs are answered and all outcomes recorded, so the instance can exit.
     Drained,
 }
--- a/src/core/peering.rs
+++ b/src/core/peering.rs
@@ -1,4 +1,4 @@
-//! Calls between instances, and the heartbeats among them.
+//! Calls between instances: forwarded submissions, heartbeats and calls of the configuration.
 
 use super::{
     config, membership,
@@ -19,25 +19,26 @@
     prelude::*, //
 };
 
-/// How often the configuration gets the state of the other instances.
-const PEERS_PERIOD: Span = Span::millis(200);
+/// The shortest time between two reports of the peers to the configuration.
+const PEER_REPORT_PERIOD: Span = Span::millis(200);
 
-/// A call that has not returned.
+/// An outgoing call that hasn't returned.
 #[derive(Debug)]
 pub(super) struct Pending {
     to: Instance,
-    /// The job that waits for it; none for a heartbeat.
+    /// The job that waits for the return; none for a heartbeat.
     job: Option<u64>,
 }
 
 impl Pending {
+    /// Creates the entry of a submission that is forwarded to `to`.
     pub(super) fn for_job(to: Instance, job: u64) -> Self {
         Self { to, job: Some(job) }
     }
 }
 
 impl Core {
-    /// Calls a peer, or tells at once that it isn't known.
+    /// Calls a peer; the call is refused at once if the peer's address isn't known.
     pub(super) fn call(&mut self, to: Instance, id: CallId, call: Call, wait: Option<Span>) {
         let Some(address) = self.membership.address(&to) else {
             return self.on_return(id, Return::Refused);
@@ -51,6 +52,10 @@
         });
     }
 
+    /// Handles a call from a peer.
+    ///
+    /// A submission for another incarnation is sent back: the owner of its key has ended, and this run of the
+    /// instance doesn't know the key.
     pub(super) fn on_call(&mut self, caller: IncomingCall, call: Call) {
         match call {
             Call::Submit(forward) if forward.owner != self.identity.incarnation => {
@@ -66,15 +71,16 @@
                 left: Some(forward.left),
             }),
             Call::Heartbeat(heartbeat) => {
-                self.heard(&heartbeat);
-                let own = self.heartbeat();
+                self.on_heartbeat(&heartbeat);
+                let reply = self.make_heartbeat();
                 self.outputs
-                    .push(Output::Return(caller, Return::Heartbeat(own)));
+                    .push(Output::Return(caller, Return::Heartbeat(reply)));
             }
             Call::Config(call) => self.step_config(config::Input::Called(caller, call)),
         }
     }
 
+    /// Handles the end of a call to a peer, also where no return came.
     pub(super) fn on_return(&mut self, id: CallId, result: Return) {
         match id {
             CallId::Submit(id) => {
@@ -86,7 +92,7 @@
             CallId::Heartbeat(id) => {
                 let pending = self.calls.remove(&id);
                 match (result, pending) {
-                    (Return::Heartbeat(heartbeat), _) => self.heard(&heartbeat),
+                    (Return::Heartbeat(heartbeat), _) => self.on_heartbeat(&heartbeat),
                     (_, Some(pending)) => self.membership.on_call_failed(self.now, &pending.to),
                     (_, None) => {}
                 }
@@ -101,7 +107,7 @@
         }
     }
 
-    fn heartbeat(&mut self) -> Heartbeat {
+    fn make_heartbeat(&mut self) -> Heartbeat {
         Heartbeat {
             observations: self.membership.next_observations(self.now),
             name: self.identity.name.clone(),
@@ -112,12 +118,13 @@
         }
     }
 
-    fn heard(&mut self, heartbeat: &Heartbeat) {
+    fn on_heartbeat(&mut self, heartbeat: &Heartbeat) {
         self.membership.on_heartbeat(self.now, heartbeat);
         self.membership
             .on_observations(self.now, &heartbeat.observations);
     }
 
+    /// Sends the heartbeats that are due, handles peers found or lost, and reports the peers to the configuration.
     pub(super) fn tick_membership(&mut self) {
         let actions = self.membership.tick(self.now);
         for action in actions {
@@ -130,11 +137,11 @@
                 membership::Action::Lost(name) => {
                     self.log_event(Code::PeerLost, name.to_string());
                     self.update_shares();
-                    self.fail_calls(&name);
+                    self.fail_calls_to(&name);
                 }
             }
         }
-        if self.now.since(self.peers_reported_at) < PEERS_PERIOD {
+        if self.now.since(self.peers_reported_at) < PEER_REPORT_PERIOD {
             return;
         }
         self.peers_reported_at = self.now;
@@ -156,7 +163,7 @@
             job: None,
         };
         self.calls.insert(id, pending);
-        let call = Call::Heartbeat(self.heartbeat());
+        let call = Call::Heartbeat(self.make_heartbeat());
         self.outputs.push(Output::Call {
             to,
             address,
@@ -166,7 +173,7 @@
         });
     }
 
-    /// Divides what all instances share by how many there are now.
+    /// Divides shared limits by the number of live instances.
     pub(super) fn update_shares(&mut self) {
         let live = self.membership.live_count();
         let sharing = self.membership.live_count_in(&self.identity.reach);
@@ -174,11 +181,11 @@
         self.outputs.push(Output::Share(live));
     }
 
-    /// Ends the calls to a peer that is gone or stands still.
+    /// Fails the submissions that are forwarded to a lost peer.
     ///
-    /// A connection to a frozen or cut-off instance stays open and silent. Without this its forwarded
-    /// submissions would hold their callers to the deadline.
-    fn fail_calls(&mut self, peer: &Instance) {
+    /// The connection to a frozen or partitioned instance stays open. Without this, the callers would wait until their
+    /// deadline.
+    fn fail_calls_to(&mut self, peer: &Instance) {
         let mut calls: Vec<_> = self
             .calls
             .iter()
--- a/src/core/store.rs
+++ b/src/core/store.rs
@@ -1,4 +1,4 @@
-//! What the core knows of the platform's table, and the operations of claims on it.
+//! Commands to the platform's table on behalf of claims, and a circuit breaker for when it is down.
 
 use super::{
     claim,
@@ -20,54 +20,54 @@
     },
 };
 
-/// Failures in a row after which the table counts as down.
-const FAILURES: u32 = 2;
+/// The consecutive failures after which the table counts as down.
+const MAX_FAILURES: u32 = 2;
 
-/// While the table counts as down, one claim in this time is let through to try it.
-const PROBE: Span = Span::millis(500);
+/// While the table counts as down, one claim per this period is let through as a probe.
+const PROBE_PERIOD: Span = Span::millis(500);
 
-/// The longest answer that goes into a row; longer ones go to the object store.
-const LONGEST_ROW: usize = 16 << 10;
+/// The largest answer that is kept in a row; larger ones go to the object store.
+const MAX_ROW_BYTES: usize = 16 << 10;
 
-/// What an operation is for.
+/// What a command is for.
 #[derive(Debug, Clone)]
 pub(super) enum Purpose {
-    /// For a job that waits for it.
+    /// A job waits for its completion.
     Job(u64),
-    /// Records an outcome.
+    /// It records an outcome.
     Record,
-    /// Stores a long answer, whose record is written next.
+    /// It stores a large answer; this group then writes the record.
     Object(Group),
 }
 
-/// Whether the table answers.
+/// Whether the table answers, as the last commands showed.
 #[derive(Debug, Default)]
 pub(super) struct Store {
     failures: u32,
-    probed: Time,
+    last_probe: Time,
 }
 
 impl Core {
-    /// Tells whether a claim may be tried now.
+    /// Returns whether a claim may be sent to the table now, and counts it as the probe if the table is down.
     ///
-    /// A table that is down would hold every request for the whole timeout before its refusal. Once it has
-    /// failed twice in a row, requests are refused at once, and one probe in half a second finds its return.
+    /// Without this, every request would wait for the whole timeout before it is refused while the table is down.
     pub(super) fn may_try_store(&mut self) -> bool {
-        if self.store.failures < FAILURES {
+        if self.store.failures < MAX_FAILURES {
             return true;
         }
-        if self.now.since(self.store.probed) >= PROBE {
-            self.store.probed = self.now;
+        if self.now.since(self.store.last_probe) >= PROBE_PERIOD {
+            self.store.last_probe = self.now;
             return true;
         }
         false
     }
 
-    /// Tells whether the table has failed to answer so often that it counts as down.
+    /// Returns whether the table has failed to answer often enough to count as down.
     pub(super) fn is_store_down(&self) -> bool {
-        self.store.failures >= FAILURES
+        self.store.failures >= MAX_FAILURES
     }
 
+    /// Counts a failed command, or resets the failures; logs when the table goes down or comes back.
     pub(super) fn track_store(&mut self, result: &message::Completion) {
         let failed = matches!(
             result,
@@ -75,28 +75,28 @@
         );
         if failed {
             self.store.failures += 1;
-            self.store.probed = self.now;
-            if self.store.failures == FAILURES {
+            self.store.last_probe = self.now;
+            if self.store.failures == MAX_FAILURES {
                 self.log_event(Code::StoreDown, "claims are refused until it answers");
             }
-        } else if std::mem::take(&mut self.store.failures) >= FAILURES {
+        } else if std::mem::take(&mut self.store.failures) >= MAX_FAILURES {
             self.log_event(Code::StoreUp, "");
         }
     }
 
-    /// Starts an operation on behalf of a job.
-    pub(super) fn start_command(&mut self, job: u64, operate: Command) {
-        self.start_command_for(Purpose::Job(job), operate);
+    /// Starts a command on behalf of a job.
+    pub(super) fn start_command(&mut self, job: u64, command: Command) {
+        self.start_command_for(Purpose::Job(job), command);
     }
 
-    fn start_command_for(&mut self, purpose: Purpose, operate: Command) {
+    fn start_command_for(&mut self, purpose: Purpose, command: Command) {
         let ticket = self.next_serial();
         self.commands.insert(ticket, purpose);
         self.outputs
-            .push(Output::Command(Ticket::Claim(ticket), operate));
+            .push(Output::Command(Ticket::Claim(ticket), command));
     }
 
-    /// Inserts the claim of a job, if its key has none.
+    /// Inserts the claim of a job's key, on condition that the key has none.
     pub(super) fn insert_claim(
         &mut self,
         job: &stage::Job<stage::Received>,
@@ -109,21 +109,21 @@
             nonce,
             digest: job.digest,
         };
-        let place = claim::claim_row(&job.submission.team, key);
+        let row_key = claim::claim_row(&job.submission.team, key);
         let group = Group {
             conditions: vec![Condition {
-                key: place.clone(),
+                key: row_key.clone(),
                 version: 0,
             }],
             writes: vec![Write {
-                key: place,
+                key: row_key,
                 value: serde_json::to_string(&row).ok(),
             }],
         };
         self.start_command(job.number, Command::Commit(group));
     }
 
-    /// Records the outcome of a claimed job, behind the answer.
+    /// Records the outcome of a claimed job; the caller's answer doesn't wait for it.
     pub(super) fn record_outcome(
         &mut self,
         team: &Team,
@@ -131,24 +131,24 @@
         digest: Digest,
         answer: &Answer,
     ) {
-        let long = answer.bytes() > LONGEST_ROW;
+        let is_long = answer.bytes() > MAX_ROW_BYTES;
         let record = claim::Record {
             digest,
-            answer: (!long).then(|| answer.clone()),
+            answer: (!is_long).then(|| answer.clone()),
         };
-        let place = claim::outcome_row(team, key);
+        let row_key = claim::outcome_row(team, key);
         let group = Group {
             conditions: Vec::new(),
             writes: vec![Write {
-                key: place.clone(),
+                key: row_key.clone(),
                 value: serde_json::to_string(&record).ok(),
             }],
         };
-        // A short answer is in the row already; only a long one is written a second time, as an object.
-        match long.then(|| serde_json::to_vec(answer)) {
+        // The record of a large answer is written only once the object is stored, so that it never lacks its answer.
+        match is_long.then(|| serde_json::to_vec(answer)) {
             Some(Ok(bytes)) => {
                 let put = Command::Put {
-                    name: place,
+                    name: row_key,
                     bytes: bytes.into(),
                 };
                 self.start_command_for(Purpose::Object(group), put);
@@ -157,13 +157,14 @@
         }
     }
 
-    /// Tells whether outcomes are still being recorded.
+    /// Returns whether outcomes are still being recorded.
     pub(super) fn is_recording(&self) -> bool {
         self.commands
             .values()
             .any(|purpose| !matches!(purpose, Purpose::Job(_)))
     }
 
+    /// Handles the completion of a command.
     pub(super) fn on_completion(&mut self, ticket: u64, result: message::Completion) {
         let Some(purpose) = self.commands.remove(&ticket) else {
             return;
@@ -171,7 +172,7 @@
         self.track_store(&result);
         match purpose {
             Purpose::Job(job) => self.answered_by_store(job, result),
-            // A record that is lost costs a survivor's answer, never a run: the key stays claimed.
+            // A lost record loses the kept answer, but causes no second run: the key stays claimed.
             Purpose::Record => {}
             Purpose::Object(group) => {
                 if result == message::Completion::Stored {
--- a/src/core/timer.rs
+++ b/src/core/timer.rs
@@ -1,22 +1,22 @@
-//! Timers of the core, in the order in which they are due.
+//! The timers of the core, ordered by when they are due.
 
 use std::collections::BTreeMap;
 
 use super::queue::Item;
 use crate::prelude::*;
 
-/// What is to happen at a point in time. A timer whose job has ended by then does nothing.
+/// What happens when a timer is due. A timer whose job has ended does nothing.
 #[derive(Debug, Clone)]
 pub(super) enum Timer {
-    /// A job has to be answered.
+    /// A job has reached its deadline.
     Deadline(u64),
-    /// An attempt without an answer is looked up.
+    /// An endpoint is asked for the status of an attempt without a reply.
     Look(Attempt),
-    /// A task is queued again.
+    /// A task is queued for another attempt.
     Retry(Item),
-    /// A claim whose answer was lost is read back.
+    /// A claim whose commit wasn't acknowledged is read back.
     Settle(u64),
-    /// An attempt of a job that has ended is given up.
+    /// An attempt of a job that has ended is abandoned.
     Orphan(Attempt),
 }
 
@@ -27,29 +27,29 @@
     timers: BTreeMap<(Time, u64), Timer>,
 }
 
-/// Names a timer, so that it can be taken back.
+/// Identifies a timer, so that it can be cancelled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Handle(Time, u64);
 
 impl Timers {
-    /// Sets a timer.
+    /// Sets a timer and returns its handle.
     pub(super) fn set(&mut self, at: Time, timer: Timer) -> Handle {
         self.serial += 1;
         self.timers.insert((at, self.serial), timer);
         Handle(at, self.serial)
     }
 
-    /// Takes a timer back.
+    /// Cancels a timer; does nothing if it has run.
     pub(super) fn cancel(&mut self, handle: Handle) {
         self.timers.remove(&(handle.0, handle.1));
     }
 
-    /// Returns when the first one is due.
+    /// Returns when the next timer is due.
     pub(super) fn next_due(&self) -> Option<Time> {
         self.timers.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Takes the first one that is due.
+    /// Removes and returns the next timer, if it is due at `now`.
     pub(super) fn pop_due(&mut self, now: Time) -> Option<Timer> {
         if self.next_due()? > now {
             return None;
