--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -334,7 +334,7 @@
     fn subtract(&mut self, team: &Team, jobs: usize, tasks: u32, bytes: usize, work: Span) {
         self.total.subtract(jobs, tasks, bytes, work);
         let Some(share) = self.teams.get_mut(team) else {
-            debug_assert!(false, "more was released than was admitted");
+            debug_assert!(false, "released more than was admitted");
             return;
         };
         share.usage.subtract(jobs, tasks, bytes, work);
--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -1,14 +1,17 @@
-//! The configuration in force: which records apply, and how accepted changes spread.
+//! The configuration: which records are in force here, and how accepted changes reach all instances.
+//!
+//! Accepted changes are numbered by revisions in the platform's table. Each instance applies them in order, from
+//! announcements of its peers, or by catching up with the table or a peer.
 //!
 //! | part | what it does |
 //! |---|---|
-//! | [`edit`] | judges changes one by one and commits them |
-//! | [`trail`] | keeps what is to be written into the audit trail later |
+//! | [`edit`] | validates changes one by one and commits them |
+//! | [`trail`] | writes deferred entries of the audit trail |
 //! | [`sync`] | catches up with the table or a peer |
-//! | [`load`] | loads everything from the table or a peer |
+//! | [`load`] | loads all records from the table or a peer |
 //! | [`propagation`] | notifies peers of changes, and answers their calls |
-//! | [`query`] | answers the questions of operators |
-//! | [`row`] | the rows of the table |
+//! | [`query`] | answers operators' queries |
+//! | [`row`] | defines the rows of the table |
 
 pub mod ask;
 pub mod call;
@@ -70,51 +73,51 @@
     table::wire::Worker,
 };
 
-/// After which an operation or a call that never ended counts as lost.
-const LONGEST_WAIT: Span = Span::seconds(10);
-/// The most operations and calls in progress.
-const MOST_PENDING: usize = 4_096;
+/// The time after which a command or a call without an end counts as lost.
+const PENDING_TIMEOUT: Span = Span::seconds(10);
+/// The most commands and calls in progress.
+const MAX_PENDING: usize = 4_096;
 
-/// Another instance, as it was last heard.
+/// Another instance, as of its last heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
     /// Its name.
     pub name: Instance,
     /// Its data centre.
     pub centre: Centre,
-    /// Where it listens to its peers, as `IP:PORT`.
+    /// The address on which it listens to its peers, as `IP:PORT`.
     pub address: String,
-    /// The revision that it applies, as its last heartbeat reported.
+    /// The revision that it applies.
     pub revision: Revision,
     /// Whether it is alive.
     pub alive: bool,
 }
 
-/// What happens.
+/// An event that the configuration handles.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// An operator asks something.
+    /// An operator sends a request.
     Ask(Request, Ask),
-    /// An operation on the platform ended.
+    /// A command to the platform completed.
     Completed(u64, message::Completion),
     /// A peer calls.
     Called(IncomingCall, Call),
-    /// A call to a peer ended; nothing is known of it where no return came.
+    /// A call to a peer ended; an error means that no return came.
     Returned(u64, std::result::Result<Return, ()>),
-    /// The other instances, all of them.
+    /// All other instances.
     Peers(Vec<Peer>),
-    /// The workers of the platform's list, all of them.
+    /// All workers on the platform's list.
     Workers(Vec<Worker>),
-    /// Time has passed.
+    /// The periodic work is due.
     Tick,
 }
 
-/// What is to be done.
+/// An action for the core.
 #[derive(Debug, Clone)]
 pub enum Output {
     /// Answers an operator.
     Report(Request, Report),
-    /// Operates on the platform.
+    /// Sends a command to the platform.
     Command(u64, Command),
     /// Calls a peer.
     Call(Instance, u64, Call),
@@ -140,14 +143,14 @@
     sync: Sync,
     notification: Notification,
     pending: BTreeMap<u64, Pending>,
-    next: u64,
+    last_ticket: u64,
     now: Time,
     stats: Stats,
     outputs: Vec<Output>,
 }
 
 impl Config {
-    /// Makes the configuration of an instance that knows nothing yet; the seed spreads its polls over time.
+    /// Creates the configuration of an instance that has loaded nothing yet; `seed` spreads the polls over time.
     pub fn new(name: Instance, centre: Centre, poll: Span, seed: u64) -> Self {
         Self {
             name,
@@ -161,14 +164,14 @@
             sync: Sync::new(Span(seed % poll.0.max(1))),
             notification: Notification::default(),
             pending: BTreeMap::new(),
-            next: 0,
+            last_ticket: 0,
             now: Time::default(),
             stats: Stats::default(),
             outputs: Vec::new(),
         }
     }
 
-    /// Tells whether there is a configuration, from the table or from a peer.
+    /// Returns whether a configuration was loaded, from the table or from a peer.
     pub fn is_ready(&self) -> bool {
         self.applied.is_ready()
     }
@@ -182,7 +185,7 @@
     ///
     /// # Errors
     ///
-    /// Tells that there is no such service, or that one of its records has a schema that this version doesn't know.
+    /// Returns an error if there is no such service, or one of its records has a schema that this version doesn't know.
     pub fn route(&self, service: &Service) -> std::result::Result<Arc<Route>, Missing> {
         self.applied.route(service)
     }
@@ -192,12 +195,12 @@
         self.applied.set()
     }
 
-    /// Returns what the configuration has cost.
+    /// Returns counts of the configuration's commands and calls.
     pub fn stats(&self) -> Stats {
         self.stats
     }
 
-    /// Takes in what happened, and returns what is to be done.
+    /// Handles one input and returns the outputs that it causes.
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Output> {
         self.now = now;
         let before = self.revision();
@@ -213,10 +216,10 @@
             }
             Input::Tick => self.expire(),
         }
-        self.proceed_sync();
-        self.proceed_edits();
-        self.proceed_trail();
-        self.notify();
+        self.advance_sync();
+        self.advance_edits();
+        self.advance_trail();
+        self.notify_peers();
         if self.revision() != before {
             let revision = self.revision();
             self.log_event(Code::ChangeApplied, format!("revision {revision}"));
@@ -231,7 +234,7 @@
         self.update_centres();
         let alive = self.peers.values().filter(|peer| peer.alive);
         if let Some(highest) = alive.map(|peer| peer.revision).max() {
-            self.aim(highest);
+            self.raise_target(highest);
         }
     }
 
@@ -251,21 +254,22 @@
         self.outputs.push(Output::Report(request, report));
     }
 
-    /// Takes a ticket, or none where too much is in progress.
-    fn ticket(&mut self, purpose: Purpose) -> Option<u64> {
-        if self.pending.len() >= MOST_PENDING {
+    /// Opens a ticket for a command or a call; returns none if [`MAX_PENDING`] are in progress.
+    fn open_ticket(&mut self, purpose: Purpose) -> Option<u64> {
+        if self.pending.len() >= MAX_PENDING {
             return None;
         }
-        self.next += 1;
-        let until = self.now + LONGEST_WAIT;
-        self.pending.insert(self.next, Pending { purpose, until });
-        Some(self.next)
+        self.last_ticket += 1;
+        let expires = self.now + PENDING_TIMEOUT;
+        self.pending
+            .insert(self.last_ticket, Pending { purpose, expires });
+        Some(self.last_ticket)
     }
 
-    /// Operates on the platform; returns no ticket where too much is in progress.
-    fn operate(&mut self, purpose: Purpose, operate: Command) -> Option<u64> {
-        let ticket = self.ticket(purpose)?;
-        match &operate {
+    /// Sends a command to the platform; returns its ticket, or none if [`MAX_PENDING`] are in progress.
+    fn start_command(&mut self, purpose: Purpose, command: Command) -> Option<u64> {
+        let ticket = self.open_ticket(purpose)?;
+        match &command {
             Command::Commit(group) => {
                 self.stats.commits += 1;
                 self.stats.writes += group.writes.len() as u64;
@@ -273,13 +277,13 @@
             Command::Scan { .. } => self.stats.scans += 1,
             _ => self.stats.reads += 1,
         }
-        self.outputs.push(Output::Command(ticket, operate));
+        self.outputs.push(Output::Command(ticket, command));
         Some(ticket)
     }
 
-    /// Calls a peer; returns no ticket where too much is in progress.
-    fn call(&mut self, purpose: Purpose, to: Instance, call: Call) -> Option<u64> {
-        let ticket = self.ticket(purpose)?;
+    /// Calls a peer; returns the ticket, or none if [`MAX_PENDING`] are in progress.
+    fn start_call(&mut self, purpose: Purpose, to: Instance, call: Call) -> Option<u64> {
+        let ticket = self.open_ticket(purpose)?;
         match call {
             Call::Announce(_) => self.stats.announces += 1,
             Call::Fetch { .. } => self.stats.fetches += 1,
@@ -290,16 +294,16 @@
     }
 
     fn on_completion(&mut self, ticket: u64, result: message::Completion) {
-        // A ticket that expired is not there any more: what comes late is not acted on.
+        // The ticket of a command that timed out is gone, so its late completion is ignored.
         let Some(pending) = self.pending.remove(&ticket) else {
             return;
         };
         match pending.purpose {
-            Purpose::Edit => self.edited(ticket, result),
-            Purpose::Trail => self.trailed(result),
-            Purpose::Audit(request, page) => self.audited(request, &page, result),
-            Purpose::Poll => self.polled(result),
-            Purpose::Sync => self.synced(result),
+            Purpose::Edit => self.on_edit_completion(ticket, result),
+            Purpose::Trail => self.on_trail_completion(result),
+            Purpose::Audit(request, page) => self.on_audit_completion(request, &page, result),
+            Purpose::Poll => self.on_poll_completion(result),
+            Purpose::Sync => self.on_sync_completion(result),
             Purpose::Announce(_) | Purpose::Peer => {}
         }
     }
@@ -309,21 +313,21 @@
             return;
         };
         match pending.purpose {
-            Purpose::Announce(delivery) => self.announced(delivery, result),
-            Purpose::Peer => self.fetched(result),
+            Purpose::Announce(delivery) => self.on_announce_return(delivery, result),
+            Purpose::Peer => self.on_fetch_return(result),
             _ => {}
         }
     }
 
-    /// Ends what has waited for too long, as if its answer were lost.
+    /// Ends commands and calls that have timed out, as if their answer were lost.
     fn expire(&mut self) {
         let now = self.now;
-        let late = self
+        let overdue = self
             .pending
             .iter()
-            .filter(|(_, pending)| pending.until <= now);
-        let late: Vec<u64> = late.map(|(ticket, _)| *ticket).collect();
-        for ticket in late {
+            .filter(|(_, pending)| pending.expires <= now);
+        let overdue: Vec<u64> = overdue.map(|(ticket, _)| *ticket).collect();
+        for ticket in overdue {
             let call = |p: &Pending| matches!(p.purpose, Purpose::Announce(_) | Purpose::Peer);
             match self.pending.get(&ticket).is_some_and(call) {
                 true => self.on_return(ticket, None),
--- a/src/core/config/ask.rs
+++ b/src/core/config/ask.rs
@@ -1,4 +1,4 @@
-//! What operators ask.
+//! The requests of operators.
 
 use serde::Serialize;
 
@@ -11,48 +11,48 @@
     },
 };
 
-/// What an operator asks.
+/// A request of an operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Ask {
-    /// A change of the configuration.
+    /// Changes the configuration.
     Edit(Edit),
-    /// All records, or those of one kind.
+    /// Lists all records, or those of one kind.
     List(Option<Kind>),
-    /// One record.
+    /// Shows one record.
     Show(Name),
-    /// Where a record is in force.
+    /// Shows on which instances a record is in force.
     Rollout(Name),
-    /// The instances, as this one sees them.
+    /// Lists the instances, as this one sees them.
     Instances,
-    /// The audit trail.
+    /// Reads the audit trail.
     Audit(Audit),
 }
 
 /// A change of the configuration that an operator asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Edit {
-    /// Who asks.
+    /// Who asks for it.
     pub operator: Operator,
     /// The remote address that the request came from.
     pub from: String,
-    /// When it came, in milliseconds of the wall clock.
+    /// When the request came, in milliseconds of the wall clock.
     pub at_ms: u64,
-    /// Names the change; the same operation is done once.
+    /// Identifies the change: an operation takes effect at most once, however often it is sent.
     pub operation: Operation,
-    /// Whether it is only tried.
+    /// Whether it is a dry run, which changes nothing.
     pub dry_run: bool,
-    /// Whether a cut of capacity to less than half is meant.
+    /// Whether the operator confirms a cut of capacity to less than half.
     pub confirmed: bool,
-    /// What is to be done.
+    /// The action on a record.
     pub act: Act,
 }
 
-/// What is to be done to a record.
+/// An action on a record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub enum Act {
-    /// Puts a new record in force.
+    /// Adds a new record.
     Submit {
-        /// Its text.
+        /// The record's text.
         text: String,
     },
     /// Replaces a record.
@@ -64,7 +64,7 @@
         /// The new text.
         text: String,
     },
-    /// Takes a record out of force.
+    /// Removes a record.
     Withdraw {
         /// The record.
         name: Name,
@@ -74,7 +74,7 @@
 }
 
 impl Act {
-    /// Returns the text, where there is one.
+    /// Returns the record's text; none for a withdrawal.
     pub fn text(&self) -> Option<&str> {
         match self {
             Self::Submit { text } | Self::Amend { text, .. } => Some(text),
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Returns the name, where the act tells it outside of the text.
+    /// Returns the record's name; none for a submission, whose text holds it.
     pub fn name(&self) -> Option<&Name> {
         match self {
             Self::Submit { .. } => None,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Returns the revision that the operator has seen; none for a record that is to be new.
+    /// Returns the revision of the record that the operator has seen; none for a new record.
     pub fn amends(&self) -> Option<Revision> {
         match self {
             Self::Submit { .. } => None,
@@ -108,15 +108,15 @@
     }
 }
 
-/// A question to the audit trail.
+/// A query of the audit trail.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Audit {
-    /// The record; none stands for all.
+    /// The record; none means all.
     pub record: Option<Name>,
-    /// The first millisecond.
+    /// The earliest time, in milliseconds of the wall clock.
     pub from_ms: u64,
-    /// The last millisecond; none stands for no end.
+    /// The latest time, in milliseconds of the wall clock; none means no limit.
     pub to_ms: Option<u64>,
-    /// Where the last page ended: its `after`.
+    /// The `after` of the previous page.
     pub after: Option<String>,
 }
--- a/src/core/config/call.rs
+++ b/src/core/config/call.rs
@@ -1,4 +1,4 @@
-//! What instances say to one another about the configuration.
+//! The messages that instances exchange about the configuration.
 
 use serde::{
     Deserialize,
@@ -14,14 +14,14 @@
     record::Name, //
 };
 
-/// The most bytes of changes or records in one message, but for a single one that is larger.
+/// The most bytes of changes or records in one message; a single larger one is sent on its own.
 pub const MAX_MESSAGE_BYTES: usize = 64 << 10;
 
 /// A call to a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Call {
-    /// Notifies of changes; returns [`Return::Applied`].
+    /// Announces changes; returns [`Return::Applied`].
     Announce(Announcement),
     /// Asks for the changes after a revision; returns [`Return::Changes`] or [`Return::Gap`].
     Fetch {
@@ -30,25 +30,25 @@
     },
     /// Asks for the records after a name; returns [`Return::Page`].
     Snapshot {
-        /// The name; none at the beginning.
+        /// The name; none for the first page.
         after: Option<Name>,
     },
 }
 
-/// Notifies a peer of changes.
+/// An announcement of changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
     /// The caller.
     pub from: Instance,
     /// The newest revision that the caller applies.
     pub head: Revision,
-    /// The changes, in order; where they don't all fit, the rest has to be fetched.
+    /// The changes in order, as many as fit; the peer has to fetch the rest.
     pub changes: Vec<Change>,
-    /// Whether the peer is to pass it on inside its data centre.
+    /// Whether the peer has to announce the changes inside its data centre.
     pub relay: bool,
 }
 
-/// What a call to a peer gave.
+/// What a call to a peer returned.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Return {
@@ -58,19 +58,19 @@
     Changes(Vec<Change>),
     /// The peer no longer holds the changes asked for.
     Gap,
-    /// Records.
+    /// A page of records.
     Page(Page),
     /// The peer has no configuration yet.
     Unready,
 }
 
-/// Some of the records of one revision.
+/// A page of the records of one revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
     /// The revision.
     pub revision: Revision,
     /// The records in the order of their names.
     pub records: Vec<Stored>,
-    /// Whether there are more.
+    /// Whether there are further pages.
     pub more: bool,
 }
--- a/src/core/config/edit.rs
+++ b/src/core/config/edit.rs
@@ -1,7 +1,7 @@
-//! Judges the changes that operators ask for, one after another, and commits them.
+//! Validates the changes that operators ask for, one after another, and commits them.
 //!
-//! A refusal is committed as well: under the condition that the configuration is still the one that was judged,
-//! together with its entry in the audit trail.
+//! A refusal is committed as well, together with its entry in the audit trail, on condition that the configuration is
+//! still the one against which the change was validated.
 
 use std::{
     collections::VecDeque,
@@ -40,52 +40,52 @@
 
 mod validate;
 
-/// The most changes that wait to be judged.
-const MOST_WAITING: usize = 32;
+/// The most changes in the queue.
+const MAX_WAITING: usize = 32;
 /// How long an operator waits for an answer at most.
-const PATIENCE: Span = Span::seconds(5);
-/// The wait before a lost or refused commit is sent again; it grows with each one.
-const BACKOFF: Span = Span::millis(50);
-/// How often a change is judged anew because others came first.
-const MOST_TRIES: u32 = 16;
+const ANSWER_TIMEOUT: Span = Span::seconds(5);
+/// The delay before a commit that was lost, refused or not sent is sent again; it grows by as much with each attempt.
+const BACKOFF_STEP: Span = Span::millis(50);
+/// How many attempts a change gets to be validated and committed before it is refused as busy.
+const MAX_ATTEMPTS: u32 = 16;
 
-/// The changes that wait, the one in front being judged.
+/// The changes in progress; the front of the queue is being validated or committed.
 #[derive(Debug, Default)]
 pub(super) struct Edits {
-    queue: VecDeque<Job>,
+    queue: VecDeque<PendingEdit>,
 }
 
-/// A change on its way to an answer.
+/// A change that isn't answered yet.
 #[derive(Debug)]
-struct Job {
+struct PendingEdit {
     request: Request,
     edit: ask::Edit,
     name: Name,
     record: Option<Arc<Record>>,
     digest: Digest,
-    until: Time,
-    tries: u32,
-    /// Whether a commit is out whose end is not known.
+    expires: Time,
+    attempts: u32,
+    /// Whether a commit was sent whose result is unknown.
     uncertain: bool,
     stage: Stage,
 }
 
-/// How far a change has got.
+/// The stage of a change.
 #[derive(Debug)]
 enum Stage {
-    /// It is to be judged.
-    Judge,
+    /// It is to be validated.
+    Validate,
     /// The head is being read, for a dry run.
     Head(u64),
-    /// This instance is behind the table, and waits until it applies this revision.
-    Behind(Revision),
+    /// It waits until this instance, which is behind the table, applies this revision.
+    CatchUp(Revision),
     /// It is being committed.
     Commit(u64, Plan),
-    /// The same commit is to be sent again.
-    Again(Time, Plan),
+    /// The same commit is to be sent again at this time.
+    Retry(Time, Plan),
 }
 
-/// What is committed, and what it means.
+/// A commit, and what to report and apply once it has taken effect.
 #[derive(Debug, Clone)]
 struct Plan {
     group: Group,
@@ -94,6 +94,7 @@
 }
 
 impl Config {
+    /// Queues a change, or reports at once why it can't be.
     pub(super) fn submit(&mut self, request: Request, edit: ask::Edit) {
         let record = match validate::parse(&edit.act) {
             Ok(record) => record.map(Arc::new),
@@ -106,32 +107,33 @@
         if !self.is_ready() || self.workers.is_none() {
             return self.report(request, Report::Unready);
         }
-        if self.edits.queue.len() >= MOST_WAITING {
+        if self.edits.queue.len() >= MAX_WAITING {
             return self.report(request, Report::Busy);
         }
-        self.edits.queue.push_back(Job {
+        self.edits.queue.push_back(PendingEdit {
             request,
             name,
             record,
             digest: validate::digest(&edit),
-            until: self.now + PATIENCE,
-            tries: 0,
+            expires: self.now + ANSWER_TIMEOUT,
+            attempts: 0,
             uncertain: false,
-            stage: Stage::Judge,
+            stage: Stage::Validate,
             edit,
         });
     }
 
-    pub(super) fn proceed_edits(&mut self) {
-        self.give_up();
-        while let Some(job) = self.edits.queue.front_mut() {
-            match &job.stage {
-                Stage::Judge if job.edit.dry_run => self.confirm_head(),
-                Stage::Judge => self.judge(),
-                Stage::Behind(revision) if *revision <= self.applied.revision() => {
-                    job.stage = Stage::Judge;
+    /// Answers changes that have timed out, and takes the front of the queue as far as possible without waiting.
+    pub(super) fn advance_edits(&mut self) {
+        self.expire_edits();
+        while let Some(pending) = self.edits.queue.front_mut() {
+            match &pending.stage {
+                Stage::Validate if pending.edit.dry_run => self.read_head_for_dry_run(),
+                Stage::Validate => self.validate_and_commit(),
+                Stage::CatchUp(revision) if *revision <= self.applied.revision() => {
+                    pending.stage = Stage::Validate;
                 }
-                Stage::Again(at, plan) if *at <= self.now => {
+                Stage::Retry(at, plan) if *at <= self.now => {
                     let plan = plan.clone();
                     self.commit(plan);
                 }
@@ -140,12 +142,17 @@
         }
     }
 
-    /// Answers those who have waited for too long.
-    fn give_up(&mut self) {
+    /// Answers changes that have timed out.
+    fn expire_edits(&mut self) {
         let now = self.now;
-        while let Some(job) = self.edits.queue.front().filter(|job| job.until <= now) {
-            let out = matches!(job.stage, Stage::Commit(..)) && !job.edit.dry_run;
-            let report = match job.uncertain || out {
+        while let Some(pending) = self
+            .edits
+            .queue
+            .front()
+            .filter(|pending| pending.expires <= now)
+        {
+            let sent = matches!(pending.stage, Stage::Commit(..)) && !pending.edit.dry_run;
+            let report = match pending.uncertain || sent {
                 true => Report::Unknown,
                 false => Report::Unavailable,
             };
@@ -153,15 +160,15 @@
         }
     }
 
-    /// Ends the change in front.
+    /// Removes the front of the queue, logs its end and reports it to the operator.
     fn end(&mut self, report: Report) {
-        let Some(job) = self.edits.queue.pop_front() else {
+        let Some(pending) = self.edits.queue.pop_front() else {
             return;
         };
         let what = || {
             format!(
                 "{} {} by {}",
-                job.name, job.edit.operation, job.edit.operator
+                pending.name, pending.edit.operation, pending.edit.operator
             )
         };
         match &report {
@@ -176,58 +183,59 @@
             }
             _ => {}
         }
-        self.report(job.request, report);
+        self.report(pending.request, report);
     }
 
-    fn confirm_head(&mut self) {
+    /// Reads the head, so that a dry run is against the newest configuration.
+    fn read_head_for_dry_run(&mut self) {
         let read = Command::Read(row::HEAD_KEY.to_owned());
-        let Some(ticket) = self.operate(Purpose::Edit, read) else {
+        let Some(ticket) = self.start_command(Purpose::Edit, read) else {
             return self.end(Report::Busy);
         };
-        if let Some(job) = self.edits.queue.front_mut() {
-            job.stage = Stage::Head(ticket);
+        if let Some(pending) = self.edits.queue.front_mut() {
+            pending.stage = Stage::Head(ticket);
         }
     }
 
-    fn judge(&mut self) {
-        let Some(job) = self.edits.queue.front_mut() else {
+    fn validate_and_commit(&mut self) {
+        let Some(pending) = self.edits.queue.front_mut() else {
             return;
         };
-        job.tries += 1;
-        if job.tries > MOST_TRIES {
+        pending.attempts += 1;
+        if pending.attempts > MAX_ATTEMPTS {
             return self.end(Report::Busy);
         }
         let workers = self.workers.as_ref();
-        let judged = validate::validate(&self.applied, workers, job);
-        let plan = validate::plan(&self.name, &self.applied, job, judged);
+        let validated = validate::validate(&self.applied, workers, pending);
+        let plan = validate::plan(&self.name, &self.applied, pending, validated);
         self.commit(plan);
     }
 
     fn commit(&mut self, plan: Plan) {
         let group = Command::Commit(plan.group.clone());
-        let stage = match self.operate(Purpose::Edit, group) {
+        let stage = match self.start_command(Purpose::Edit, group) {
             Some(ticket) => Stage::Commit(ticket, plan),
-            None => Stage::Again(self.now + BACKOFF, plan),
+            None => Stage::Retry(self.now + BACKOFF_STEP, plan),
         };
-        if let Some(job) = self.edits.queue.front_mut() {
-            job.stage = stage;
+        if let Some(pending) = self.edits.queue.front_mut() {
+            pending.stage = stage;
         }
     }
 
-    /// Takes the end of an operation for the change in front; one for a change that was given up is left.
-    pub(super) fn edited(&mut self, ticket: u64, result: Completion) {
-        let Some(job) = self.edits.queue.front_mut() else {
+    /// Handles the completion of a command for the front of the queue; one for a change that timed out is ignored.
+    pub(super) fn on_edit_completion(&mut self, ticket: u64, result: Completion) {
+        let Some(pending) = self.edits.queue.front_mut() else {
             return;
         };
-        match std::mem::replace(&mut job.stage, Stage::Judge) {
-            Stage::Head(own) if own == ticket => self.tried(result),
-            Stage::Commit(own, plan) if own == ticket => self.committed(plan, result),
-            other => job.stage = other,
+        match std::mem::replace(&mut pending.stage, Stage::Validate) {
+            Stage::Head(own) if own == ticket => self.finish_dry_run(result),
+            Stage::Commit(own, plan) if own == ticket => self.on_commit_completion(plan, result),
+            other => pending.stage = other,
         }
     }
 
-    fn tried(&mut self, result: Completion) {
-        let Some(job) = self.edits.queue.front_mut() else {
+    fn finish_dry_run(&mut self, result: Completion) {
+        let Some(pending) = self.edits.queue.front_mut() else {
             return;
         };
         let head = match &result {
@@ -235,92 +243,94 @@
             Completion::Row(None) => Some(Revision::default()),
             _ => None,
         };
-        job.tries += 1;
+        pending.attempts += 1;
         if let Some(head) = head.filter(|head| *head > self.applied.revision()) {
-            if job.tries <= MOST_TRIES {
-                return self.catch_up(head);
+            if pending.attempts <= MAX_ATTEMPTS {
+                return self.wait_for_revision(head);
             }
         }
-        let judged = validate::validate(&self.applied, self.workers.as_ref(), job);
+        let validated = validate::validate(&self.applied, self.workers.as_ref(), pending);
         let report = Report::Trial {
             revision: self.applied.revision(),
-            refusal: judged.err(),
+            refusal: validated.err(),
             confirmed: head.is_some(),
         };
         self.end(report);
     }
 
-    fn catch_up(&mut self, revision: Revision) {
-        self.aim(revision);
-        if let Some(job) = self.edits.queue.front_mut() {
-            job.stage = Stage::Behind(revision);
+    fn wait_for_revision(&mut self, revision: Revision) {
+        self.raise_target(revision);
+        if let Some(pending) = self.edits.queue.front_mut() {
+            pending.stage = Stage::CatchUp(revision);
         }
     }
 
-    fn committed(&mut self, plan: Plan, result: Completion) {
+    fn on_commit_completion(&mut self, plan: Plan, result: Completion) {
         match result {
-            Completion::Verdict(verdict) if verdict.applied => self.applied_plan(plan),
-            Completion::Verdict(verdict) => self.declined(&verdict),
+            Completion::Verdict(verdict) if verdict.applied => self.finish_plan(plan),
+            Completion::Verdict(verdict) => self.on_commit_declined(&verdict),
             result => {
-                // The answer to the commit was lost, and it may take effect even now, after the operator was told
-                // something else. The same group goes out again: its conditions (the head's version, and that the
-                // operation is not settled) let just one copy take effect, and when it fails, the rows that come
-                // back tell whether an earlier copy did, or that the head has moved so that none ever can.
+                // The commit whose reply was lost may still take effect, after the operator was told otherwise. So the
+                // same group is sent again. Its conditions (the head's version, and an operation without a row) let
+                // only one copy take effect. If it fails, the rows that come back show whether an earlier copy took
+                // effect, or the head has moved so that none can.
                 if result == Completion::Unknown {
-                    self.log_event(Code::ChangeUnsettled, plan_name(&plan));
+                    self.log_event(Code::ChangeUnsettled, describe_plan(&plan));
                 }
                 let now = self.now;
-                if let Some(job) = self.edits.queue.front_mut() {
-                    job.uncertain |= result == Completion::Unknown;
-                    job.tries += 1;
-                    let wait = BACKOFF.times(u64::from(job.tries));
-                    job.stage = Stage::Again(now + wait, plan);
+                if let Some(pending) = self.edits.queue.front_mut() {
+                    pending.uncertain |= result == Completion::Unknown;
+                    pending.attempts += 1;
+                    let wait = BACKOFF_STEP.times(u64::from(pending.attempts));
+                    pending.stage = Stage::Retry(now + wait, plan);
                 }
             }
         }
     }
 
-    fn applied_plan(&mut self, plan: Plan) {
+    fn finish_plan(&mut self, plan: Plan) {
         if let Some(change) = &plan.change {
-            self.sync.outward = self.sync.outward.max(change.revision);
+            self.sync.announce_up_to = self.sync.announce_up_to.max(change.revision);
             self.apply(change);
         }
         self.end(report(plan.end));
     }
 
-    /// Finds out from the rows whose conditions failed why a commit didn't take effect.
-    fn declined(&mut self, verdict: &Verdict) {
-        let Some(job) = self.edits.queue.front_mut() else {
+    /// Finds out why a commit didn't take effect, from the rows whose conditions failed.
+    fn on_commit_declined(&mut self, verdict: &Verdict) {
+        let Some(pending) = self.edits.queue.front_mut() else {
             return;
         };
-        let key = row::operation_key(job.edit.operation);
+        let key = row::operation_key(pending.edit.operation);
         let row = |key: &str| verdict.current.iter().find(|row| row.key == key);
-        if let Some(settled) = row(&key).and_then(row::decode::<Decision>) {
-            return self.settle(settled);
+        if let Some(decision) = row(&key).and_then(row::decode::<Decision>) {
+            return self.end_as_decided(decision);
         }
-        // The head is at another version and never comes back to that one, so no copy of the commit can take effect.
-        job.uncertain = false;
+        // The head has another version and never returns to the old one, so no copy of the commit can take effect.
+        pending.uncertain = false;
         let head = row(row::HEAD_KEY).and_then(row::decode::<Head>);
         match head {
-            Some(head) if head.revision > self.applied.revision() => self.catch_up(head.revision),
+            Some(head) if head.revision > self.applied.revision() => {
+                self.wait_for_revision(head.revision)
+            }
             _ => self.end(Report::Unavailable),
         }
     }
 
-    fn settle(&mut self, settled: Decision) {
-        let Some(job) = self.edits.queue.front() else {
+    fn end_as_decided(&mut self, decision: Decision) {
+        let Some(pending) = self.edits.queue.front() else {
             return;
         };
-        if settled.digest != job.digest {
-            let operation = job.edit.operation;
+        if decision.digest != pending.digest {
+            let operation = pending.edit.operation;
             return self.end(Report::Reused { operation });
         }
-        if let End::Accepted { revision, .. } = settled.end {
-            // It may be this instance's own commit whose answer was lost, which nobody has been told of.
-            self.sync.outward = self.sync.outward.max(revision);
-            self.aim(revision);
+        if let End::Accepted { revision, .. } = decision.end {
+            // It may be this instance's own commit whose reply was lost, so that no peer has been notified of it.
+            self.sync.announce_up_to = self.sync.announce_up_to.max(revision);
+            self.raise_target(revision);
         }
-        self.end(report(settled.end));
+        self.end(report(decision.end));
     }
 }
 
@@ -331,7 +341,7 @@
     }
 }
 
-fn plan_name(plan: &Plan) -> String {
+fn describe_plan(plan: &Plan) -> String {
     match &plan.end {
         End::Accepted { record, revision } => format!("{record} as revision {revision}"),
         End::Refused(_) => "a refusal".to_owned(),
--- a/src/core/config/edit/validate.rs
+++ b/src/core/config/edit/validate.rs
@@ -1,9 +1,9 @@
-//! Judges one change against the configuration that is applied.
+//! Validates one change against the configuration that is applied, and plans its commit.
 
 use std::sync::Arc;
 
 use super::{
-    Job,
+    PendingEdit,
     Plan, //
 };
 use crate::{
@@ -45,7 +45,11 @@
     },
 };
 
-/// Parses the text of an act, where it has one.
+/// Parses the text of an act; returns none for a withdrawal, which has no text.
+///
+/// # Errors
+///
+/// Returns the faults of the text, or that it is of another record than the request.
 pub(super) fn parse(act: &Act) -> Result<Option<Record>, Vec<Fault>> {
     let Some(text) = act.text() else {
         return Ok(None);
@@ -60,32 +64,40 @@
     }
 }
 
-/// Takes the digest of what is asked, by which a reused operation is told from a resubmission.
+/// Returns the digest of a request, which distinguishes a retry from another request under the same operation.
+///
+/// # Panics
+///
+/// Panics if the act can't be written as JSON, which its type rules out.
 pub(super) fn digest(edit: &Edit) -> Digest {
-    let what = serde_json::to_vec(&(&edit.act, edit.confirmed));
-    Digest::of(&what.expect("an act is plain data"))
+    let request = serde_json::to_vec(&(&edit.act, edit.confirmed));
+    Digest::of(&request.expect("an act is plain data"))
 }
 
-/// Judges a change; returns the change that it makes, or why it is refused.
+/// Validates a request and returns the change that it makes.
+///
+/// # Errors
+///
+/// Returns why the change is refused.
 pub(super) fn validate(
     applied: &Applied,
     workers: Option<&Capacity>,
-    job: &Job,
+    pending: &PendingEdit,
 ) -> Result<Change, Refusal> {
-    let current = applied.set().get(&job.name);
-    check_revision(job, current)?;
-    let mut faults = current.map_or(Vec::new(), |entry| untouched(entry, job));
-    let change = change(applied.revision().next(), job, current);
+    let current = applied.set().get(&pending.name);
+    check_revision(pending, current)?;
+    let mut faults = current.map_or(Vec::new(), |entry| check_schema(entry, pending));
+    let change = make_change(applied.revision().next(), pending, current);
     if faults.is_empty() {
         let mut after = applied.set().clone();
-        match &job.record {
+        match &pending.record {
             Some(record) => after.put(Arc::clone(record), change.revision),
-            None => after.remove(&job.name),
+            None => after.remove(&pending.name),
         }
         let none = Capacity::default();
         let workers = workers.unwrap_or(&none);
-        let confirmed = job.edit.confirmed;
-        faults = check::change(applied.set(), &after, &job.name, workers, confirmed);
+        let confirmed = pending.edit.confirmed;
+        faults = check::change(applied.set(), &after, &pending.name, workers, confirmed);
     }
     match faults.is_empty() {
         true => Ok(change),
@@ -93,14 +105,14 @@
     }
 }
 
-/// Checks that the operator has seen what the change would replace.
-fn check_revision(job: &Job, current: Option<&Entry>) -> Result<(), Refusal> {
-    let record = job.name.clone();
-    let amends = job.edit.act.amends();
+/// Checks that the operator has seen the revision that the change would replace.
+fn check_revision(pending: &PendingEdit, current: Option<&Entry>) -> Result<(), Refusal> {
+    let record = pending.name.clone();
+    let amends = pending.edit.act.amends();
     match current {
         None if amends.is_some() => Err(Refusal::Absent { record }),
         Some(entry) if amends != Some(entry.revision) => {
-            let text = job.edit.act.text();
+            let text = pending.edit.act.text();
             let differences = text.map(|text| difference::between(&entry.record.text, text));
             Err(Refusal::Conflict {
                 record,
@@ -112,22 +124,22 @@
     }
 }
 
-/// Names what keeps the record in force from being replaced.
-fn untouched(entry: &Entry, job: &Job) -> Vec<Fault> {
+/// Returns the faults that keep this version from replacing the record in force without losing some of it.
+fn check_schema(entry: &Entry, pending: &PendingEdit) -> Vec<Fault> {
     let schema = entry.record.schema;
     if !(1..=NEWEST).contains(&schema) {
-        let detail = format!("{} is in schema {schema}, which this version doesn't know; send the change to a newer one", job.name);
+        let detail = format!("{} is in schema {schema}, which this version doesn't know; send the change to a newer one", pending.name);
         return vec![Fault::new("schema", Code::Schema, detail)];
     }
-    let schema = job.record.as_ref().map(|record| record.schema);
+    let schema = pending.record.as_ref().map(|record| record.schema);
     schema.map_or(Vec::new(), |schema| entry.record.lost(schema))
 }
 
-fn change(revision: Revision, job: &Job, current: Option<&Entry>) -> Change {
-    let edit = &job.edit;
+fn make_change(revision: Revision, pending: &PendingEdit, current: Option<&Entry>) -> Change {
+    let edit = &pending.edit;
     Change {
         revision,
-        name: job.name.clone(),
+        name: pending.name.clone(),
         text: edit.act.text().map(str::to_owned),
         operator: edit.operator.clone(),
         operation: edit.operation,
@@ -137,14 +149,14 @@
     }
 }
 
-/// Makes the commit of what was judged.
+/// Plans the commit of a change or a refusal.
 pub(super) fn plan(
     instance: &Instance,
     applied: &Applied,
-    job: &Job,
-    judged: Result<Change, Refusal>,
+    pending: &PendingEdit,
+    validated: Result<Change, Refusal>,
 ) -> Plan {
-    let (end, change) = match judged {
+    let (end, change) = match validated {
         Ok(change) => {
             let record = change.name.clone();
             let revision = change.revision;
@@ -152,29 +164,33 @@
         }
         Err(refusal) => (End::Refused(refusal), None),
     };
-    let settled = Decision {
-        digest: job.digest,
+    let decision = Decision {
+        digest: pending.digest,
         end: end.clone(),
     };
-    let mut writes = vec![row::write(row::operation_key(job.edit.operation), &settled)];
-    writes.extend(change.iter().flat_map(rows));
+    let mut writes = vec![row::write(
+        row::operation_key(pending.edit.operation),
+        &decision,
+    )];
+    writes.extend(change.iter().flat_map(change_rows));
     let before = applied
         .set()
-        .get(&job.name)
+        .get(&pending.name)
         .map(|entry| entry.record.text.clone());
     let revision = change.as_ref().map(|change| change.revision);
     let lines = match &end {
         End::Refused(refusal) => refusal.lines(),
         End::Accepted { .. } => Vec::new(),
     };
-    let name = Some(job.name.clone());
-    writes.extend(trail::entry(instance, &job.edit, name, revision, before, lines).writes());
-    // Operators race each other, and an operation may be sent twice. Without the conditions both would be accepted,
-    // and one would undo the other unseen. The head has one version for each configuration, so that what was judged
-    // is what the change meets; the operation's row is written with its one end.
+    let name = Some(pending.name.clone());
+    writes
+        .extend(trail::make_entry(instance, &pending.edit, name, revision, before, lines).writes());
+    // Operators may send changes at the same time, or one operation twice. Without the conditions, both changes would
+    // be accepted, and one would overwrite the other. The head's version guarantees that the configuration is the one
+    // validated against; the operation's row, that it has no decision yet.
     let conditions = vec![
         row::revision_condition(applied.revision()),
-        row::unsettled_condition(job.edit.operation),
+        row::unsettled_condition(pending.edit.operation),
     ];
     Plan {
         group: Group { conditions, writes },
@@ -183,7 +199,8 @@
     }
 }
 
-fn rows(change: &Change) -> Vec<Write> {
+/// Returns the writes of a change: its record, its entry in the log of changes, and the head.
+fn change_rows(change: &Change) -> Vec<Write> {
     let key = row::record_key(&change.name);
     let record = match &change.text {
         None => Write { key, value: None },
@@ -204,7 +221,7 @@
         row::write(row::change_key(change.revision), change),
         row::write(row::HEAD_KEY.to_owned(), &head),
     ];
-    // Each change takes the place of the oldest one, so that the table doesn't grow with the years.
+    // Each change deletes the oldest one that is kept, so that the table stays bounded.
     let oldest = change
         .revision
         .0
--- a/src/core/config/load.rs
+++ b/src/core/config/load.rs
@@ -1,4 +1,4 @@
-//! Loads the whole configuration, from the table or from a peer: the records, never their history.
+//! Loads all records, without their history, from the table or from a peer.
 
 use super::{
     call::{
@@ -24,101 +24,105 @@
 };
 
 impl Config {
-    /// Loads everything: from the table first, and by turns from the peer with the highest revision.
+    /// Starts a load: from the table first, and after each failure from a peer and the table in turn.
     pub(super) fn start_load(&mut self) {
         let peer = match self.sync.failures % 2 {
             0 => None,
-            _ => self.highest(),
+            _ => self.most_advanced_peer(),
         };
         match peer {
-            Some(peer) => self.ask_page(peer, Load::default()),
+            Some(peer) => self.request_page(peer, Load::default()),
             None => {
                 let started = self.read_head(Purpose::Sync);
-                self.enter(started, Stage::Head);
+                self.enter_stage(started, Stage::Head);
             }
         }
     }
 
+    /// Reads the next page of records from the table.
     pub(super) fn scan_records(&mut self, load: Load) {
         let last = load.last.as_ref().map(row::record_key);
         let started = self.scan(row::RECORD_PREFIX, last.unwrap_or_default());
-        self.enter(started, Stage::Records(load));
+        self.enter_stage(started, Stage::Records(load));
     }
 
-    pub(super) fn loaded_rows(&mut self, mut load: Load, rows: &[Row]) {
-        // A row that can't be read is a record that is in force. Left out, it would be withdrawn here without anyone's
-        // wish; so the load fails, and what is applied stays.
+    /// Adds a page of records from the table to a load.
+    pub(super) fn on_record_rows(&mut self, mut load: Load, rows: &[Row]) {
+        // A row that can't be decoded is still a record in force. Skipping it would remove it here, so the load fails
+        // and the applied configuration stays.
         let Some(records) = rows
             .iter()
             .map(row::decode)
             .collect::<Option<Vec<Stored>>>()
         else {
-            return self.failed();
+            return self.fail_sync();
         };
         records.into_iter().for_each(|stored| load.add(stored));
         if rows.len() >= PAGE_ROWS as usize {
             return self.scan_records(load);
         }
         let started = self.read_head(Purpose::Sync);
-        self.enter(started, Stage::Again(load));
+        self.enter_stage(started, Stage::HeadAfterRecords(load));
     }
 
-    /// Replays the changes up to `head` on a load, then puts it in force.
+    /// Replays the changes up to `head` on a load, then installs it.
     pub(super) fn replay_or_install(&mut self, load: Load, head: Revision) {
-        // The pages were read one after another while changes may have come in between, so that a later page can be
-        // newer than an earlier one. Every record that changed since the first read of the head is written once more
-        // by the replay up to a head that was read after the last page; what it leaves didn't change in between.
+        // Changes may have been committed between the pages, so later pages can be newer than earlier ones. Replaying
+        // all changes from the head before the first page to the head after the last one makes the records consistent.
         if load.revision < head {
             let started = self.scan(row::CHANGE_PREFIX, row::change_key(load.revision));
-            return self.enter(started, Stage::Changes(load, head));
+            return self.enter_stage(started, Stage::Changes(load, head));
         }
         self.install(load);
-        // The table is what counts: a higher revision that was heard of has to be heard of again.
+        // The table is authoritative: a higher revision that a peer reported is dropped until it is reported again.
         self.sync.target = self.revision();
         self.sync.gap = false;
-        self.succeeded();
+        self.finish_sync();
     }
 
+    /// Puts a load in force, unless a newer configuration is; returns whether it did.
     fn install(&mut self, load: Load) -> bool {
         let before = self.revision();
         let installed = self.applied.install(load.revision, load.set);
-        if installed && before < self.sync.relay {
-            self.note_change(before);
+        if installed && before < self.sync.relay_up_to {
+            self.mark_for_notification(before);
         }
         if installed {
-            self.warn_unknown();
+            self.warn_unknown_schemas();
         }
         installed
     }
 
-    fn ask_page(&mut self, peer: Instance, load: Load) {
+    fn request_page(&mut self, peer: Instance, load: Load) {
         let after = load.last.clone();
-        let started = self.call(Purpose::Peer, peer.clone(), Call::Snapshot { after });
-        self.enter(started.is_some(), Stage::Snapshot(peer, load));
+        let started = self.start_call(Purpose::Peer, peer.clone(), Call::Snapshot { after });
+        self.enter_stage(started.is_some(), Stage::Snapshot(peer, load));
     }
 
-    pub(super) fn paged(&mut self, peer: Instance, mut load: Load, page: Page) {
+    /// Adds a page of a peer's snapshot to a load, and installs it after the last one.
+    pub(super) fn on_page(&mut self, peer: Instance, mut load: Load, page: Page) {
         if load.last.is_none() {
             load.revision = page.revision;
         }
-        // Pages of two revisions don't make one configuration.
+        // Pages of different revisions would give an inconsistent configuration.
         if load.revision != page.revision || (page.more && page.records.is_empty()) {
-            return self.failed();
+            return self.fail_sync();
         }
         page.records.into_iter().for_each(|stored| load.add(stored));
         if page.more {
-            return self.ask_page(peer, load);
+            return self.request_page(peer, load);
         }
         match self.install(load) {
             true => {
                 self.sync.gap = false;
-                self.succeeded();
+                self.finish_sync();
             }
-            false => self.failed(),
+            false => self.fail_sync(),
         }
     }
 
-    fn warn_unknown(&mut self) {
+    /// Logs the records whose schema this version doesn't know.
+    fn warn_unknown_schemas(&mut self) {
         let unknown = self.applied.set().iter().filter(|(_, e)| !e.record.known());
         let names: Vec<String> = unknown.map(|(name, _)| name.to_string()).collect();
         if !names.is_empty() {
--- a/src/core/config/propagation.rs
+++ b/src/core/config/propagation.rs
@@ -1,7 +1,7 @@
-//! Notifies peers of changes, and answers their calls.
+//! Announces changes to peers, and answers their calls.
 //!
-//! The instance that commits a change notifies every instance that is alive in its own data centre, and one in each
-//! other, which passes it on inside.
+//! The instance that commits a change announces it to every live instance of its own data centre, and to one in each
+//! other data centre, which relays it there.
 
 use std::collections::BTreeSet;
 
@@ -27,19 +27,21 @@
     record::Name, //
 };
 
-/// How many instances of another data centre are tried, one after another.
-const TRIES: usize = 3;
+/// How many instances of another data centre are tried at most, one after another.
+const MAX_TRIES: usize = 3;
 
-/// Changes of which peers are still to be notified.
+/// The changes that are still to be announced.
 #[derive(Debug, Default)]
 pub(super) struct Notification {
-    /// The revision before them; none where there are none.
+    /// The revision before the first of them; none if there are none.
     after: Option<Revision>,
-    /// Whether the other data centres are to be notified too.
-    outward: bool,
+    /// Whether they are announced to the other data centres too.
+    to_other_centres: bool,
 }
 
-/// Ranks instances for a duty in a data centre by rendezvous hashing: all who know the same ones agree on the order.
+/// Ranks the instances of a data centre by rendezvous hashing.
+///
+/// Instances that know the same peers get the same order, so that they agree on who polls and who relays.
 pub fn rank_instances<'a>(
     centre: &Centre,
     names: impl IntoIterator<Item = &'a Instance>,
@@ -50,107 +52,120 @@
 }
 
 impl Config {
-    /// Notes that the peers inside the data centre are to be notified of what came after `revision`.
-    pub(super) fn note_change(&mut self, revision: Revision) {
+    /// Marks the changes after `revision` to be announced inside the data centre.
+    pub(super) fn mark_for_notification(&mut self, revision: Revision) {
         self.notification.after.get_or_insert(revision);
     }
 
-    /// Notes that a change was committed here, of which all data centres are to be notified.
-    pub(super) fn note_commit(&mut self, revision: Revision) {
-        self.note_change(revision);
-        self.notification.outward = true;
+    /// Marks the changes after `revision`, committed here, to be announced in all data centres.
+    pub(super) fn mark_for_all_centres(&mut self, revision: Revision) {
+        self.mark_for_notification(revision);
+        self.notification.to_other_centres = true;
     }
 
-    pub(super) fn notify(&mut self) {
+    /// Announces the marked changes to live peers that don't apply them yet.
+    pub(super) fn notify_peers(&mut self) {
         let notification = std::mem::take(&mut self.notification);
         let Some(after) = notification.after else {
             return;
         };
         let head = self.revision();
         let behind = self.peers.values().filter(|p| p.alive && p.revision < head);
-        let (inside, outside): (Vec<_>, Vec<_>) = behind.partition(|p| p.centre == self.centre);
-        let inside: Vec<Instance> = inside.into_iter().map(|p| p.name.clone()).collect();
-        let centres: BTreeSet<Centre> = outside.into_iter().map(|p| p.centre.clone()).collect();
-        for to in inside {
-            let outward = None;
-            self.announce(Delivery { to, after, outward });
+        let (near, far): (Vec<_>, Vec<_>) = behind.partition(|p| p.centre == self.centre);
+        let near: Vec<Instance> = near.into_iter().map(|p| p.name.clone()).collect();
+        let centres: BTreeSet<Centre> = far.into_iter().map(|p| p.centre.clone()).collect();
+        for to in near {
+            let remote = None;
+            self.announce(Delivery { to, after, remote });
         }
-        for centre in centres.into_iter().filter(|_| notification.outward) {
-            self.announce_outward(centre, after, 0);
+        for centre in centres
+            .into_iter()
+            .filter(|_| notification.to_other_centres)
+        {
+            self.announce_to_centre(centre, after, 0);
         }
     }
 
-    fn announce_outward(&mut self, centre: Centre, after: Revision, tried: usize) {
+    /// Announces the changes after `after` to the best-ranked live instance of a data centre that wasn't tried yet.
+    fn announce_to_centre(&mut self, centre: Centre, after: Revision, tried: usize) {
         let alive = self
             .peers
             .values()
             .filter(|p| p.alive && p.centre == centre);
         let ranked = rank_instances(&centre, alive.map(|peer| &peer.name));
         if let Some(to) = ranked.get(tried).map(|name| (*name).clone()) {
-            let outward = Some((centre, tried));
-            self.announce(Delivery { to, after, outward });
+            let remote = Some((centre, tried));
+            self.announce(Delivery { to, after, remote });
         }
     }
 
     fn announce(&mut self, delivery: Delivery) {
-        let changes = self.applied.since(delivery.after, MAX_MESSAGE_BYTES);
+        let changes = self
+            .applied
+            .changes_after(delivery.after, MAX_MESSAGE_BYTES);
         let announcement = Announcement {
             from: self.name.clone(),
             head: self.revision(),
             changes: changes.unwrap_or_default(),
-            relay: delivery.outward.is_some(),
+            relay: delivery.remote.is_some(),
         };
         let to = delivery.to.clone();
-        // What can't be sent now is found by the peer's poll, or by the heartbeats.
-        let _ = self.call(
+        // A peer that misses an announcement learns of the revision from a heartbeat or its own poll.
+        let _ = self.start_call(
             Purpose::Announce(delivery),
             to,
             Call::Announce(announcement),
         );
     }
 
-    pub(super) fn announced(&mut self, delivery: Delivery, result: Option<Return>) {
-        match (result, delivery.outward) {
-            (Some(Return::Applied(revision)), _) => self.note_peer(&delivery.to, revision),
-            (_, Some((centre, tried))) if tried + 1 < TRIES => {
-                self.announce_outward(centre, delivery.after, tried + 1);
+    /// Handles the return of an announcement; on a failure, tries the next instance of another data centre.
+    pub(super) fn on_announce_return(&mut self, delivery: Delivery, result: Option<Return>) {
+        match (result, delivery.remote) {
+            (Some(Return::Applied(revision)), _) => {
+                self.raise_peer_revision(&delivery.to, revision)
+            }
+            (_, Some((centre, tried))) if tried + 1 < MAX_TRIES => {
+                self.announce_to_centre(centre, delivery.after, tried + 1);
             }
             _ => {}
         }
     }
 
-    fn note_peer(&mut self, name: &Instance, revision: Revision) {
+    fn raise_peer_revision(&mut self, name: &Instance, revision: Revision) {
         if let Some(peer) = self.peers.get_mut(name) {
             peer.revision = peer.revision.max(revision);
         }
     }
 
+    /// Handles a call from a peer.
     pub(super) fn on_call(&mut self, caller: IncomingCall, call: Call) {
         self.stats.returns += 1;
         let value = match call {
-            Call::Announce(announcement) => self.notified(announcement),
+            Call::Announce(announcement) => self.on_announcement(announcement),
             _ if !self.is_ready() => Return::Unready,
-            Call::Fetch { after } => match self.applied.since(after, MAX_MESSAGE_BYTES) {
+            Call::Fetch { after } => match self.applied.changes_after(after, MAX_MESSAGE_BYTES) {
                 Some(changes) => Return::Changes(changes),
                 None => Return::Gap,
             },
-            Call::Snapshot { after } => Return::Page(self.page(after.as_ref())),
+            Call::Snapshot { after } => Return::Page(self.snapshot_page(after.as_ref())),
         };
         self.outputs.push(Output::Return(caller, value));
     }
 
-    fn notified(&mut self, announcement: Announcement) -> Return {
-        self.note_notified();
-        self.note_peer(&announcement.from, announcement.head);
-        self.aim(announcement.head);
+    /// Applies announced changes, and schedules the catch-up and the relay of what is missing.
+    fn on_announcement(&mut self, announcement: Announcement) -> Return {
+        self.record_announcement();
+        self.raise_peer_revision(&announcement.from, announcement.head);
+        self.raise_target(announcement.head);
         if announcement.relay && announcement.head > self.revision() {
-            self.sync.relay = self.sync.relay.max(announcement.head);
+            self.sync.relay_up_to = self.sync.relay_up_to.max(announcement.head);
         }
         self.apply_all(announcement.changes);
         Return::Applied(self.revision())
     }
 
-    fn page(&self, after: Option<&Name>) -> Page {
+    /// Returns the records after a name, as many as fit into one message.
+    fn snapshot_page(&self, after: Option<&Name>) -> Page {
         let mut bytes = 0;
         let mut records = Vec::new();
         let mut more = false;
--- a/src/core/config/query.rs
+++ b/src/core/config/query.rs
@@ -1,4 +1,4 @@
-//! Answers the questions of operators.
+//! Answers operators' queries.
 
 use std::sync::Arc;
 
@@ -32,18 +32,19 @@
     },
 };
 
-/// Entries of the audit trail in one answer.
-const PAGE: u32 = 100;
+/// The most entries of the audit trail in one answer.
+const AUDIT_PAGE: u32 = 100;
 
 impl Config {
+    /// Handles a request of an operator: answers it, or starts what it needs.
     pub(super) fn ask(&mut self, request: Request, ask: Ask) {
         let report = match ask {
             Ask::Edit(edit) => return self.submit(request, edit),
-            Ask::Audit(audit) => return self.ask_audit(request, audit),
+            Ask::Audit(audit) => return self.read_audit(request, audit),
             _ if !self.is_ready() => Report::Unready,
             Ask::List(kind) => self.list(kind),
             Ask::Show(record) => match self.applied.set().get(&record) {
-                Some(entry) => Report::Record(view(entry)),
+                Some(entry) => Report::Record(view_of(entry)),
                 None => Report::Absent { record },
             },
             Ask::Rollout(record) => self.rollout(record),
@@ -56,10 +57,10 @@
 
     fn list(&self, kind: Option<Kind>) -> Report {
         let entries = self.applied.set().iter().map(|(_, entry)| entry);
-        let wanted = entries.filter(|e| kind.is_none_or(|kind| e.record.name.kind == kind));
+        let selected = entries.filter(|e| kind.is_none_or(|kind| e.record.name.kind == kind));
         Report::Records {
             revision: self.revision(),
-            records: wanted.map(view).collect(),
+            records: selected.map(view_of).collect(),
         }
     }
 
@@ -79,7 +80,7 @@
         })
     }
 
-    /// Returns what each instance applies, and whether that holds a revision.
+    /// Returns the revision that each instance applies, and whether it includes `since`.
     fn replicas(&self, since: Revision) -> Vec<Replica> {
         let own = Replica {
             instance: self.name.clone(),
@@ -98,36 +99,44 @@
         [own].into_iter().chain(others).collect()
     }
 
-    fn ask_audit(&mut self, request: Request, audit: ask::Audit) {
+    fn read_audit(&mut self, request: Request, audit: ask::Audit) {
         let prefix = audit::prefix(audit.record.as_ref());
         let first = || audit::mark(audit.from_ms, None);
         let after = prefix.clone() + &audit.after.clone().unwrap_or_else(first);
         let scan = Command::Scan {
             prefix,
             after,
-            limit: PAGE,
+            limit: AUDIT_PAGE,
         };
-        if self.operate(Purpose::Audit(request, audit), scan).is_none() {
+        if self
+            .start_command(Purpose::Audit(request, audit), scan)
+            .is_none()
+        {
             self.report(request, Report::Busy);
         }
     }
 
-    pub(super) fn audited(&mut self, request: Request, audit: &ask::Audit, result: Completion) {
+    pub(super) fn on_audit_completion(
+        &mut self,
+        request: Request,
+        audit: &ask::Audit,
+        result: Completion,
+    ) {
         let Completion::Rows(rows) = result else {
             return self.report(request, Report::Unavailable);
         };
-        let wanted = |entry: &audit::Entry| audit.to_ms.is_none_or(|to| entry.at_ms <= to);
+        let in_range = |entry: &audit::Entry| audit.to_ms.is_none_or(|to| entry.at_ms <= to);
         let mut entries: Vec<audit::Entry> = rows.iter().filter_map(row::decode).collect();
-        // There may be more where the page is full and its last entry is not past the end that was asked for.
-        let more = rows.len() >= PAGE as usize && entries.last().is_some_and(wanted);
-        entries.retain(wanted);
+        // There may be more if the page is full and its last entry is still in the requested time.
+        let more = rows.len() >= AUDIT_PAGE as usize && entries.last().is_some_and(in_range);
+        entries.retain(in_range);
         let last = entries.last().filter(|_| more);
         let after = last.map(|entry| audit::mark(entry.at_ms, Some(entry.operation)));
         self.report(request, Report::Audit { entries, after });
     }
 }
 
-fn view(entry: &Entry) -> View {
+fn view_of(entry: &Entry) -> View {
     let record = Arc::clone(&entry.record);
     let value = serde_json::from_str(&record.text);
     View {
--- a/src/core/config/report.rs
+++ b/src/core/config/report.rs
@@ -1,4 +1,4 @@
-//! Reports to operators: what became of what they asked.
+//! The answers to operators' requests.
 
 use serde::{
     Deserialize,
@@ -16,7 +16,7 @@
     },
 };
 
-/// What became of an operator's request.
+/// The answer to an operator's request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(tag = "answer", rename_all = "kebab-case")]
 pub enum Report {
@@ -24,26 +24,26 @@
     Accepted {
         /// The record.
         record: Name,
-        /// The revision that it makes.
+        /// The revision that the change made.
         revision: Revision,
     },
-    /// The change did not take effect, and never will under this operation.
+    /// The change was refused; it never takes effect under this operation.
     Refused(Refusal),
-    /// What would become of the change.
+    /// The result of a dry run.
     Trial {
-        /// The revision that it was tried on.
+        /// The revision against which the change was validated.
         revision: Revision,
-        /// Why it would be refused; none where it would be accepted.
+        /// Why the change would be refused; none if it would be accepted.
         refusal: Option<Refusal>,
-        /// Whether the table's head was read; a trial during an outage is against what this instance applies.
+        /// Whether the table's head was read; in an outage the dry run is against what this instance applies.
         confirmed: bool,
     },
-    /// The operation has been used for another change; this one did not take effect.
+    /// The operation was used for another change before; this one did not take effect.
     Reused {
         /// The operation.
         operation: Operation,
     },
-    /// Records.
+    /// A list of records.
     Records {
         /// The revision that this instance applies.
         revision: Revision,
@@ -52,19 +52,19 @@
     },
     /// One record.
     Record(View),
-    /// Where a record is in force.
+    /// On which instances a record is in force.
     #[serde(rename = "force")]
     Rollout(Rollout),
     /// The instances.
     Instances {
-        /// What each applies.
+        /// The instances, with the revision that each applies.
         instances: Vec<Replica>,
     },
     /// Entries of the audit trail.
     Audit {
         /// The entries in the order of time.
         entries: Vec<audit::Entry>,
-        /// Where to go on, where there is more.
+        /// The position of the next page, if there may be one.
         after: Option<String>,
     },
     /// There is no such record.
@@ -72,13 +72,13 @@
         /// Its name.
         record: Name,
     },
-    /// Too many requests of operators wait here; this one did not take effect.
+    /// Too many requests of operators are waiting; this one did not take effect.
     Busy,
-    /// This instance has no configuration, or no list of workers, yet; nothing took effect.
+    /// This instance has no configuration or no list of workers yet; nothing took effect.
     Unready,
     /// The table can't be reached; nothing took effect.
     Unavailable,
-    /// The change may have taken effect, or may yet: the same operation can be sent again.
+    /// The change may have taken effect, or may yet; it is safe to send the same operation again.
     Unknown,
 }
 
@@ -91,13 +91,13 @@
         /// All of them.
         faults: Vec<Fault>,
     },
-    /// The record is not at the revision that the change names.
+    /// The record isn't at the revision that the change names.
     Conflict {
         /// The record.
         record: Name,
-        /// The revision that it is at.
+        /// The record's revision.
         current: Revision,
-        /// The fields that differ.
+        /// The fields that differ between the record and the change.
         differences: Vec<Difference>,
     },
     /// There is no such record.
@@ -108,7 +108,7 @@
 }
 
 impl Refusal {
-    /// Returns the reasons as lines of text.
+    /// Returns the reasons, one line of text each.
     pub fn lines(&self) -> Vec<String> {
         match self {
             Self::Faulty { faults } => faults.iter().map(Fault::to_string).collect(),
@@ -120,7 +120,7 @@
     }
 }
 
-/// A record as it is shown.
+/// A record, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct View {
     /// Its name.
@@ -129,24 +129,24 @@
     pub revision: Revision,
     /// Whether this version knows its schema.
     pub known: bool,
-    /// What it says.
+    /// Its content; a string if it isn't JSON.
     pub record: Value,
 }
 
-/// Where a record is in force.
+/// On which instances a record is in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Rollout {
     /// The record.
     pub record: Name,
     /// The revision that wrote it.
     pub revision: Revision,
-    /// Whether every instance that is alive applies it.
+    /// Whether every live instance applies it.
     pub everywhere: bool,
     /// The instances.
     pub instances: Vec<Replica>,
 }
 
-/// What one instance applies, as this instance last heard.
+/// The revision that one instance applies, as of its last heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Replica {
     /// The instance.
@@ -155,13 +155,13 @@
     pub centre: Centre,
     /// The revision that it applies.
     pub revision: Revision,
-    /// Whether it is alive, as far as this instance can tell.
+    /// Whether this instance considers it alive.
     pub alive: bool,
     /// Whether the record is in force there.
     pub in_force: bool,
 }
 
-/// An answer with a sentence.
+/// A report with a sentence of advice.
 #[derive(Serialize)]
 struct Described<'a> {
     #[serde(flatten)]
@@ -171,7 +171,7 @@
 }
 
 impl Report {
-    /// Returns the status of the answer in HTTP.
+    /// Returns the HTTP status code of the answer.
     pub fn status(&self) -> u16 {
         match self {
             Self::Trial { refusal, .. } => refusal.as_ref().map_or(200, Refusal::status),
@@ -184,11 +184,11 @@
         }
     }
 
-    /// Returns the body of the answer: JSON text.
+    /// Returns the body of the answer as JSON text.
     ///
     /// # Panics
     ///
-    /// Panics where the answer can't be written as JSON, which its type rules out.
+    /// Panics if the answer can't be written as JSON, which its type rules out.
     pub fn body(&self) -> String {
         let report = self;
         let detail = self.detail();
@@ -196,7 +196,7 @@
         serde_json::to_string(&body).expect("an answer is plain data")
     }
 
-    /// Says what to do, where the answer alone doesn't tell.
+    /// Returns advice on what to do next; empty where the report says enough.
     fn detail(&self) -> &'static str {
         match self {
             Self::Reused { .. } => "nothing took effect; send it with an operation of its own",
@@ -210,7 +210,7 @@
 }
 
 impl Refusal {
-    /// Returns the status of the refusal in HTTP.
+    /// Returns the HTTP status code of the refusal.
     pub fn status(&self) -> u16 {
         match self {
             Self::Faulty { .. } => 422,
--- a/src/core/config/row.rs
+++ b/src/core/config/row.rs
@@ -7,8 +7,8 @@
 //! | `config/change/REVISION`, twenty digits | [`Change`] |
 //! | `config/operation/OPERATION` | [`Decision`] |
 //!
-//! The head is written once with every revision and by nothing else, so that its version is the revision. It never
-//! goes back, which makes a condition on it a condition on the whole configuration.
+//! The head is written once with every revision and never otherwise, so its version equals the revision. The version
+//! never decreases, so a condition on the head is a condition on the whole configuration.
 
 use serde::{
     de::DeserializeOwned,
@@ -29,15 +29,15 @@
 
 /// The key of the head.
 pub const HEAD_KEY: &str = "config/head";
-/// What the keys of records begin with.
+/// The prefix of the keys of records.
 pub const RECORD_PREFIX: &str = "config/record/";
-/// What the keys of changes begin with.
+/// The prefix of the keys of changes.
 pub const CHANGE_PREFIX: &str = "config/change/";
-/// How many changes the table keeps. An instance that is further behind loads the records instead.
+/// How many changes the table keeps. An instance that is further behind loads all records instead.
 pub const KEPT_CHANGES: u64 = 4_096;
-/// Rows in a page of a scan.
+/// The most rows in a page of a scan.
 pub const PAGE_ROWS: u32 = 128;
-/// What the keys of operations begin with.
+/// The prefix of the keys of operations.
 pub const OPERATION_PREFIX: &str = "config/operation/";
 
 /// The newest revision.
@@ -47,7 +47,7 @@
     pub revision: Revision,
 }
 
-/// A record as it is kept.
+/// A record, as stored in the table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stored {
     /// Its name.
@@ -61,13 +61,13 @@
 /// One change of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The revision that it makes.
+    /// The revision that the change makes.
     pub revision: Revision,
     /// The record.
     pub name: Name,
     /// The new text; none for a withdrawal.
     pub text: Option<String>,
-    /// Who asked for it.
+    /// The operator who asked for it.
     pub operator: Operator,
     /// The operation.
     pub operation: Operation,
@@ -75,23 +75,23 @@
     pub from: String,
     /// When the request came, in milliseconds of the wall clock.
     pub at_ms: u64,
-    /// The revision that wrote the record before; none for a new one.
+    /// The revision of the record that it replaced; none for a new record.
     pub before: Option<Revision>,
 }
 
 impl Change {
-    /// Returns about how many bytes it takes.
+    /// Returns about how many bytes of memory the change takes.
     pub fn bytes(&self) -> usize {
         size_of::<Self>() + self.text.as_ref().map_or(0, String::len) + self.from.len()
     }
 }
 
-/// What became of an operation.
+/// The decision on an operation, kept so that a retry gets the same answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Decision {
-    /// The digest of what was asked.
+    /// The digest of the request.
     pub digest: Digest,
-    /// What was reported.
+    /// The end that was reported.
     pub end: End,
 }
 
@@ -99,14 +99,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum End {
-    /// It was accepted.
+    /// The change was accepted.
     Accepted {
         /// The record.
         record: Name,
-        /// The revision that it made.
+        /// The revision that the change made.
         revision: Revision,
     },
-    /// It was refused.
+    /// The change was refused.
     Refused(Refusal),
 }
 
@@ -129,14 +129,14 @@
 ///
 /// # Panics
 ///
-/// Panics where the value can't be written as JSON, which the types of the rows rule out.
+/// Panics if the value can't be written as JSON, which the types of the rows rule out.
 pub fn write(key: String, value: &impl Serialize) -> Write {
     let value = serde_json::to_string(value).expect("a row is plain data");
     let value = Some(value);
     Write { key, value }
 }
 
-/// Reads the value of a row; none where this version can't read it.
+/// Decodes the value of a row; returns none if this version can't.
 pub fn decode<T: DeserializeOwned>(row: &Row) -> Option<T> {
     serde_json::from_str(&row.value).ok()
 }
@@ -149,7 +149,7 @@
     }
 }
 
-/// Returns the condition that an operation has not been settled.
+/// Returns the condition that an operation has no decision yet.
 pub fn unsettled_condition(id: Operation) -> Condition {
     Condition {
         key: operation_key(id),
--- a/src/core/config/state.rs
+++ b/src/core/config/state.rs
@@ -1,4 +1,4 @@
-//! What an instance applies, and what it waits for.
+//! The applied configuration, the configuration being loaded, and the commands and calls in progress.
 
 use std::{
     collections::{
@@ -29,62 +29,64 @@
     },
 };
 
-/// The most changes that are kept for peers that lag behind.
-const MOST_CHANGES: usize = 1_024;
-/// The most bytes of them.
-const MOST_BYTES: usize = 2 << 20;
+/// The most recent changes that are kept for peers that lag behind.
+const MAX_RECENT_CHANGES: usize = 1_024;
+/// The most bytes of recent changes.
+const MAX_RECENT_BYTES: usize = 2 << 20;
 
-/// What an operation or a call is for.
+/// What a command or a call is for.
 #[derive(Debug, Clone)]
 pub(super) enum Purpose {
-    /// For the change that is being judged.
+    /// The change at the front of the queue.
     Edit,
-    /// For the audit trail, write-behind.
+    /// Deferred entries of the audit trail.
     Trail,
-    /// For a question to the audit trail.
+    /// A query of the audit trail.
     Audit(Request, ask::Audit),
     /// A poll of the head.
     Poll,
-    /// For catching up with the table.
+    /// Catching up with the table.
     Sync,
     /// An announcement.
     Announce(Delivery),
-    /// For catching up with a peer.
+    /// Catching up with a peer.
     Peer,
 }
 
-/// An operation or a call in progress.
+/// A command or a call in progress.
 #[derive(Debug, Clone)]
 pub(super) struct Pending {
     pub(super) purpose: Purpose,
-    pub(super) until: Time,
+    /// When it counts as lost.
+    pub(super) expires: Time,
 }
 
-/// An announcement on its way to one peer.
+/// An announcement to one peer.
 #[derive(Debug, Clone)]
 pub(super) struct Delivery {
     pub(super) to: Instance,
-    /// The revision before the changes that it announces.
+    /// The revision before the announced changes.
     pub(super) after: Revision,
-    /// Where it goes to another data centre, which, and how many were tried before.
-    pub(super) outward: Option<(Centre, usize)>,
+    /// For another data centre: which one, and how many of its instances were tried before.
+    pub(super) remote: Option<(Centre, usize)>,
 }
 
-/// Which step of catching up is in progress, one at a time.
+/// The step of a catch-up that is in progress.
 #[derive(Debug)]
 pub(super) enum Stage {
+    /// Nothing is in progress.
     Idle,
     /// The head is being read, before a load.
     Head,
     /// Pages of records are being read.
     Records(Load),
     /// The head is being read again, after the records.
-    Again(Load),
-    /// The changes since are being read, up to this revision.
+    HeadAfterRecords(Load),
+    /// The changes since the load's revision are being read, up to this one.
     Changes(Load, Revision),
-    /// The changes after the applied revision are being read.
+    /// The changes after the applied revision are being read from the table.
     Scan,
-    /// They are being fetched from a peer.
+    /// The changes after the applied revision are being fetched from a peer.
     Fetch,
     /// A snapshot is being fetched from a peer.
     Snapshot(Instance, Load),
@@ -119,10 +121,10 @@
         route.unwrap_or(Err(Missing::Service))
     }
 
-    /// Puts a whole configuration in force, unless one as new is.
+    /// Puts a whole configuration in force, unless the applied one is as new; returns whether it did.
     pub(super) fn install(&mut self, revision: Revision, set: Set) -> bool {
-        // A load that took long may end after newer changes came by another way. To install it would take accepted
-        // records out of force again. Revisions are totally ordered by the table, so comparing them is enough.
+        // A slow load may end after newer changes were applied by other means. Installing it would revert accepted
+        // changes. The table orders all revisions, so comparing them is enough.
         if self.ready && revision <= self.revision {
             return false;
         }
@@ -135,32 +137,36 @@
         true
     }
 
-    /// Puts the change in force that follows on what is applied; any other is left.
+    /// Applies a change if it is the next revision; returns whether it was.
     pub(super) fn apply(&mut self, change: &Change) -> bool {
-        // Announcements come twice, late and out of order. An older one would bring back a record that has been
-        // amended since, a later one would skip a change. Each revision has one change, so applying just the next
-        // one gives every instance the same configuration at the same revision.
+        // Announcements may be duplicated, late and out of order. An older change would revert a record amended since,
+        // and a later one would skip a change. Each revision has one change, so applying only the next one gives every
+        // instance the same configuration at the same revision.
         if !self.ready || change.revision != self.revision.next() {
             return false;
         }
-        replay(&mut self.set, change);
+        apply_to(&mut self.set, change);
         self.revision = change.revision;
         self.routes = self.set.routes();
-        self.keep(change);
+        self.push_recent(change);
         true
     }
 
-    fn keep(&mut self, change: &Change) {
+    fn push_recent(&mut self, change: &Change) {
         self.bytes += change.bytes();
         self.recent.push_back(Arc::new(change.clone()));
-        while self.recent.len() > MOST_CHANGES || self.bytes > MOST_BYTES {
+        while self.recent.len() > MAX_RECENT_CHANGES || self.bytes > MAX_RECENT_BYTES {
             let oldest = self.recent.pop_front();
             self.bytes -= oldest.map_or(0, |change| change.bytes());
         }
     }
 
-    /// Returns the changes after `revision` up to `most` bytes; none where they are no longer held.
-    pub(super) fn since(&self, revision: Revision, most: usize) -> Option<Vec<Change>> {
+    /// Returns the changes after `revision`, up to `max_bytes`; none if they are no longer kept.
+    pub(super) fn changes_after(
+        &self,
+        revision: Revision,
+        max_bytes: usize,
+    ) -> Option<Vec<Change>> {
         if revision >= self.revision {
             return Some(Vec::new());
         }
@@ -175,7 +181,7 @@
         let fits = |change: &&Arc<Change>| {
             let first = bytes == 0;
             bytes += change.bytes();
-            first || bytes <= most
+            first || bytes <= max_bytes
         };
         Some(
             later
@@ -191,6 +197,7 @@
 pub(super) struct Load {
     pub(super) revision: Revision,
     pub(super) set: Set,
+    /// The name of the record that was added last.
     pub(super) last: Option<Name>,
 }
 
@@ -208,19 +215,19 @@
         self.last = Some(stored.name);
     }
 
-    /// Replays the changes that follow without a gap.
+    /// Applies the changes that follow the load's revision without a gap.
     pub(super) fn replay(&mut self, changes: impl IntoIterator<Item = Change>) {
         for change in changes {
             if change.revision == self.revision.next() {
-                replay(&mut self.set, &change);
+                apply_to(&mut self.set, &change);
                 self.revision = change.revision;
             }
         }
     }
 }
 
-/// Does to a set what the change says.
-fn replay(set: &mut Set, change: &Change) {
+/// Applies a change to a set of records.
+fn apply_to(set: &mut Set, change: &Change) {
     match &change.text {
         Some(text) => {
             let record = Record::accepted(change.name.clone(), text.as_str());
--- a/src/core/config/stats.rs
+++ b/src/core/config/stats.rs
@@ -1,26 +1,26 @@
-//! Counts what the configuration costs.
+//! Counts the configuration's load on the table and the peers.
 
-/// Operations on the table and messages to peers since the start.
+/// Counts of commands to the table and calls among peers since the start of the instance.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Polls of the head, within [`Stats::reads`].
+    /// Polls of the head, included in [`Stats::reads`].
     pub polls: u64,
     /// Rows read.
     pub reads: u64,
     /// Scans.
     pub scans: u64,
-    /// Transactions.
+    /// Transactions sent.
     pub commits: u64,
-    /// Rows written in them.
+    /// Writes in those transactions.
     pub writes: u64,
     /// Announcements to peers.
     pub announces: u64,
     /// Fetches of changes from peers.
     pub fetches: u64,
-    /// Pages of snapshots asked of peers.
+    /// Pages of snapshots requested from peers.
     pub snapshots: u64,
-    /// Calls of peers that were returned.
+    /// Calls from peers that were answered.
     pub returns: u64,
-    /// Entries of the audit trail about malformed texts that were dropped to stay within the bound.
+    /// Entries of the audit trail about malformed texts that were dropped since too many were waiting.
     pub dropped: u64,
 }
--- a/src/core/config/sync.rs
+++ b/src/core/config/sync.rs
@@ -1,4 +1,4 @@
-//! Catches up with the table, or with a peer while the table can't be reached.
+//! Catches up with the newest revision, from a peer or from the table, and polls the table's head.
 
 use super::{
     call::{
@@ -29,89 +29,95 @@
     table::wire::Row,
 };
 
-/// The wait after a first failure; it doubles with each further one.
-const BACKOFF: Span = Span::millis(100);
-/// How often the wait doubles at most.
-const DOUBLINGS: u32 = 4;
-/// After how many polls without a notification an instance that isn't elected polls for itself.
+/// The unit of the backoff after failures, which doubles with each one.
+const BACKOFF_UNIT: Span = Span::millis(100);
+/// How many times the backoff doubles at most.
+const MAX_DOUBLINGS: u32 = 4;
+/// An instance that isn't elected polls after this many poll periods without an announcement or a poll.
 const SILENT_POLLS: u64 = 3;
 
-/// How far the instance has got with catching up.
+/// The state of the catch-up.
 #[derive(Debug)]
 pub(super) struct Sync {
     pub(super) stage: Stage,
-    /// The newest revision that was heard of.
+    /// The newest revision that is known to exist.
     pub(super) target: Revision,
-    /// The newest revision that is to be passed on inside the data centre.
-    pub(super) relay: Revision,
-    /// The newest revision of which the other data centres are to be notified too.
-    pub(super) outward: Revision,
-    /// Whether changes are missing that can't be had one by one any more.
+    /// Changes up to this revision are announced inside the data centre once they are applied.
+    pub(super) relay_up_to: Revision,
+    /// Changes up to this revision are announced to all data centres once they are applied.
+    pub(super) announce_up_to: Revision,
+    /// Whether missing changes are no longer kept, so that all records have to be loaded.
     pub(super) gap: bool,
+    /// Consecutive failures of the catch-up.
     pub(super) failures: u32,
-    retry: Time,
-    polling: bool,
-    polled: Time,
-    notified: Time,
+    retry_at: Time,
+    is_polling: bool,
+    last_poll: Time,
+    /// When an announcement or the result of a poll last arrived.
+    last_contact: Time,
 }
 
 impl Sync {
+    /// Creates the state before the first load; the first poll is delayed by `offset`.
     pub(super) fn new(offset: Span) -> Self {
         Self {
             stage: Stage::Idle,
             target: Revision::default(),
-            relay: Revision::default(),
-            outward: Revision::default(),
+            relay_up_to: Revision::default(),
+            announce_up_to: Revision::default(),
             gap: false,
             failures: 0,
-            retry: Time::default(),
-            polling: false,
-            polled: Time::default() + offset,
-            notified: Time::default() + offset,
+            retry_at: Time::default(),
+            is_polling: false,
+            last_poll: Time::default() + offset,
+            last_contact: Time::default() + offset,
         }
     }
 }
 
 impl Config {
-    /// Notes that a revision exists.
-    pub(super) fn aim(&mut self, revision: Revision) {
+    /// Raises the revision to catch up with.
+    pub(super) fn raise_target(&mut self, revision: Revision) {
         self.sync.target = self.sync.target.max(revision);
     }
 
-    /// Notes that a peer sent an announcement, so that this instance is not cut off.
-    pub(super) fn note_notified(&mut self) {
-        self.sync.notified = self.now;
+    /// Records that a peer sent an announcement, which shows that this instance isn't cut off.
+    pub(super) fn record_announcement(&mut self) {
+        self.sync.last_contact = self.now;
     }
 
-    pub(super) fn proceed_sync(&mut self) {
-        if self.is_ready() && !self.sync.polling && self.due() {
-            self.sync.polled = self.now;
-            self.sync.polling = self.read_head(Purpose::Poll);
-            self.stats.polls += u64::from(self.sync.polling);
+    /// Polls the head if a poll is due, and starts a catch-up if one is needed and none is in progress.
+    pub(super) fn advance_sync(&mut self) {
+        if self.is_ready() && !self.sync.is_polling && self.is_poll_due() {
+            self.sync.last_poll = self.now;
+            self.sync.is_polling = self.read_head(Purpose::Poll);
+            self.stats.polls += u64::from(self.sync.is_polling);
         }
-        if !matches!(self.sync.stage, Stage::Idle) || self.now < self.sync.retry {
+        if !matches!(self.sync.stage, Stage::Idle) || self.now < self.sync.retry_at {
             return;
         }
         if !self.is_ready() || self.sync.gap {
             self.start_load();
         } else if self.revision() < self.sync.target {
-            self.start_changes();
+            self.fetch_changes();
         }
     }
 
-    /// Tells whether the head is to be polled: by one instance in each data centre, and by one that is not notified.
-    fn due(&self) -> bool {
+    /// Returns whether this instance has to poll the head: as the elected one of its data centre, or after a time without
+    /// announcements.
+    fn is_poll_due(&self) -> bool {
         let since = |time| self.now.since(time);
         let silent = self.poll.times(SILENT_POLLS);
-        if since(self.sync.polled) < self.poll {
+        if since(self.sync.last_poll) < self.poll {
             return false;
         }
-        // The elected instance may be cut off without anyone's noticing, and announcements may be lost. An instance
-        // that trusted in both would then apply an old configuration for good; so it looks for itself after a while.
-        since(self.sync.polled.max(self.sync.notified)) >= silent || self.elected()
+        // The elected instance may be partitioned, and announcements may be lost. Without its own polls, this instance
+        // could apply an old configuration for good.
+        since(self.sync.last_poll.max(self.sync.last_contact)) >= silent || self.is_elected()
     }
 
-    fn elected(&self) -> bool {
+    /// Returns whether this instance polls for its data centre: it ranks first among the live ones.
+    fn is_elected(&self) -> bool {
         let alive = self
             .peers
             .values()
@@ -120,60 +126,64 @@
         propagation::rank_instances(&self.centre, names).first() == Some(&&self.name)
     }
 
+    /// Reads the head of the table; returns whether the read was started.
     pub(super) fn read_head(&mut self, purpose: Purpose) -> bool {
         let read = Command::Read(row::HEAD_KEY.to_owned());
-        self.operate(purpose, read).is_some()
+        self.start_command(purpose, read).is_some()
     }
 
+    /// Reads a page of rows after a key; returns whether the scan was started.
     pub(super) fn scan(&mut self, prefix: &str, after: String) -> bool {
         let scan = Command::Scan {
             prefix: prefix.to_owned(),
             after,
             limit: PAGE_ROWS,
         };
-        self.operate(Purpose::Sync, scan).is_some()
+        self.start_command(Purpose::Sync, scan).is_some()
     }
 
-    /// Enters a stage, where its operation or call could be started.
-    pub(super) fn enter(&mut self, started: bool, stage: Stage) {
+    /// Enters a stage if its command or call could be started; otherwise the catch-up fails.
+    pub(super) fn enter_stage(&mut self, started: bool, stage: Stage) {
         match started {
             true => self.sync.stage = stage,
-            false => self.failed(),
+            false => self.fail_sync(),
         }
     }
 
-    pub(super) fn failed(&mut self) {
+    /// Ends the catch-up that is in progress; the next one waits for the backoff.
+    pub(super) fn fail_sync(&mut self) {
         let sync = &mut self.sync;
         sync.stage = Stage::Idle;
         sync.failures = sync.failures.saturating_add(1);
-        sync.retry = self.now + BACKOFF.times(1 << sync.failures.min(DOUBLINGS));
+        sync.retry_at = self.now + BACKOFF_UNIT.times(1 << sync.failures.min(MAX_DOUBLINGS));
     }
 
-    pub(super) fn succeeded(&mut self) {
+    pub(super) fn finish_sync(&mut self) {
         self.sync.stage = Stage::Idle;
         self.sync.failures = 0;
     }
 
-    /// Gets the changes that are missing: from a peer first, which costs the table nothing, and by turns from the table.
-    fn start_changes(&mut self) {
+    /// Fetches the missing changes: from a peer first, to spare the table, and after each failure from the table and a
+    /// peer in turn.
+    fn fetch_changes(&mut self) {
         let after = self.revision();
         let ahead = self
-            .highest()
+            .most_advanced_peer()
             .filter(|peer| self.peers[peer].revision > after);
         match ahead {
             Some(peer) if self.sync.failures.is_multiple_of(2) => {
-                let started = self.call(Purpose::Peer, peer, Call::Fetch { after });
-                self.enter(started.is_some(), Stage::Fetch);
+                let started = self.start_call(Purpose::Peer, peer, Call::Fetch { after });
+                self.enter_stage(started.is_some(), Stage::Fetch);
             }
             _ => {
                 let started = self.scan(row::CHANGE_PREFIX, row::change_key(after));
-                self.enter(started, Stage::Scan);
+                self.enter_stage(started, Stage::Scan);
             }
         }
     }
 
-    /// Returns the peer with the highest revision; after failures the next one.
-    pub(super) fn highest(&self) -> Option<Instance> {
+    /// Returns the live peer with the highest revision, or one further down the order after failures.
+    pub(super) fn most_advanced_peer(&self) -> Option<Instance> {
         let mut alive: Vec<_> = self.peers.values().filter(|peer| peer.alive).collect();
         alive.sort_by(|a, b| {
             b.revision
@@ -185,39 +195,43 @@
         Some(peer.name.clone())
     }
 
-    pub(super) fn polled(&mut self, result: Completion) {
-        self.sync.polling = false;
+    /// Handles the completion of a poll.
+    pub(super) fn on_poll_completion(&mut self, result: Completion) {
+        self.sync.is_polling = false;
         if let Completion::Row(row) = result {
-            self.sync.notified = self.now;
-            // A poll that was slow may carry an older head than what is applied: nothing is to be done then.
-            match head(row.as_ref()) {
+            self.sync.last_contact = self.now;
+            // A slow poll may return an older head than the applied revision; it is ignored.
+            match decode_head(row.as_ref()) {
                 Some(head) if head > self.revision() => {
-                    self.sync.relay = self.sync.relay.max(head);
-                    self.aim(head);
+                    self.sync.relay_up_to = self.sync.relay_up_to.max(head);
+                    self.raise_target(head);
                 }
                 _ => {}
             }
         }
     }
 
-    pub(super) fn synced(&mut self, result: Completion) {
+    /// Handles the completion of a command of the catch-up.
+    pub(super) fn on_sync_completion(&mut self, result: Completion) {
         let stage = std::mem::replace(&mut self.sync.stage, Stage::Idle);
         match (stage, result) {
-            (Stage::Head, Completion::Row(row)) => match head(row.as_ref()) {
+            (Stage::Head, Completion::Row(row)) => match decode_head(row.as_ref()) {
                 Some(revision) => self.scan_records(Load::at(revision)),
-                None => self.failed(),
-            },
-            (Stage::Records(load), Completion::Rows(rows)) => self.loaded_rows(load, &rows),
-            (Stage::Again(load), Completion::Row(row)) => match head(row.as_ref()) {
-                Some(head) if head >= load.revision => self.replay_or_install(load, head),
-                _ => self.failed(),
+                None => self.fail_sync(),
             },
+            (Stage::Records(load), Completion::Rows(rows)) => self.on_record_rows(load, &rows),
+            (Stage::HeadAfterRecords(load), Completion::Row(row)) => {
+                match decode_head(row.as_ref()) {
+                    Some(head) if head >= load.revision => self.replay_or_install(load, head),
+                    _ => self.fail_sync(),
+                }
+            }
             (Stage::Changes(mut load, head), Completion::Rows(rows)) => {
                 let before = load.revision;
                 load.replay(rows.iter().filter_map(row::decode));
                 match load.revision > before {
                     true => self.replay_or_install(load, head),
-                    false => self.failed(),
+                    false => self.fail_sync(),
                 }
             }
             (Stage::Scan, Completion::Rows(rows)) => {
@@ -225,26 +239,29 @@
                 if !self.apply_all(changes) {
                     self.sync.gap = self.revision() < self.sync.target;
                 }
-                self.succeeded();
+                self.finish_sync();
             }
-            _ => self.failed(),
+            _ => self.fail_sync(),
         }
     }
 
-    pub(super) fn fetched(&mut self, result: Option<Return>) {
+    /// Handles the return of a call of the catch-up.
+    pub(super) fn on_fetch_return(&mut self, result: Option<Return>) {
         let stage = std::mem::replace(&mut self.sync.stage, Stage::Idle);
         match (stage, result) {
             (Stage::Fetch, Some(Return::Changes(changes))) => match self.apply_all(changes) {
-                true => self.succeeded(),
-                false => self.failed(),
+                true => self.finish_sync(),
+                false => self.fail_sync(),
             },
             (Stage::Fetch, Some(Return::Gap)) => self.sync.gap = true,
-            (Stage::Snapshot(peer, load), Some(Return::Page(page))) => self.paged(peer, load, page),
-            _ => self.failed(),
+            (Stage::Snapshot(peer, load), Some(Return::Page(page))) => {
+                self.on_page(peer, load, page)
+            }
+            _ => self.fail_sync(),
         }
     }
 
-    /// Puts those changes in force that follow on what is applied; tells whether there was one.
+    /// Applies the changes that follow the applied revision; returns whether there was one.
     pub(super) fn apply_all(&mut self, changes: Vec<Change>) -> bool {
         let before = self.revision();
         for change in &changes {
@@ -253,15 +270,16 @@
         self.revision() > before
     }
 
+    /// Applies a change if it is the next revision, and marks it to be announced where that is due.
     pub(super) fn apply(&mut self, change: &Change) {
         let before = self.revision();
         if !self.applied.apply(change) {
             return;
         }
-        if change.revision <= self.sync.outward {
-            self.note_commit(before);
-        } else if change.revision <= self.sync.relay {
-            self.note_change(before);
+        if change.revision <= self.sync.announce_up_to {
+            self.mark_for_all_centres(before);
+        } else if change.revision <= self.sync.relay_up_to {
+            self.mark_for_notification(before);
         }
         let known = |entry: &crate::record::set::Entry| entry.record.known();
         if !self.applied.set().get(&change.name).is_none_or(known) {
@@ -270,8 +288,8 @@
     }
 }
 
-/// Returns the revision of the head, which is zero where there is no row yet; none where it can't be read.
-fn head(row: Option<&Row>) -> Option<Revision> {
+/// Returns the revision in the head's row: zero if there is no row yet, none if it can't be decoded.
+fn decode_head(row: Option<&Row>) -> Option<Revision> {
     match row {
         None => Some(Revision::default()),
         Some(row) => row::decode::<Head>(row).map(|head| head.revision),
--- a/src/core/config/trail.rs
+++ b/src/core/config/trail.rs
@@ -1,6 +1,6 @@
-//! Keeps what is to be written into the audit trail later: entries about texts that are no records at all.
+//! Writes deferred entries of the audit trail: those about malformed texts.
 //!
-//! Such a text is refused without a look at the table, so that the operator hears of it even in an outage.
+//! A malformed text is refused without the table, so that the operator gets the answer even in an outage.
 
 use std::collections::VecDeque;
 
@@ -32,7 +32,7 @@
 };
 
 /// The most entries that wait to be written.
-const MOST_ENTRIES: usize = 64;
+const MAX_ENTRIES: usize = 64;
 
 /// Entries that wait to be written.
 #[derive(Debug, Default)]
@@ -40,10 +40,11 @@
     entries: VecDeque<audit::Entry>,
     /// How many of them are being written.
     writing: usize,
-    retry: Time,
+    retry_at: Time,
 }
 
 impl Config {
+    /// Refuses a change whose text is malformed, and queues its entry in the audit trail unless too many wait.
     pub(super) fn refuse_malformed(
         &mut self,
         request: Request,
@@ -60,11 +61,11 @@
             };
             return self.report(request, report);
         }
-        match self.trail.entries.len() < MOST_ENTRIES {
+        match self.trail.entries.len() < MAX_ENTRIES {
             true => {
                 let name = edit.act.name().cloned();
                 let name = name.or_else(|| edit.act.text().and_then(record::name));
-                let entry = entry(&self.name, edit, name, None, None, refusal.lines());
+                let entry = make_entry(&self.name, edit, name, None, None, refusal.lines());
                 self.trail.entries.push_back(entry);
             }
             false => self.stats.dropped += 1,
@@ -76,9 +77,10 @@
         self.report(request, Report::Refused(refusal));
     }
 
-    pub(super) fn proceed_trail(&mut self) {
+    /// Writes all waiting entries, unless a write is in progress.
+    pub(super) fn advance_trail(&mut self) {
         let trail = &self.trail;
-        if trail.writing > 0 || trail.entries.is_empty() || self.now < trail.retry {
+        if trail.writing > 0 || trail.entries.is_empty() || self.now < trail.retry_at {
             return;
         }
         let group = Group {
@@ -91,24 +93,25 @@
         };
         let count = trail.entries.len();
         if self
-            .operate(Purpose::Trail, Command::Commit(group))
+            .start_command(Purpose::Trail, Command::Commit(group))
             .is_some()
         {
             self.trail.writing = count;
         }
     }
 
-    pub(super) fn trailed(&mut self, result: Completion) {
+    /// Removes the entries that were written; after a failure they are written again later.
+    pub(super) fn on_trail_completion(&mut self, result: Completion) {
         let written = std::mem::take(&mut self.trail.writing);
         match result {
             Completion::Verdict(_) => drop(self.trail.entries.drain(..written)),
-            _ => self.trail.retry = self.now + Span::seconds(1),
+            _ => self.trail.retry_at = self.now + Span::seconds(1),
         }
     }
 }
 
-/// Makes the entry of the audit trail; a text that is too long for a record is cut.
-pub(super) fn entry(
+/// Creates an entry of the audit trail; a text longer than [`LONGEST_TEXT`] is truncated.
+pub(super) fn make_entry(
     instance: &Instance,
     edit: &ask::Edit,
     record: Option<Name>,
@@ -116,7 +119,7 @@
     before: Option<String>,
     refused: Vec<String>,
 ) -> audit::Entry {
-    let cut = |text: &str| text.chars().scan(0, keep).collect();
+    let truncate = |text: &str| text.chars().scan(0, take_while_short).collect();
     audit::Entry {
         at_ms: edit.at_ms,
         operation: edit.operation,
@@ -127,12 +130,13 @@
         record,
         revision,
         before,
-        after: edit.act.text().map(cut),
+        after: edit.act.text().map(truncate),
         refused,
     }
 }
 
-fn keep(bytes: &mut usize, c: char) -> Option<char> {
+/// Passes characters on until they exceed [`LONGEST_TEXT`] bytes, `bytes` being those passed so far.
+fn take_while_short(bytes: &mut usize, c: char) -> Option<char> {
     *bytes += c.len_utf8();
     (*bytes <= LONGEST_TEXT).then_some(c)
 }
