--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -25,7 +25,8 @@
 }
 
 quickcheck! {
-    /// What is refused counts nothing, what is admitted counts whole, no bound is passed, and all is given back.
+    /// A refused job leaves the usage as it was, an admitted one counts in full, no limit is exceeded, and releases
+    /// bring the usage back to zero.
     fn counts_whole_jobs_or_nothing(steps: Vec<(u8, u8, u16, bool)>) -> bool {
         let limits = limits();
         let mut admission = Admission::new(&limits, 3);
@@ -49,11 +50,11 @@
             }
             let usage = admission.usage();
             let held: usize = admitted.iter().map(|(_, tasks, _)| *tasks as usize).sum();
-            let within = usage.jobs <= limits.jobs
+            let is_within_limits = usage.jobs <= limits.jobs
                 && usage.bytes <= limits.bytes
                 && usage.tasks <= limits.waiting
                 && admission.team_usage(&teams[0]).tasks <= 100;
-            if !within || usage.tasks != held || usage.jobs != admitted.len() {
+            if !is_within_limits || usage.tasks != held || usage.jobs != admitted.len() {
                 return false;
             }
         }
@@ -66,31 +67,28 @@
 
 #[test]
 fn a_flood_leaves_room_for_others() {
-    // The caller of a small job is refused as busy although its team has nothing in progress. Another team has sent
-    // as many jobs as the instance would take, all with time to spare. The flood must be refused before everything
-    // is taken, so that each of several other teams still gets in.
+    // Guards against one team's burst that fills the instance, so that other teams' small jobs are refused as busy.
     let mut admission = Admission::new(&limits(), 3);
-    let flood = name("flood");
+    let burst = name("flood");
     let jobs = (0..100)
         .filter(|_| {
             admission
-                .admit(Time(0), &demand(&flood, 2, Span::millis(50)))
+                .admit(Time(0), &demand(&burst, 2, Span::millis(50)))
                 .is_ok()
         })
         .count();
     assert!(jobs >= 10, "only {jobs} jobs of a team that was alone");
     for team in 0..3 {
         let team = name(format!("team-{team}"));
-        let taken = admission.admit(Time(0), &demand(&team, 2, Span::millis(50)));
-        assert!(taken.is_ok(), "{team}: {taken:?}");
+        let admitted = admission.admit(Time(0), &demand(&team, 2, Span::millis(50)));
+        assert!(admitted.is_ok(), "{team}: {admitted:?}");
     }
 }
 
 #[test]
 fn refuses_at_once_what_would_come_late() {
-    // The caller waits for its whole deadline and then gets a failure. The work ahead of its job was more than the
-    // slots could do in that time, as was known on arrival. It must be refused at once, as busy, with a time to come
-    // back. Another team's job waits for its fair share only, and gets in.
+    // Guards against jobs that are admitted although the work ahead of them makes them miss their deadline. They are
+    // refused at once with a delay for the retry; another team's job waits for its fair share only and is admitted.
     let mut admission = Admission::new(&Limits::default(), 3);
     let (busy, other) = (name("busy"), name("other"));
     let refusal = (0..100)
@@ -115,8 +113,8 @@
 
 #[test]
 fn learns_that_declarations_are_too_short() {
-    // The caller's job is admitted and misses its deadline. Tasks are declared at a tenth of what they take, so the
-    // work ahead looks like a tenth of what it is. After some hundred ends the real ratio must be applied.
+    // Guards against missed deadlines when tasks are declared at a tenth of their run time: the actual ratio has to be
+    // learned and applied.
     let mut admission = Admission::new(&Limits::default(), 3);
     for _ in 0..1_000 {
         admission.record_run_time(Span::millis(50), Span::millis(500));
@@ -127,7 +125,7 @@
         admission.scale()
     );
     let team = name("busy");
-    let taken = (0..1_000)
+    let admitted = (0..1_000)
         .filter(|_| {
             admission
                 .admit(Time(0), &demand(&team, 20, Span::millis(50)))
@@ -135,15 +133,15 @@
         })
         .count();
     assert!(
-        (5..=10).contains(&taken),
-        "{taken} jobs of 10 s each on 8 slots"
+        (5..=10).contains(&admitted),
+        "{admitted} jobs of 10 s each on 8 slots"
     );
 }
 
 #[test]
-fn returns_are_spread() {
-    // Callers that were refused in one moment are refused again and again, together. All were told the same time to
-    // come back. 200 jobs that need 400 s of 8 slots must be spread over the span that is allowed for coming back.
+fn retries_are_spread() {
+    // Guards against retries that come all at once and are refused together again: the delays of 200 refused jobs have
+    // to be spread over the allowed range.
     let mut admission = Admission::new(&Limits::default(), 3);
     let team = name("busy");
     while admission
@@ -163,10 +161,9 @@
 }
 
 #[test]
-fn tells_never_from_later() {
-    // The caller comes back for ever. Its job is larger than a bound, or alone far longer than its deadline, so that
-    // no later time would help. It must be told so by a refusal without a time to come back; one that is over its
-    // quota for the moment, or finds no slots, gets such a time.
+fn only_jobs_that_can_be_admitted_later_get_a_retry_delay() {
+    // Guards against endless retries of a job that can never be admitted: too large, or far longer than its deadline.
+    // It gets no delay for a retry; a job over its quota, or without slots for now, gets one.
     let mut admission = Admission::new(&limits(), 3);
     let team = name("large");
     let large = admission
--- a/tests/policy/membership.rs
+++ b/tests/policy/membership.rs
@@ -1,8 +1,8 @@
 use crate::support::*;
 
-/// Data centres at the size that is expected in two years, and today.
-const MANY: usize = 17;
-const TODAY: usize = 3;
+/// The numbers of data centres in these tests.
+const MANY_CENTRES: usize = 17;
+const FEW_CENTRES: usize = 3;
 
 fn centre(number: usize, centres: usize) -> Centre {
     name(format!("centre-{}", number % centres))
@@ -36,7 +36,7 @@
 fn heartbeat(number: usize, incarnation: u128) -> Heartbeat {
     Heartbeat {
         name: instance(number),
-        centre: centre(number, TODAY),
+        centre: centre(number, FEW_CENTRES),
         incarnation: Incarnation(incarnation),
         revision: Revision(1),
         draining: false,
@@ -44,15 +44,17 @@
     }
 }
 
-/// Instances that exchange heartbeats at once; those that are down refuse.
-struct Group {
+/// Simulated instances that exchange heartbeats without delay; those that are down refuse calls.
+///
+/// Each has its view, its incarnation and whether it is up.
+struct Cluster {
     now: Time,
     centres: usize,
     views: Vec<(Membership, u128, bool)>,
     calls: usize,
 }
 
-impl Group {
+impl Cluster {
     fn new(count: usize, centres: usize) -> Self {
         let list: Vec<Member> = (0..count).map(|number| member(number, centres)).collect();
         let start = |number| {
@@ -73,9 +75,9 @@
             .map(|number| member(number, self.centres))
             .collect();
         let incarnation = self.views[number].1 + 1_000;
-        let mut fresh = view(number, incarnation, self.centres);
-        fresh.apply_list(self.now, &list);
-        self.views[number] = (fresh, incarnation, true);
+        let mut restarted = view(number, incarnation, self.centres);
+        restarted.apply_list(self.now, &list);
+        self.views[number] = (restarted, incarnation, true);
     }
 
     fn run(&mut self, span: Span) {
@@ -102,12 +104,12 @@
                 self.views[from].0.on_call_failed(self.now, &to);
                 continue;
             }
-            self.tell(from, number);
-            self.tell(number, from);
+            self.send_heartbeat(from, number);
+            self.send_heartbeat(number, from);
         }
     }
 
-    fn tell(&mut self, from: usize, to: usize) {
+    fn send_heartbeat(&mut self, from: usize, to: usize) {
         let observations = self.views[from].0.next_observations(self.now);
         let mut heartbeat = heartbeat(from, self.views[from].1);
         heartbeat.centre = centre(from, self.centres);
@@ -115,33 +117,33 @@
         self.views[to].0.on_observations(self.now, &observations);
     }
 
-    /// Returns the instance that this one takes for the one that polls for its data centre, as its configuration does.
-    fn elected(&self, own: usize, place: &Centre) -> Option<Instance> {
-        let near = |peer: &&Peer| peer.alive && peer.centre == *place;
-        let peers = self.views[own].0.peers().filter(near);
+    /// Returns the instance that `own` expects to poll for a data centre, as the configuration ranks them.
+    fn elected(&self, own: usize, home: &Centre) -> Option<Instance> {
+        let is_local = |peer: &&Peer| peer.alive && peer.centre == *home;
+        let peers = self.views[own].0.peers().filter(is_local);
         let me = instance(own);
         let names = peers.map(|peer| &peer.name).chain([&me]);
-        rank_instances(place, names)
+        rank_instances(home, names)
             .first()
             .map(|name| (*name).clone())
     }
 
-    /// Tells whether the instances of each data centre that are up elect the same one of them.
-    fn elect_alike(&self) -> bool {
+    /// Returns whether the instances of each data centre that are up elect the same one, which is up too.
+    fn elections_agree(&self) -> bool {
         (0..self.centres).all(|number| {
-            let place = centre(number, self.centres);
-            let near = |own: usize| centre(own, self.centres) == place && self.views[own].2;
-            let views = (0..self.views.len()).filter(|own| near(*own));
-            let choices = views.map(|own| self.elected(own, &place));
+            let home = centre(number, self.centres);
+            let is_local = |own: usize| centre(own, self.centres) == home && self.views[own].2;
+            let views = (0..self.views.len()).filter(|own| is_local(*own));
+            let choices = views.map(|own| self.elected(own, &home));
             let choices: BTreeSet<_> = choices.collect();
             let up = |choice: &Option<Instance>| {
-                (0..self.views.len()).any(|own| near(own) && *choice == Some(instance(own)))
+                (0..self.views.len()).any(|own| is_local(own) && *choice == Some(instance(own)))
             };
             choices.len() <= 1 && choices.iter().all(up)
         })
     }
 
-    /// Tells whether every instance that is up knows where every other one's keys are.
+    /// Returns whether each instance that is up sees all others that are up as alive, under their incarnations.
     fn converged(&self) -> bool {
         let up = || self.views.iter().enumerate().filter(|(_, view)| view.2);
         up().all(|(own, (view, ..))| {
@@ -158,52 +160,50 @@
 }
 
 quickcheck! {
-    /// Whatever stopped and restarted, the views agree with the truth after a while, and elect alike: within a data
-    /// centre after seconds, over all of them after minutes, though the list is never put right.
+    /// After any stops and restarts, the elections agree within seconds and all views converge within minutes, although
+    /// the list stays stale.
     fn views_converge(events: Vec<(u8, bool)>) -> bool {
-        let mut group = Group::new(7, TODAY);
+        let mut cluster = Cluster::new(7, FEW_CENTRES);
         for (number, up) in events.into_iter().take(20) {
             let number = usize::from(number) % 7;
             match up {
-                true => group.restart(number),
-                false => group.views[number].2 = false,
+                true => cluster.restart(number),
+                false => cluster.views[number].2 = false,
             }
-            group.run(Span::millis(300));
+            cluster.run(Span::millis(300));
         }
-        group.run(Span::seconds(5));
-        let near = group.elect_alike();
-        group.run(Span::seconds(200));
-        near && group.elect_alike() && group.converged()
+        cluster.run(Span::seconds(5));
+        let agree_early = cluster.elections_agree();
+        cluster.run(Span::seconds(200));
+        agree_early && cluster.elections_agree() && cluster.converged()
     }
 }
 
 #[test]
 fn a_rolling_restart_leaves_no_old_incarnation() {
-    // The caller resubmits a key of a range and is told "unknown", although its owner runs; or its submission goes to
-    // an incarnation that is gone. All instances have restarted one after the other, under their old names. Every
-    // view must have each new incarnation, and know of each old one that it is gone.
-    let mut group = Group::new(7, TODAY);
-    group.run(Span::seconds(5));
-    assert!(group.converged());
+    // Guards against submissions that are forwarded to an ended incarnation, or answered "unknown" while the owner runs,
+    // after a rolling restart under the same names.
+    let mut cluster = Cluster::new(7, FEW_CENTRES);
+    cluster.run(Span::seconds(5));
+    assert!(cluster.converged());
     for number in 0..7 {
-        group.views[number].2 = false;
-        group.run(Span::seconds(1));
-        group.restart(number);
-        group.run(Span::seconds(3));
+        cluster.views[number].2 = false;
+        cluster.run(Span::seconds(1));
+        cluster.restart(number);
+        cluster.run(Span::seconds(3));
     }
-    assert!(group.converged());
-    let (view, ..) = &group.views[0];
+    assert!(cluster.converged());
+    let (view, ..) = &cluster.views[0];
     assert!((2..=7)
         .all(|old| view.has_ended(Incarnation(old)) && view.owner(Incarnation(old)).is_none()));
 }
 
 #[test]
 fn a_late_heartbeat_brings_no_old_incarnation_back() {
-    // The caller's submission is sent to an owner that has ended. A heartbeat of the old incarnation, held up on the
-    // way, arrives after those of the new one; a peer that has not heard of the restart passes the old one on. The
-    // new one must stay. Where the new one then falls silent and the other goes on, the view was wrong, and turns.
-    let mut view = view(0, 1, TODAY);
-    view.apply_list(Time(0), &[member(1, TODAY)]);
+    // Guards against a delayed heartbeat or an outdated observation that replaces a newer incarnation. Once the newer one
+    // is silent while the other goes on, the view has to switch.
+    let mut view = view(0, 1, FEW_CENTRES);
+    view.apply_list(Time(0), &[member(1, FEW_CENTRES)]);
     let (old, new) = (Incarnation(10), Incarnation(11));
     view.on_heartbeat(Time(0), &heartbeat(1, old.0));
     view.on_heartbeat(Time(1_000), &heartbeat(1, new.0));
@@ -222,17 +222,16 @@
 
 #[test]
 fn a_silent_peer_is_lost() {
-    // The caller waits for a peer that hangs. Its heartbeats go out, and nothing comes back, neither a return nor a
-    // refusal. Once the first has been unanswered for the span of silence, the peer must count as gone, also when
-    // the list goes on showing it; as there when it is heard again; and as gone at once when a call to it fails.
-    let mut view = view(0, 1, TODAY);
+    // Guards against callers that wait for a hung peer. A peer is lost after the silence timeout although the list still
+    // shows it, is found when it is heard again, and is lost at once when a call to it fails.
+    let mut view = view(0, 1, FEW_CENTRES);
     let peer = instance(3);
-    view.apply_list(Time(0), &[member(3, TODAY)]);
+    view.apply_list(Time(0), &[member(3, FEW_CENTRES)]);
     assert!(view.is_alive(Time(0), &peer));
     let mut actions = Vec::new();
     for tick in 0..60 {
         let now = Time(0) + Span::millis(50 * tick);
-        view.apply_list(now, &[member(3, TODAY)]);
+        view.apply_list(now, &[member(3, FEW_CENTRES)]);
         actions.extend(view.tick(now));
     }
     assert!(actions.contains(&Action::Lost(peer.clone())), "{actions:?}");
@@ -246,23 +245,21 @@
 
 #[test]
 fn heartbeats_stay_bounded_at_any_size() {
-    // Operators see the network filled by heartbeats: each instance calls each, and the messages grow with the
-    // square. At 320 instances each may make about six calls a second, and all must know each other all the same,
-    // 75 s after they were started together.
-    let mut group = Group::new(320, MANY);
-    group.run(Span::seconds(75));
-    assert!(group.converged());
-    let before = group.calls;
-    group.run(Span::seconds(10));
-    let each = (group.calls - before) as f64 / 320.0 / 10.0;
+    // Guards against heartbeat traffic that grows with the square of the number of instances. With 320 of them, each
+    // makes at most seven calls a second, and all views converge within 75 s of a common start.
+    let mut cluster = Cluster::new(320, MANY_CENTRES);
+    cluster.run(Span::seconds(75));
+    assert!(cluster.converged());
+    let before = cluster.calls;
+    cluster.run(Span::seconds(10));
+    let each = (cluster.calls - before) as f64 / 320.0 / 10.0;
     assert!(each <= 7.0, "{each} calls a second of each instance");
 }
 
 #[test]
 fn ever_new_names_fill_no_memory() {
-    // The instance dies for want of memory. Heartbeats come under ever new names, and incarnations change without
-    // end. Peers and the incarnations that are gone must stay bounded.
-    let mut view = view(0, 1, TODAY);
+    // Guards against unbounded memory when heartbeats keep coming under new names or new incarnations.
+    let mut view = view(0, 1, FEW_CENTRES);
     for number in 1..10_000 {
         view.on_heartbeat(Time(number as u64), &heartbeat(number, number as u128));
     }
@@ -278,23 +275,27 @@
 
 #[test]
 fn endpoints_are_shared_by_those_who_use_them() {
-    // The caller waits although its endpoints are idle. A hundred instances share their connections by number, so that
-    // each gets one, though all but six are in data centres that never use them. Only the instances of the data
-    // centres that this one uses may count; with none named, all use all.
-    let mut view = view(0, 1, MANY);
-    let members: Vec<_> = (1..102).map(|number| member(number, MANY)).collect();
+    // Guards against idle endpoints because connections are divided among instances that never use them: only those in
+    // the given data centres count, or all if none is given.
+    let mut view = view(0, 1, MANY_CENTRES);
+    let members: Vec<_> = (1..102)
+        .map(|number| member(number, MANY_CENTRES))
+        .collect();
     view.apply_list(Time(0), &members);
     assert_eq!(view.live_count_in(&[]), 102);
-    assert_eq!(view.live_count_in(&[centre(0, MANY)]), 6);
-    assert_eq!(view.live_count_in(&[centre(0, MANY), centre(1, MANY)]), 12);
+    assert_eq!(view.live_count_in(&[centre(0, MANY_CENTRES)]), 6);
+    assert_eq!(
+        view.live_count_in(&[centre(0, MANY_CENTRES), centre(1, MANY_CENTRES)]),
+        12
+    );
 }
 
 #[test]
-fn an_instance_is_acquainted_with_those_who_answer() {
-    // The caller is told that the owner of its key is gone, by an instance that has just started and has heard nobody.
-    // It must wait for the peers that it knows of, but not for longer than a silent peer is waited for.
-    let mut view = view(0, 1, TODAY);
-    view.apply_list(Time(0), &[member(3, TODAY)]);
+fn a_started_instance_waits_for_its_peers() {
+    // Guards against an instance that has just started and reports the owner of a key as lost. It waits for its listed
+    // peers, but no longer than the silence timeout.
+    let mut view = view(0, 1, FEW_CENTRES);
+    view.apply_list(Time(0), &[member(3, FEW_CENTRES)]);
     assert!(!view.has_converged(Time(0), Time(0)));
     let silence = Timing::default().silence;
     assert!(view.has_converged(Time(0) + silence, Time(0)));
