--- a/src/core.rs
+++ b/src/core.rs
@@ -307,6 +307,7 @@
         }
     }
 
+    /// Applies the platform's list: its instances, its endpoints, and the shares that depend on their number.
     fn apply_list(&mut self, list: &Arc<List>) {
         self.first_listed.get_or_insert(self.now);
         self.membership.apply_list(self.now, &list.instances);
@@ -330,6 +331,7 @@
         self.dispatch();
     }
 
+    /// Passes a change of the listed endpoints on to health, and logs endpoints that leave.
     fn apply_endpoint_change(&mut self, change: placement::Change) {
         use placement::Change;
         match change {
@@ -349,6 +351,7 @@
         }
     }
 
+    /// Runs the periodic work.
     fn on_tick(&mut self) {
         let dropped = self.registry.trim(self.now);
         self.log_forgotten(dropped);
@@ -358,6 +361,7 @@
         self.dispatch();
     }
 
+    /// Logs keys that were dropped because the registry is full.
     fn log_forgotten(&mut self, dropped: usize) {
         // Keys expire by age all the time; only a full registry is logged.
         if dropped > 0 && self.registry.full() {
@@ -365,6 +369,7 @@
         }
     }
 
+    /// Starts a drain: no new jobs are taken, and those in progress are finished.
     fn start_drain(&mut self) {
         if self.draining.is_none() {
             self.draining = Some(self.now);
@@ -385,6 +390,7 @@
         }
     }
 
+    /// Logs once that the instance has become ready.
     fn report_ready(&mut self) {
         if !self.was_ready && self.is_ready() {
             self.was_ready = true;
@@ -395,6 +401,7 @@
         }
     }
 
+    /// Reports once that the drain is complete.
     fn report_drained(&mut self) {
         if self.draining.is_none() || self.reported_drained {
             return;
@@ -405,6 +412,7 @@
         }
     }
 
+    /// Passes an input to the configuration and carries out its outputs.
     fn step_config(&mut self, input: config::Input) {
         for output in self.config.step(self.now, input) {
             match output {
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -106,14 +106,17 @@
 /// Decides which jobs are admitted.
 #[derive(Debug)]
 pub struct Admission {
-    jobs: usize,
-    bytes: usize,
-    waiting: usize,
+    max_jobs: usize,
+    max_bytes: usize,
+    max_tasks: usize,
     random: SmallRng,
     total: Usage,
     teams: HashMap<Team, TeamUsage>,
+    /// The sum of the weights of the teams that have jobs.
     weights: u64,
+    /// The declared run time of recent tasks, in microseconds, decaying.
     declared: f64,
+    /// Their actual run time, in microseconds, decaying.
     actual: f64,
     /// When the refused jobs would be done if they were retried one after another.
     backlog_end: Time,
@@ -123,9 +126,9 @@
     /// Creates an admission control within `limits`, with nothing admitted.
     pub fn new(limits: &Limits, seed: u64) -> Self {
         Self {
-            jobs: limits.jobs,
-            bytes: limits.bytes,
-            waiting: limits.waiting,
+            max_jobs: limits.jobs,
+            max_bytes: limits.bytes,
+            max_tasks: limits.waiting,
             random: SmallRng::seed_from_u64(seed),
             total: Usage::default(),
             teams: HashMap::new(),
@@ -197,15 +200,15 @@
                 "{} tasks are more than the team's quota of {quota}",
                 demand.tasks
             )
-        } else if demand.tasks as usize > self.waiting {
+        } else if demand.tasks as usize > self.max_tasks {
             format!(
                 "{} tasks are more than the bound of {}",
-                demand.tasks, self.waiting
+                demand.tasks, self.max_tasks
             )
-        } else if demand.bytes > self.bytes {
+        } else if demand.bytes > self.max_bytes {
             format!(
                 "{} bytes are more than the bound of {}",
-                demand.bytes, self.bytes
+                demand.bytes, self.max_bytes
             )
         } else {
             return Ok(());
@@ -226,13 +229,13 @@
             return Err(format!("the team's quota of {quota} tasks is in use"));
         }
         let total = self.total;
-        if !has_room(total.jobs, own.jobs, 1, self.jobs) {
+        if !has_room(total.jobs, own.jobs, 1, self.max_jobs) {
             return Err("too many jobs are in progress".to_owned());
         }
-        if !has_room(total.tasks, own.tasks, tasks, self.waiting) {
+        if !has_room(total.tasks, own.tasks, tasks, self.max_tasks) {
             return Err("too many tasks are in progress".to_owned());
         }
-        if !has_room(total.bytes, own.bytes, demand.bytes, self.bytes) {
+        if !has_room(total.bytes, own.bytes, demand.bytes, self.max_bytes) {
             return Err("jobs in progress take too much memory".to_owned());
         }
         Ok(())
@@ -294,6 +297,7 @@
         self.occupancy(Span(mean).times(u64::from(demand.tasks)), demand.slots)
     }
 
+    /// Returns the expected run time of declared work.
     fn scale_span(&self, declared: Span) -> Span {
         Span((declared.0 as f64 * self.scale()) as u64)
     }
@@ -322,6 +326,7 @@
         }
     }
 
+    /// Counts an admitted job.
     fn add(&mut self, demand: &Demand<'_>) {
         let share = self.teams.entry(demand.team.clone()).or_default();
         let weight = weight_of(demand);
@@ -345,6 +350,7 @@
     }
 }
 
+/// Returns the weight of a job's team: that of its quota, at least one.
 fn weight_of(demand: &Demand<'_>) -> u32 {
     demand.quota.map_or(1, |quota| quota.weight).max(1)
 }
--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -228,6 +228,7 @@
         std::mem::take(&mut self.outputs)
     }
 
+    /// Replaces the peers, and raises the target to the highest revision of the live ones.
     fn update_peers(&mut self, peers: Vec<Peer>) {
         let others = peers.into_iter().filter(|peer| peer.name != self.name);
         self.peers = others.map(|peer| (peer.name.clone(), peer)).collect();
@@ -238,6 +239,7 @@
         }
     }
 
+    /// Passes the data centres of all instances to the check of capacity.
     fn update_centres(&mut self) {
         let centres = self.peers.values().map(|peer| peer.centre.clone());
         let centres = centres.chain([self.centre.clone()]);
@@ -293,6 +295,7 @@
         Some(ticket)
     }
 
+    /// Handles the completion of a command.
     fn on_completion(&mut self, ticket: u64, result: message::Completion) {
         // The ticket of a command that timed out is gone, so its late completion is ignored.
         let Some(pending) = self.pending.remove(&ticket) else {
@@ -308,6 +311,7 @@
         }
     }
 
+    /// Handles the return of a call to a peer.
     fn on_return(&mut self, ticket: u64, result: Option<Return>) {
         let Some(pending) = self.pending.remove(&ticket) else {
             return;
--- a/src/core/config/edit.rs
+++ b/src/core/config/edit.rs
@@ -156,12 +156,12 @@
                 true => Report::Unknown,
                 false => Report::Unavailable,
             };
-            self.end(report);
+            self.finish_edit(report);
         }
     }
 
     /// Removes the front of the queue, logs its end and reports it to the operator.
-    fn end(&mut self, report: Report) {
+    fn finish_edit(&mut self, report: Report) {
         let Some(pending) = self.edits.queue.pop_front() else {
             return;
         };
@@ -190,20 +190,21 @@
     fn read_head_for_dry_run(&mut self) {
         let read = Command::Read(row::HEAD_KEY.to_owned());
         let Some(ticket) = self.start_command(Purpose::Edit, read) else {
-            return self.end(Report::Busy);
+            return self.finish_edit(Report::Busy);
         };
         if let Some(pending) = self.edits.queue.front_mut() {
             pending.stage = Stage::Head(ticket);
         }
     }
 
+    /// Validates the front of the queue, and commits the change or its refusal.
     fn validate_and_commit(&mut self) {
         let Some(pending) = self.edits.queue.front_mut() else {
             return;
         };
         pending.attempts += 1;
         if pending.attempts > MAX_ATTEMPTS {
-            return self.end(Report::Busy);
+            return self.finish_edit(Report::Busy);
         }
         let workers = self.workers.as_ref();
         let validated = validate::validate(&self.applied, workers, pending);
@@ -234,6 +235,7 @@
         }
     }
 
+    /// Validates a dry run against the newest configuration that can be had, and reports the result.
     fn finish_dry_run(&mut self, result: Completion) {
         let Some(pending) = self.edits.queue.front_mut() else {
             return;
@@ -255,9 +257,10 @@
             refusal: validated.err(),
             confirmed: head.is_some(),
         };
-        self.end(report);
+        self.finish_edit(report);
     }
 
+    /// Makes the front of the queue wait until a revision is applied here.
     fn wait_for_revision(&mut self, revision: Revision) {
         self.raise_target(revision);
         if let Some(pending) = self.edits.queue.front_mut() {
@@ -265,6 +268,7 @@
         }
     }
 
+    /// Handles the completion of a commit.
     fn on_commit_completion(&mut self, plan: Plan, result: Completion) {
         match result {
             Completion::Verdict(verdict) if verdict.applied => self.finish_plan(plan),
@@ -288,12 +292,13 @@
         }
     }
 
+    /// Applies a committed change and reports its end.
     fn finish_plan(&mut self, plan: Plan) {
         if let Some(change) = &plan.change {
             self.sync.announce_up_to = self.sync.announce_up_to.max(change.revision);
             self.apply(change);
         }
-        self.end(report(plan.end));
+        self.finish_edit(report(plan.end));
     }
 
     /// Finds out why a commit didn't take effect, from the rows whose conditions failed.
@@ -304,7 +309,7 @@
         let key = row::operation_key(pending.edit.operation);
         let row = |key: &str| verdict.current.iter().find(|row| row.key == key);
         if let Some(decision) = row(&key).and_then(row::decode::<Decision>) {
-            return self.end_as_decided(decision);
+            return self.finish_as_decided(decision);
         }
         // The head has another version and never returns to the old one, so no copy of the commit can take effect.
         pending.uncertain = false;
@@ -313,24 +318,25 @@
             Some(head) if head.revision > self.applied.revision() => {
                 self.wait_for_revision(head.revision)
             }
-            _ => self.end(Report::Unavailable),
+            _ => self.finish_edit(Report::Unavailable),
         }
     }
 
-    fn end_as_decided(&mut self, decision: Decision) {
+    /// Reports the decision that an earlier commit of the operation made.
+    fn finish_as_decided(&mut self, decision: Decision) {
         let Some(pending) = self.edits.queue.front() else {
             return;
         };
         if decision.digest != pending.digest {
             let operation = pending.edit.operation;
-            return self.end(Report::Reused { operation });
+            return self.finish_edit(Report::Reused { operation });
         }
         if let End::Accepted { revision, .. } = decision.end {
             // It may be this instance's own commit whose reply was lost, so that no peer has been notified of it.
             self.sync.announce_up_to = self.sync.announce_up_to.max(revision);
             self.raise_target(revision);
         }
-        self.end(report(decision.end));
+        self.finish_edit(report(decision.end));
     }
 }
 
--- a/src/core/config/edit/validate.rs
+++ b/src/core/config/edit/validate.rs
@@ -135,6 +135,7 @@
     schema.map_or(Vec::new(), |schema| entry.record.lost(schema))
 }
 
+/// Creates the change that a request makes under `revision`.
 fn make_change(revision: Revision, pending: &PendingEdit, current: Option<&Entry>) -> Change {
     let edit = &pending.edit;
     Change {
--- a/src/core/config/load.rs
+++ b/src/core/config/load.rs
@@ -93,6 +93,7 @@
         installed
     }
 
+    /// Requests the next page of a snapshot from a peer.
     fn request_page(&mut self, peer: Instance, load: Load) {
         let after = load.last.clone();
         let started = self.start_call(Purpose::Peer, peer.clone(), Call::Snapshot { after });
--- a/src/core/config/propagation.rs
+++ b/src/core/config/propagation.rs
@@ -131,6 +131,7 @@
         }
     }
 
+    /// Records that a peer applies a revision.
     fn raise_peer_revision(&mut self, name: &Instance, revision: Revision) {
         if let Some(peer) = self.peers.get_mut(name) {
             peer.revision = peer.revision.max(revision);
--- a/src/core/config/query.rs
+++ b/src/core/config/query.rs
@@ -99,6 +99,7 @@
         [own].into_iter().chain(others).collect()
     }
 
+    /// Starts to read a page of the audit trail.
     fn read_audit(&mut self, request: Request, audit: ask::Audit) {
         let prefix = audit::prefix(audit.record.as_ref());
         let first = || audit::mark(audit.from_ms, None);
@@ -116,6 +117,7 @@
         }
     }
 
+    /// Reports the page of the audit trail that was read.
     pub(super) fn on_audit_completion(
         &mut self,
         request: Request,
--- a/src/core/config/state.rs
+++ b/src/core/config/state.rs
@@ -98,8 +98,11 @@
     ready: bool,
     revision: Revision,
     set: Set,
+    /// The route of each service, derived from the records.
     routes: BTreeMap<Service, Result<Arc<Route>, Missing>>,
+    /// The latest changes without a gap, kept for peers that lag behind.
     recent: VecDeque<Arc<Change>>,
+    /// The size of the recent changes.
     bytes: usize,
 }
 
@@ -152,6 +155,7 @@
         true
     }
 
+    /// Keeps a change for peers that lag behind; the oldest are dropped beyond the bounds.
     fn push_recent(&mut self, change: &Change) {
         self.bytes += change.bytes();
         self.recent.push_back(Arc::new(change.clone()));
@@ -209,6 +213,7 @@
         }
     }
 
+    /// Adds a record.
     pub(super) fn add(&mut self, stored: Stored) {
         let record = Record::accepted(stored.name.clone(), stored.text);
         self.set.put(Arc::new(record), stored.revision);
--- a/src/core/config/sync.rs
+++ b/src/core/config/sync.rs
@@ -158,6 +158,7 @@
         sync.retry_at = self.now + BACKOFF_UNIT.times(1 << sync.failures.min(MAX_DOUBLINGS));
     }
 
+    /// Ends the catch-up that is in progress and resets the backoff.
     pub(super) fn finish_sync(&mut self) {
         self.sync.stage = Stage::Idle;
         self.sync.failures = 0;
--- a/src/core/health.rs
+++ b/src/core/health.rs
@@ -281,6 +281,7 @@
         (!was_suspect).then_some(Change::Suspected(slot))
     }
 
+    /// Ejects an endpoint; each ejection that good standing hasn't made up for doubles the length.
     fn eject(&mut self, now: Time, slot: Slot) -> Option<Change> {
         let record = self.records.get_mut(&slot)?;
         if !is_out(record.eligibility) {
@@ -296,6 +297,7 @@
         Some(Change::Ejected(slot))
     }
 
+    /// Makes an ejected endpoint fully eligible.
     fn restore(&mut self, now: Time, slot: Slot) -> Option<Change> {
         self.transition(slot, Eligibility::Good, None);
         let record = self.records.get_mut(&slot)?;
--- a/src/core/membership.rs
+++ b/src/core/membership.rs
@@ -64,13 +64,17 @@
     own_name: Instance,
     centre: Centre,
     incarnation: Incarnation,
+    /// The period of heartbeats.
     heartbeat: Span,
+    /// The silence timeout: a peer that is silent for so long counts as dead.
     silence: Span,
     random: SmallRng,
     peers: BTreeMap<Instance, Peer>,
+    /// The peer that runs under each incarnation.
     owners: HashMap<Incarnation, Instance>,
     ended: HashSet<Incarnation>,
     ended_order: VecDeque<Incarnation>,
+    /// The number of live instances, this one included.
     live: usize,
     next_heartbeat: Time,
     /// The peer whose observation was sent last. It starts at the own name, so that instances start at different peers.
@@ -172,10 +176,10 @@
                 continue;
             };
             let seen = Time(now.0.saturating_sub(observation.age.0));
-            let known = peer.incarnation;
-            let newer = peer.seen.is_none_or(|known| seen > known);
-            if known != Some(observation.incarnation) {
-                if known.is_some() && !newer || self.ended.contains(&observation.incarnation) {
+            let current = peer.incarnation;
+            let newer = peer.seen.is_none_or(|last_seen| seen > last_seen);
+            if current != Some(observation.incarnation) {
+                if current.is_some() && !newer || self.ended.contains(&observation.incarnation) {
                     continue;
                 }
                 self.set_incarnation(&observation.name, observation.incarnation);
@@ -323,6 +327,7 @@
         self.owners.insert(incarnation, name.clone());
     }
 
+    /// Remembers an incarnation as ended; the oldest is dropped beyond [`MAX_ENDED`].
     fn mark_ended(&mut self, incarnation: Incarnation) {
         self.owners.remove(&incarnation);
         if self.ended.insert(incarnation) {
--- a/src/core/peering.rs
+++ b/src/core/peering.rs
@@ -107,6 +107,7 @@
         }
     }
 
+    /// Creates the next heartbeat of this instance.
     fn make_heartbeat(&mut self) -> Heartbeat {
         Heartbeat {
             observations: self.membership.next_observations(self.now),
