--- a/src/core/config/load.rs
+++ b/src/core/config/load.rs
@@ -80,7 +80,7 @@
         self.finish_sync();
     }
 
-    /// Puts a load in force, unless a newer configuration is; returns whether it did.
+    /// Puts a load in force, unless the applied configuration is as new; returns whether it did.
     fn install(&mut self, load: Load) -> bool {
         let before = self.revision();
         let installed = self.applied.install(load.revision, load.set);
--- a/src/core/config/sync.rs
+++ b/src/core/config/sync.rs
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Returns whether this instance has to poll the head: as the elected one of its data centre, or after a time without
-    /// announcements.
+    /// Returns whether this instance has to poll the head: as the elected one of its data centre, or after a time
+    /// without announcements.
     fn is_poll_due(&self) -> bool {
         let since = |time| self.now.since(time);
         let silent = self.poll.times(SILENT_POLLS);
--- a/tests/policy/membership.rs
+++ b/tests/policy/membership.rs
@@ -200,8 +200,8 @@
 
 #[test]
 fn a_late_heartbeat_brings_no_old_incarnation_back() {
-    // Guards against a delayed heartbeat or an outdated observation that replaces a newer incarnation. Once the newer one
-    // is silent while the other goes on, the view has to switch.
+    // Guards against a delayed heartbeat or an outdated observation that replaces a newer incarnation. Once the newer
+    // one is silent while the other goes on, the view has to switch.
     let mut view = view(0, 1, FEW_CENTRES);
     view.apply_list(Time(0), &[member(1, FEW_CENTRES)]);
     let (old, new) = (Incarnation(10), Incarnation(11));
