--- a/src/dispatch/entry.rs
+++ b/src/dispatch/entry.rs
@@ -320,7 +320,7 @@
             self.by_ticket.insert(ticket, id);
             return;
         }
-        let chain = submission.chain();
+        let chain = submission.critical_path();
         // A caller that says how long it waits may ask for more work than fits in the route's usual time.
         let limit = wait.unwrap_or(route.timeout);
         if let Some(reason) = unsupported(&submission, route) {
@@ -400,7 +400,7 @@
             let waits = fit.map(|rack| rack.wait(step));
             wait = wait.max(waits.min()?);
         }
-        Some(Span(wait.0 + submission.chain().0))
+        Some(Span(wait.0 + submission.critical_path().0))
     }
 
     /// Places the steps of a job whose turn has come, or answers it when all are done.
@@ -498,7 +498,11 @@
         self.serial += 1;
         let serial = self.serial;
         let wanted = &job.submission.steps[step as usize];
-        let rest = job.submission.chain().0.saturating_sub(wanted.estimate.0);
+        let rest = job
+            .submission
+            .critical_path()
+            .0
+            .saturating_sub(wanted.estimate.0);
         let latest = Time(job.due.0.saturating_sub(rest + wanted.estimate.0));
         let batch = Batch {
             serial,
@@ -552,7 +556,7 @@
             if job.ending {
                 continue;
             }
-            let chain = job.submission.chain().0 as f64 * CAUTION;
+            let chain = job.submission.critical_path().0 as f64 * CAUTION;
             let hopeless = |loose: &Loose| loose.at + Span(chain as u64) > job.until;
             if job.loose.iter().any(hopeless) {
                 over.push(*id);
--- a/src/dispatch/requests.rs
+++ b/src/dispatch/requests.rs
@@ -103,7 +103,7 @@
             service: route.service.clone(),
             attempts: route.attempts.max(1),
             priority: route.priority,
-            objective: route.objective(submission.chain()),
+            objective: route.objective(submission.critical_path()),
             submission,
         };
         let limit = wait.unwrap_or(route.timeout);
@@ -242,7 +242,7 @@
         let needed = self.entry.expect(&record.submission, &record.service);
         let useful = Span((record.objective.0 as f64 * USEFUL) as u64);
         match needed {
-            Some(needed) if needed <= useful || needed <= record.submission.chain() => None,
+            Some(needed) if needed <= useful || needed <= record.submission.critical_path() => None,
             _ => Some(Verdict::Rejected { again: BACK }),
         }
     }
--- a/src/dispatch/task.rs
+++ b/src/dispatch/task.rs
@@ -91,7 +91,7 @@
     }
 
     /// Returns the longest chain of estimates over the steps.
-    pub fn chain(&self) -> Span {
+    pub fn critical_path(&self) -> Span {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
             let before = step.after.iter().filter_map(|s| ends.get(*s as usize));
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -82,7 +82,7 @@
     assert_eq!(job.steps[0].estimate, Span::millis(900));
     assert_eq!(job.steps[0].affinity.as_deref(), Some("r1-3"));
     assert_eq!(job.steps[1].per_endpoint, Some(1));
-    assert_eq!(job.chain(), Span::millis(900));
+    assert_eq!(job.critical_path(), Span::millis(900));
     let fault = |body: Value| {
         let read = ingress::job(JobId(7), body.to_string().as_bytes());
         read.unwrap_err().field
