--- a/src/dispatch/message.rs
+++ b/src/dispatch/message.rs
@@ -1,4 +1,4 @@
-//! What goes into the dispatcher and comes out of it, and what dispatchers tell each other.
+//! Inputs and outputs of the dispatcher, and the messages that dispatchers exchange.
 
 mod call;
 mod handover;
@@ -72,36 +72,36 @@
 };
 use crate::prelude::*;
 
-/// A caller that waits for an answer.
+/// Identifies a caller that waits for an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
 /// An endpoint as the platform lists it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Listing {
-    /// Its name. One that starts again may keep it, or have another.
+    /// Its name, which it may keep or change when it restarts.
     pub id: Endpoint,
-    /// One life of it.
+    /// Its incarnation.
     #[serde(default)]
     pub life: Life,
     /// Its service.
     pub service: String,
-    /// Where it listens.
+    /// The address that it listens at.
     pub address: String,
     /// Its data centre.
     pub centre: String,
-    /// Its rack, where its data lies.
+    /// The name of its rack, whose endpoints hold the same data.
     pub rack: String,
-    /// Its labels, the rack among them.
+    /// Its labels, which include the rack.
     pub labels: Vec<String>,
-    /// What it has.
+    /// Its total resources.
     pub capacity: Resources,
-    /// Whether it is leaving: nothing new may start there.
+    /// Whether it is draining: no new task may start there.
     pub draining: bool,
 }
 
 impl Listing {
-    /// Returns the rack's identifier.
+    /// Returns the identifier of its rack.
     pub fn rack_id(&self) -> RackId {
         RackId::of(&self.service, &self.centre, &self.rack)
     }
@@ -110,86 +110,86 @@
 /// The endpoints that the platform lists, as of a version of its store.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Roster {
-    /// A higher one replaces a lower one.
+    /// Its version; a higher one replaces a lower one.
     pub version: u64,
     /// All endpoints.
     pub endpoints: Vec<Listing>,
 }
 
-/// What has changed from one version of the list of endpoints to another.
+/// The difference between two versions of the list of endpoints.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RosterChange {
-    /// The version before it.
+    /// The version that the change applies to.
     pub after: u64,
-    /// The version with it.
+    /// The version that results.
     pub version: u64,
-    /// Endpoints that are new, or whose entry has changed.
+    /// Endpoints that are new or have changed.
     pub changed: Vec<Listing>,
-    /// Endpoints that aren't listed any more.
+    /// Endpoints that were removed.
     pub removed: Vec<Endpoint>,
 }
 
-/// A member as it can be reached.
+/// The name and address of a member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Contact {
     /// Its name.
     pub name: Instance,
-    /// Where it listens for its peers.
+    /// The address that it listens at for its peers.
     pub address: String,
 }
 
-/// A job as its caller handed it in.
+/// A caller's request to run a job.
 #[derive(Debug, Clone)]
 pub struct Arrival {
     /// The caller.
     pub ticket: Ticket,
-    /// The host that it named.
+    /// The host of the request.
     pub host: String,
-    /// The path that it asked for.
+    /// The path of the request.
     pub path: String,
     /// The job.
     pub submission: Submission,
-    /// How long it waits at most, where it says so.
+    /// The caller's time limit, if it sets one.
     pub wait: Option<Span>,
 }
 
-/// What happened.
+/// An event that the dispatcher reacts to.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// A caller handed in a job.
+    /// A caller submitted a job.
     Submitted(Box<Arrival>),
-    /// A caller has gone, or its connection broke.
+    /// A caller disconnected.
     Abandoned(Ticket),
     /// A caller cancels a job.
     Cancelled(JobId),
     /// A configuration was read.
     Configured(Box<Configuration>),
-    /// The evacuated data centres were read, all of them.
+    /// The full list of evacuated data centres was read.
     Evacuated(Evacuation),
-    /// A data centre is evacuated, or taken back.
+    /// The evacuation of one data centre began or ended.
     EvacuationChanged(evacuation::Change),
-    /// The endpoints were read, and something had changed.
+    /// The list of endpoints was read and has changed.
     RosterListed(Roster),
-    /// The endpoints were read, or couldn't be.
+    /// An attempt to read the list of endpoints ended; true if it succeeded.
     RosterRead(bool),
     /// Members were found in the store.
     MembersFound(Vec<Contact>),
-    /// A peer's messages of one session arrived.
+    /// Messages of a peer arrived, all of one session.
     Received {
         /// The peer.
         from: Sender,
-        /// What it says.
+        /// Its messages, in order.
         messages: Vec<Message>,
     },
     /// Heartbeats of peers arrived, in this order.
     Heartbeats(Vec<(Sender, Heartbeat)>),
-    /// A caller asks for a job that is stored, or cancels it.
+    /// A caller asks for the state of a stored job, or cancels it.
     JobRequested {
-        /// Where its answer goes.
+        /// The caller.
         ticket: Ticket,
         /// The job.
         job: JobId,
-        /// What it wants.
+        /// The request.
         question: Question,
     },
     /// A call to the store has ended.
@@ -208,158 +208,160 @@
         /// How it ended.
         reply: Reply,
     },
-    /// The instance is to end, once all is answered.
+    /// The instance is asked to drain: to finish its jobs and end.
     Drain,
-    /// The process ends in a moment, whatever is still in progress.
+    /// The process is about to end, even if jobs are in progress.
     Closing,
-    /// Time has passed.
+    /// Some time has passed; sent every few milliseconds.
     Tick,
 }
 
-/// Who sent messages, and in which session.
+/// The sender of messages, and the session that they belong to.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Sender {
     /// Its name and address.
     pub contact: Contact,
     /// Its data centre.
     pub centre: String,
-    /// One life of it: a later one is higher.
+    /// Its incarnation; a later one is higher.
     pub incarnation: u64,
-    /// The life of the receiver that it speaks to, zero where it doesn't know.
+    /// The incarnation of the receiver that it addresses, zero if it knows none.
     pub receiver_incarnation: u64,
-    /// Grows each time that one side gave the other up: what was said before is void.
+    /// The session, which grows each time that one side declares the other lost. Messages of earlier sessions are
+    /// void.
     pub session: u32,
-    /// When this left, on its clock: what lay in a buffer is no sign of life.
+    /// When this was sent, on the sender's clock: a message that was delayed proves no recent life.
     pub sent: Time,
 }
 
-/// What the dispatcher wants done.
+/// An action that the dispatcher requests.
 #[derive(Debug, Clone)]
 pub enum Output {
     /// Answer a caller.
     Answer(Ticket, Answer),
     /// Call an endpoint.
     Call {
-        /// Names the call in its answer.
+        /// Identifies the call in its reply.
         call: CallId,
-        /// The life of the endpoint that is meant.
+        /// The endpoint.
         endpoint: Endpoint,
-        /// Where it listens.
+        /// Its address.
         address: String,
-        /// What to do.
+        /// The order to send.
         order: Order,
-        /// How long to wait for the answer.
+        /// How long to wait for the reply.
         timeout: Span,
-        /// Whether a connection must be new: the last one may have gone silent.
+        /// Whether to open a new connection, since the last one may be broken.
         fresh: bool,
     },
     /// Call the store.
     Store {
-        /// Names the call in its answer.
+        /// Identifies the call in its reply.
         call: StoreCallId,
-        /// What for.
+        /// The request to send.
         request: StoreRequest,
     },
-    /// Send a message to a peer, after all before it.
+    /// Send a message to a peer, in order and reliably within the session.
     Send(Contact, Message),
-    /// Send a heartbeat to some peers; any of these may be lost.
+    /// Send a heartbeat to some peers; each copy may be lost.
     Heartbeat(Vec<Contact>, Heartbeat),
-    /// Forget what has not left for a peer, and begin a session with it.
+    /// Drop unsent messages to a peer and begin a session with it.
     BeginSession {
         /// The peer.
         to: Contact,
-        /// Its life, zero where it isn't known.
+        /// Its incarnation, zero if it isn't known.
         incarnation: u64,
         /// The session.
         session: u32,
     },
-    /// Close all connections to an endpoint, one life of which has ended.
+    /// Close all connections to the endpoint at this address, whose process has ended.
     Disconnect(String),
     /// Write a line to the log.
     Log(Record),
-    /// No jobs are taken any more: idle connections of callers can be closed.
+    /// Close callers' idle connections, since no more jobs are accepted.
     CloseIdleCallers,
-    /// All is answered after a drain.
+    /// The drain is complete: the process can end.
     Drained,
 }
 
 /// The answer to a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answer {
-    /// Every task ran to its end.
+    /// Every task is done.
     Completed,
-    /// A task failed as often as it may.
+    /// A task has used up its attempts.
     Failed,
-    /// The job was given up for want of time; some of it may have run, and what runs is being stopped.
+    /// The job was given up, for lack of time or since it was cancelled. Some of it may have run; its runs are being
+    /// stopped.
     GivenUp {
-        /// After how long its caller may try again.
+        /// The delay after which the caller may retry.
         again: Span,
     },
-    /// Nothing of it was run or will be; try again after a while.
+    /// No task was or will be started.
     Refused {
-        /// After how long.
+        /// The delay after which the caller may retry.
         again: Span,
     },
-    /// The job is stored, and will be run.
+    /// The job is stored and will be run.
     Accepted,
-    /// How a stored job stands.
+    /// The state of a stored job.
     Standing(JobState),
     /// There is no such job.
     Unknown,
-    /// There is no such queue.
+    /// No queue has this host and path.
     NoRoute,
-    /// The instance has no configuration yet.
+    /// The instance has no configuration yet, or no coordinator answered in time.
     Unready,
 }
 
-/// What instances tell each other. Messages of one session arrive in order, each once.
+/// A message between instances. Messages of one session arrive in order, each once.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Members that the sender hears.
+    /// Lists members that the sender hears.
     Members(Vec<Contact>),
-    /// Run these tasks.
+    /// Asks a rack's owner to run tasks.
     Batch(Box<Batch>),
-    /// Drop a batch.
+    /// Asks the owner to drop a batch.
     Cancel(u64),
-    /// A batch has ended.
+    /// Reports the end of a batch to its entry.
     Report {
-        /// The batch, by its entry's number.
+        /// The batch, by its entry's serial number.
         serial: u64,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
         /// Its tasks that are done.
         done: Vec<u32>,
-        /// Whether a start of it ever left.
+        /// Whether a start of it may have reached an endpoint.
         started: bool,
     },
-    /// Tasks of a batch that are not run here: place them again.
+    /// Returns tasks of a batch that the owner doesn't run, so that their entry places them again.
     Returned {
         /// The batch.
         serial: u64,
         /// The tasks.
         tasks: Vec<u32>,
-        /// Whether a start of the batch ever left.
+        /// Whether a start of the batch may have reached an endpoint.
         started: bool,
-        /// Why they come back.
+        /// Why they are returned.
         cause: Cause,
     },
-    /// Which of these batches does the receiver hold?
+    /// Asks the owner which of these batches it doesn't hold.
     Audit(Vec<u64>),
-    /// The receiver's batches that the sender doesn't hold.
+    /// Lists batches of the receiver that the sender doesn't hold.
     Unknown(Vec<u64>),
-    /// The sender has room and nothing waits there: it asks for tasks of the receiver's rack.
+    /// Asks for waiting tasks of one of the receiver's racks, since a rack of the sender is idle.
     Want {
-        /// The rack that has tasks waiting.
+        /// The rack whose tasks wait.
         from: RackId,
-        /// The rack that has room.
+        /// The rack with free resources.
         to: RackId,
-        /// The room, by endpoint.
+        /// The free resources, by endpoint.
         rooms: Vec<Resources>,
     },
-    /// A rack changes its owner.
+    /// Hands a rack over to a new owner.
     Handover(Box<Handover>),
-    /// A batch of the receiver has moved: told by its former owner and by its next one, since either may be gone before
-    /// it is heard.
+    /// Announces the new owner of a batch to its entry. Both the former and the new owner send it, since either may
+    /// die first.
     Moved {
         /// The batch.
         serial: u64,
@@ -368,61 +370,61 @@
         /// How often it has moved.
         moves: u32,
     },
-    /// The sender lacks a document that the receiver has.
+    /// Requests a piece of a document of which the receiver has a newer version.
     Fetch {
-        /// Which.
+        /// The document.
         document: Document,
-        /// Where the piece begins that it wants, in bytes.
+        /// The offset of the piece, in bytes.
         offset: u32,
     },
-    /// A piece of a document.
+    /// Carries a piece of a document.
     Piece(Box<Piece>),
-    /// What has changed on the list of endpoints.
+    /// Carries a change of the list of endpoints.
     RosterChange(Box<RosterChange>),
-    /// A caller cancels a job that the sender doesn't have.
+    /// Forwards a caller's cancellation of a job that the sender doesn't have.
     CancelJob(JobId),
-    /// The receiver coordinates the job's shard: a caller hands it in, asks for it or cancels it.
+    /// Forwards a caller's request about a stored job to the coordinator of its shard.
     Request {
-        /// Counts the requests of the sender.
+        /// The serial number of the request at its sender.
         serial: u64,
         /// The job.
         job: JobId,
-        /// What the caller wants.
+        /// The request.
         question: Question,
     },
-    /// The answer to a request.
+    /// Answers a request.
     Verdict {
         /// The request.
         serial: u64,
         /// The answer.
         verdict: Verdict,
     },
-    /// A start of a batch of a stored job has left.
+    /// Reports that a start of a stored job's batch was sent to an endpoint.
     Begun(u64),
-    /// A run of a stored job has ended; the endpoint goes on listing its end until it is stored.
+    /// Reports the end of a run of a stored job. The endpoint lists the end until it is stored.
     Ended(Box<RunEnd>),
-    /// The end of a run is stored, or is of no job that is: the endpoint may forget it.
+    /// Reports that the end of a run is stored, or belongs to no stored job: the endpoint may forget it.
     Noted {
         /// The endpoint.
         endpoint: Endpoint,
-        /// The life that listed it.
+        /// The incarnation that listed it.
         life: Life,
-        /// The end's number there.
+        /// The serial number of the end there.
         serial: u64,
-        /// Whether the task was given out again before its end was heard: the endpoint may forget the end only when
-        /// its lease has passed, after which the end has no meaning any more.
+        /// Whether the task was placed again before this end was heard. The endpoint may then forget the end only
+        /// once its lease has lapsed, when the end no longer matters.
         late: bool,
     },
 }
 
-/// Why tasks come back from an owner.
+/// Why an owner returns tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Cause {
-    /// Their rack has no owner there any more, and runs of theirs may be left on it.
+    /// It no longer owns their rack, where runs of them may be left.
     Lost,
-    /// That rack has room for them now.
+    /// This rack has free resources for them.
     Room(RackId),
-    /// No endpoint of their rack may or can run them, and nothing of them runs there.
+    /// No endpoint of their rack can run them, and none of them runs there.
     Unfit,
 }
 
@@ -436,7 +438,7 @@
     }
 }
 
-/// What every instance must have in its newest version.
+/// A document of which every instance needs the newest version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Document {
     /// The configuration.
@@ -454,124 +456,124 @@
     }
 }
 
-/// A piece of a document as it is sent.
+/// A piece of an encoded document.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Piece {
-    /// Which.
+    /// The document.
     pub document: Document,
-    /// Its version.
+    /// The version of the document.
     pub version: u64,
-    /// The size of the whole, in bytes.
+    /// The size of the whole document, in bytes.
     pub size: u32,
-    /// Where the piece begins.
+    /// The offset of the piece in the document, in bytes.
     pub offset: u32,
-    /// The piece.
+    /// The bytes of the piece.
     pub bytes: Vec<u8>,
 }
 
-/// What a caller wants of a stored job.
+/// A caller's request about a stored job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Question {
-    /// To hand it in.
+    /// To accept and store it.
     Accept(Box<AcceptedJob>),
-    /// To know how it stands.
+    /// To return its state.
     State,
-    /// That it ends.
+    /// To cancel it.
     Cancel,
 }
 
-/// What a shard's coordinator answers.
+/// The answer of a shard's coordinator to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
     /// The job is stored.
     Accepted,
-    /// It is not taken, and never runs; its caller may come back later.
+    /// The job isn't accepted and never runs.
     Rejected {
-        /// After how long.
+        /// The delay after which the caller may retry.
         again: Span,
     },
-    /// How it stands.
+    /// The state of the job.
     Standing(JobState),
     /// There is no such job.
     Unknown,
-    /// The receiver doesn't coordinate the shard, or can't tell yet; nothing was done.
+    /// The receiver doesn't coordinate the shard, or hasn't loaded it yet; nothing was done.
     Unready,
 }
 
-/// How a stored job stands, as callers see it.
+/// The state of a stored job, as callers see it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// Nothing of it has started.
+    /// No task has started.
     Queued,
-    /// Some of it has.
+    /// A task has started.
     Running,
     /// Every task is done.
     Completed,
-    /// A task failed as often as it may.
+    /// A task has used up its attempts.
     Failed,
     /// It was cancelled.
     Cancelled,
 }
 
-/// The end of a run that must be stored before its endpoint forgets it.
+/// The end of a run that must be stored before its endpoint may forget it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RunEnd {
     /// The endpoint.
     pub endpoint: Endpoint,
-    /// The life of it that listed the end.
+    /// The incarnation that listed the end.
     pub life: Life,
-    /// Counts the ends of one life of the endpoint.
+    /// The serial number of the end in that incarnation.
     pub serial: u64,
     /// The task.
     pub task: TaskId,
     /// The run.
     pub run: Run,
-    /// Whether it ended as done; else it failed.
+    /// Whether the task is done; otherwise the run failed.
     pub done: bool,
-    /// Its batch, by the entry and its number, where the owner knows it.
+    /// The entry and serial number of its batch, if the owner knows it.
     pub batch: Option<(Instance, u64)>,
 }
 
-/// Tasks of one step that one owner is to run.
+/// Tasks of one step that a rack's owner is asked to run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Batch {
-    /// Counts the batches of its entry.
+    /// The serial number of the batch at its entry.
     pub serial: u64,
-    /// The rack that is to run them.
+    /// The rack that is to run the tasks.
     pub rack: RackId,
     /// Their job.
     pub job: JobId,
-    /// Their step.
+    /// The index of their step in the job.
     pub step: u32,
-    /// The tasks.
+    /// The indices of the tasks in the step.
     pub tasks: Vec<u32>,
-    /// How often it went to another owner.
+    /// How often the batch moved to another owner.
     pub moves: u32,
-    /// What each task takes.
+    /// The resources that each task needs.
     pub need: Resources,
-    /// A task's estimated duration where it is placed.
+    /// The estimated duration of a task.
     pub estimate: Span,
-    /// A label that the endpoint must have.
+    /// The label that the endpoint must have.
     pub label: Option<String>,
     /// The most tasks of the step on one endpoint.
     pub per_endpoint: Option<u32>,
-    /// What the tasks are told.
+    /// Opaque data that endpoints are given with every task.
     pub spec: String,
-    /// How many runs of a task may fail.
+    /// The number of failed runs of a task after which the job fails.
     pub attempts: u32,
-    /// Zero goes first.
+    /// Its priority; zero is the highest.
     pub priority: u32,
-    /// The work of its whole job, in core-milliseconds.
+    /// The estimated work of the whole job, in core-milliseconds.
     pub work: u64,
-    /// Whether its data ties it to the rack.
+    /// Whether the rack holds the data of the tasks, so that they shouldn't move to another one.
     pub tied: bool,
     /// Whether the ends of its runs must be stored before endpoints forget them.
     pub stored: bool,
-    /// How long until a task must have started to be on time; none where that has passed.
+    /// The time within which a task must start for the job to be on time; `None` if that has passed.
     pub slack: Option<Span>,
-    /// How long until an answer is of so little use that the room is better given to others.
+    /// The time within which an answer is of use: a batch that hasn't started is given up if it can't end by then.
     pub useful: Span,
-    /// How long until nobody waits any more.
+    /// The time after which the job's callers stop waiting.
     pub time_left: Span,
 }
 
@@ -580,12 +582,12 @@
 pub enum Outcome {
     /// Every task is done.
     Done,
-    /// A task failed as often as it may.
+    /// A task has used up its attempts.
     Failed,
-    /// Endpoints crashed under a task as often as they may.
+    /// A task was found to crash the endpoints that run it.
     Crashed,
-    /// Its caller's time can't be met any more.
+    /// The batch can't end within its time limit, or while an answer is of use.
     Hopeless,
-    /// It was dropped as its entry asked.
+    /// It was dropped because its entry cancelled it.
     Dropped,
 }
--- a/src/dispatch/message/call.rs
+++ b/src/dispatch/message/call.rs
@@ -1,4 +1,4 @@
-//! What an owner calls an endpoint for, and what it answers.
+//! Calls of a rack's owner to its endpoints: orders and replies.
 
 use super::super::id::{
     Life,
@@ -8,11 +8,11 @@
 };
 use crate::prelude::*;
 
-/// A call to an endpoint that is on its way.
+/// Identifies a call to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// What an endpoint is to do.
+/// An order to an endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Order {
     /// Start a run of a task.
@@ -21,31 +21,31 @@
         task: TaskId,
         /// The run.
         run: Run,
-        /// What the task is told.
+        /// Opaque data for the task.
         spec: String,
-        /// Until when the endpoint's runs may go on, on its clock, in milliseconds.
+        /// When the leases of the endpoint's runs end, on its clock, in milliseconds.
         lease: u64,
-        /// The owner's token.
+        /// The owner's fencing token.
         token: Token,
     },
-    /// Stop a run, and bar it and all lower ones.
+    /// Stop a run, and refuse later starts of it and of all lower runs of the task.
     Stop {
         /// The task.
         task: Name,
         /// The run.
         run: Run,
-        /// The owner's token.
+        /// The owner's fencing token.
         token: Token,
     },
-    /// Tell what runs and what has ended.
+    /// List the runs in progress and those that have ended.
     Look {
-        /// Until when the endpoint's runs may go on, on its clock; none leaves their leases alone.
+        /// When the leases of the endpoint's runs end, on its clock, in milliseconds; `None` doesn't renew them.
         lease: Option<u64>,
-        /// The owner's token.
+        /// The owner's fencing token.
         token: Token,
-        /// Ends up to this one are known and can be forgotten.
+        /// The highest serial number of an end that may be forgotten.
         seen: u64,
-        /// How long to wait for an end.
+        /// How long the reply may wait for a run to end (long polling).
         wait: Span,
     },
 }
@@ -53,104 +53,104 @@
 /// How a call to an endpoint ended.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reply {
-    /// It did what it was told. The clock is the endpoint's, in milliseconds.
+    /// The order was carried out.
     Done {
-        /// Its clock.
+        /// The endpoint's clock, in milliseconds.
         clock: u64,
     },
-    /// What runs and what has ended.
+    /// The runs that the endpoint lists.
     Looked(Lists),
-    /// It refused.
+    /// The endpoint refused the order.
     Refused {
-        /// Its clock.
+        /// The endpoint's clock, in milliseconds.
         clock: u64,
-        /// Why.
+        /// The reason.
         refusal: Refusal,
     },
-    /// It did nothing, since it is unwell.
+    /// The endpoint did nothing because it's unhealthy.
     Unwell,
-    /// The life that was meant has ended.
+    /// The endpoint has restarted since it was listed.
     Reborn,
-    /// It found the call malformed, or its answer is.
+    /// The endpoint found the order malformed, or its reply is; the text tells why.
     Malformed(String),
-    /// No byte of the call left.
+    /// No byte of the order was sent.
     Unsent,
-    /// No answer came. The call may be carried out, now or later.
+    /// No reply came in time. The order may still be carried out.
     Silent,
 }
 
-/// What an endpoint says of itself.
+/// The runs that an endpoint lists.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Lists {
-    /// Its clock.
+    /// The endpoint's clock, in milliseconds.
     pub clock: u64,
-    /// The life that says so.
+    /// The endpoint's incarnation.
     pub life: Life,
-    /// What runs there.
+    /// The runs in progress.
     pub running: Vec<Running>,
-    /// What has ended.
+    /// The runs that have ended.
     pub ended: Vec<Ended>,
 }
 
 /// Why an endpoint refused an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// It has seen a higher token.
+    /// It has seen a higher fencing token.
     Fenced,
-    /// The run, or a higher one, has been there or was barred.
+    /// The run, or a higher one of the task, was started or stopped there before.
     Old,
-    /// The lease that the order carried had passed.
+    /// The lease in the order had already lapsed.
     Late,
-    /// It has no room.
+    /// It lacks free resources.
     Full,
-    /// Something else.
+    /// Any other reason.
     Other,
 }
 
-/// A task as an endpoint names it.
+/// The name of a task on an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Name {
-    /// One that an instance of this build can have started.
+    /// A valid task identifier.
     Known(TaskId),
-    /// Any other.
+    /// Any other name, which no instance of this build can have given.
     Foreign(String),
 }
 
-/// A run on an endpoint.
+/// A run in progress on an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Running {
     /// The task.
     pub task: Name,
     /// The run.
     pub run: Run,
-    /// How much of its work is done, in hundredths, where the endpoint says so.
+    /// Its progress in percent, if the endpoint reports it.
     pub percent: Option<u8>,
 }
 
 /// A run that has ended on an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ended {
-    /// Counts the ends of one life of the endpoint, from one.
+    /// The serial number of the end in the endpoint's incarnation, from one.
     pub serial: u64,
     /// The task.
     pub task: Name,
     /// The run.
     pub run: Run,
-    /// How.
+    /// How it ended.
     pub end: End,
 }
 
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// To its end.
+    /// The task is done.
     Done,
-    /// By its own fault or the endpoint's.
+    /// The run failed.
     Failed,
     /// It was stopped.
     Stopped,
-    /// Its lease passed.
+    /// Its lease lapsed.
     Lapsed,
-    /// Something else.
+    /// Any other way.
     Other,
 }
--- a/src/dispatch/message/handover.rs
+++ b/src/dispatch/message/handover.rs
@@ -1,4 +1,4 @@
-//! What a rack's owner hands over to the next one.
+//! The handover of a rack from its owner to the next one.
 
 use serde::{
     Deserialize,
@@ -18,39 +18,39 @@
 };
 use crate::prelude::*;
 
-/// What the next owner of a rack must know.
+/// The state of a rack that its next owner needs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Handover {
     /// The rack.
     pub rack: RackId,
-    /// The highest token that was used there.
+    /// The highest fencing token that was used there.
     pub token: Token,
     /// Its batches.
     pub batches: Vec<HeldBatch>,
-    /// What runs on its endpoints.
+    /// The runs on its endpoints.
     pub runs: Vec<TransferredRun>,
 }
 
-/// A batch at its owner, as it is handed over.
+/// A batch that the owner holds, with the progress of its tasks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeldBatch {
-    /// The entry that it is from.
+    /// The entry that sent it.
     pub entry: Contact,
-    /// The batch, with the tasks that are not done.
+    /// The batch, with its tasks that aren't done.
     pub batch: Batch,
-    /// The next run of each of its tasks.
+    /// The number of the next run of each task in `batch`, in the same order.
     pub next: Vec<Run>,
-    /// How often each of its tasks failed.
+    /// The number of failed runs of each task, in the same order.
     pub failures: Vec<u32>,
-    /// What is suspected of each of its tasks.
+    /// The suspicion against each task, in the same order.
     pub suspicions: Vec<Suspicion>,
-    /// Tasks that are done.
+    /// The indices of the tasks that are done.
     pub done: Vec<u32>,
-    /// Whether a start ever left.
+    /// Whether a start of it may have reached an endpoint.
     pub started: bool,
 }
 
-/// A run as it is handed over.
+/// A run on an endpoint of the rack.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TransferredRun {
     /// The endpoint.
@@ -59,10 +59,10 @@
     pub task: TaskId,
     /// The run.
     pub run: Run,
-    /// Its batch, by the entry and its number.
+    /// The entry of its batch.
     pub entry: Instance,
-    /// See above.
+    /// The serial number of its batch at that entry.
     pub serial: u64,
-    /// Whether it is being stopped, to be started again.
+    /// Whether it's being stopped, so that the task can start again.
     pub stopping: bool,
 }
--- a/src/dispatch/message/heartbeat.rs
+++ b/src/dispatch/message/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other all the time: that they live, what they own, and what room there is.
+//! Heartbeats: what each instance announces about itself, its racks and its shards.
 
 use serde::{
     Deserialize,
@@ -17,53 +17,53 @@
 };
 use crate::prelude::*;
 
-/// What a member tells all others again and again: it lives, and how much room its racks have.
+/// A member's periodic announcement to other members.
 ///
-/// A heartbeat that is lost is replaced by the next one, so it goes as a datagram: as a call of its own, over a
-/// connection to each of 36 peers, it took more than half of a processor share of 0.12 cores.
+/// It's sent as a datagram: a lost one is replaced by the next, and a call per peer over a connection would cost too
+/// much processor time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Whether its sender watches the receiver closely, and waits for its heartbeats.
+    /// Whether the sender monitors the receiver as a neighbour and expects its heartbeats.
     pub watching: bool,
-    /// The member's standing.
+    /// The sender's status.
     pub status: Status,
-    /// The room of racks where it has changed.
+    /// The free resources of the sender's racks, where they have changed.
     pub rooms: Vec<Vacancy>,
 }
 
-/// What a member says of itself.
+/// The status of a member.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The highest epoch that it has heard of.
+    /// The highest epoch of a claim that it has heard.
     pub epoch: Epoch,
     /// The version of its configuration.
     pub configuration: u64,
     /// The version of its list of endpoints.
     pub roster: u64,
-    /// The data centres that it knows as evacuated.
+    /// The evacuated data centres that it knows.
     pub evacuation: Evacuation,
     /// Whether it reads the list of endpoints from the store.
     pub reading: bool,
-    /// Whether it is about to end.
+    /// Whether it is draining.
     pub draining: bool,
-    /// Its processor share, in thousandths of a core: the more it has, the more racks it takes.
+    /// Its processor share, in thousandths of a core; racks are distributed in proportion to it.
     pub share: u32,
     /// The racks that it owns.
     pub racks: Vec<Claim>,
     /// The shards of stored jobs that it coordinates.
     pub shards: Vec<Coordination>,
-    /// Its jobs of which nothing has started, by queue.
+    /// The number of its jobs that have started no task, by queue.
     pub pending: Vec<(String, u32)>,
-    /// Members that it found to be gone of late.
+    /// Members that it has recently declared lost.
     pub absences: Vec<Absence>,
 }
 
-/// A life of a member that one that watched it closely found to be gone.
+/// An incarnation of a member that a neighbour has declared lost.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Absence {
     /// The member.
     pub name: Instance,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: u64,
 }
 
@@ -72,18 +72,18 @@
 pub struct Coordination {
     /// The shard.
     pub shard: ShardId,
-    /// What it knows of it.
+    /// How far it has loaded the shard.
     pub knowledge: Knowledge,
 }
 
-/// What a coordinator knows of its shard.
+/// How far a coordinator has loaded its shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Knowledge {
-    /// Nothing yet.
+    /// The shard isn't loaded yet.
     Reading,
-    /// That the store holds nothing of it.
+    /// The store has no jobs of the shard.
     Empty,
-    /// All of its jobs, as the only one that writes them.
+    /// All jobs of the shard are loaded, and the coordinator is their only writer.
     Held,
 }
 
@@ -92,19 +92,19 @@
 pub struct Claim {
     /// The rack.
     pub rack: RackId,
-    /// The token of its owner.
+    /// The fencing token of the claim.
     pub token: Token,
 }
 
-/// The room that a rack has.
+/// The free resources and the backlog of a rack.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Vacancy {
     /// The rack.
     pub rack: RackId,
-    /// What is free, by endpoint that takes work.
+    /// The free resources of each endpoint that accepts tasks.
     pub free: Vec<Resources>,
-    /// Tasks that wait there and would run as well elsewhere.
+    /// The number of waiting tasks that could run on another rack as well.
     pub movable: u32,
-    /// The work that waits, in core-milliseconds.
+    /// The work of the waiting tasks, in core-milliseconds.
     pub backlog: u64,
 }
--- a/src/dispatch/message/line.rs
+++ b/src/dispatch/message/line.rs
@@ -5,16 +5,16 @@
 use super::super::id::JobId;
 use crate::prelude::*;
 
-/// A line of the log: an event, the job that it touches, and what decided it.
+/// A line of the log: an event, its job and its fields.
 #[derive(Debug, Clone)]
 pub struct Record {
-    /// The event's name.
+    /// The name of the event.
     pub event: &'static str,
-    /// Whether it is routine, and may be left out under load.
+    /// Whether the line may be dropped under load.
     pub routine: bool,
-    /// The job.
+    /// The job that the event is about.
     pub job: Option<JobId>,
-    /// Names and values.
+    /// The names and values of its fields.
     pub fields: Vec<(&'static str, Value)>,
 }
 
@@ -65,7 +65,7 @@
 }
 
 impl Record {
-    /// Makes a line that is always written.
+    /// Creates a line that is always written.
     pub fn new(event: &'static str) -> Self {
         Self {
             event,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Makes a line that may be left out under load.
+    /// Creates a line that may be dropped under load.
     pub fn routine(event: &'static str) -> Self {
         Self {
             routine: true,
@@ -83,13 +83,13 @@
         }
     }
 
-    /// Names the job.
+    /// Sets the job.
     pub fn job(mut self, job: JobId) -> Self {
         self.job = Some(job);
         self
     }
 
-    /// Adds a value.
+    /// Adds a field.
     pub fn with(mut self, name: &'static str, value: impl Into<Value>) -> Self {
         self.fields.push((name, value.into()));
         self
--- a/src/dispatch/message/store.rs
+++ b/src/dispatch/message/store.rs
@@ -2,51 +2,51 @@
 
 use super::super::id::ShardId;
 
-/// Names a call to the store.
+/// Identifies a call to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct StoreCallId(pub u64);
 
-/// What the store is asked for; rows are those of one shard.
+/// A request to the store about the rows of one shard.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreRequest {
-    /// Read rows in the order of their keys, after one or from the first.
+    /// Read a page of rows, ordered by key.
     Read {
         /// The shard.
         shard: ShardId,
-        /// The key to begin after.
+        /// The key to begin after; `None` begins with the first row.
         after: Option<String>,
     },
     /// Read one row.
     Find {
         /// The shard.
         shard: ShardId,
-        /// Its key.
+        /// The key of the row.
         key: String,
     },
-    /// Change rows, all or none, if one row still has its version.
+    /// Change rows atomically if the guard row still has its version (compare and swap).
     Write {
         /// The shard.
         shard: ShardId,
-        /// The row, and the version that it must have; zero means that there is none.
+        /// The key of the guard row and the version that it must have; zero means that the row must not exist.
         guard: (String, u64),
-        /// Rows to set, by their keys.
+        /// The keys and values of rows to set.
         set: Vec<(String, Vec<u8>)>,
-        /// Keys of rows to remove.
+        /// The keys of rows to remove.
         remove: Vec<String>,
     },
 }
 
-/// What came of a call to the store.
+/// How a call to the store ended.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreReply {
-    /// Rows with key, value and version; and whether more follow.
+    /// Rows as key, value and version, and whether more follow.
     Rows(Vec<(String, Vec<u8>, u64)>, bool),
-    /// The change was made, as this version.
+    /// The write succeeded and has this version.
     Written(u64),
-    /// The row that guards it has another version; nothing was changed.
+    /// The guard row has another version; nothing was changed.
     Conflict,
-    /// It was refused; nothing was changed.
+    /// The store refused the request; nothing was changed.
     Refused,
-    /// No answer came. A change may be made, now or later.
+    /// No reply came. A write may still take effect.
     Silent,
 }
--- a/src/dispatch/message/suspicion.rs
+++ b/src/dispatch/message/suspicion.rs
@@ -1,53 +1,57 @@
-//! What is known of endpoints that crash under a task, wherever the task goes.
+//! The evidence that a task crashes the endpoints that run it.
 
 use serde::{
     Deserialize,
     Serialize, //
 };
 
-/// What is known of endpoints that crashed, or may have, under a task.
+/// Counts of endpoints that crashed, or may have crashed, while they ran a task.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspicion {
-    /// How many have crashed.
+    /// The endpoints that have crashed.
     pub crashes: u32,
-    /// In how many of these it was the only one there that had come under suspicion before.
+    /// The crashes at which this was the only task on the endpoint that was already suspected.
     pub sole_crashes: u32,
-    /// How many have fallen silent, and haven't been heard since.
+    /// The endpoints that stopped answering and haven't been heard since.
     pub silences: u32,
-    /// How many of these refused connections, as one does whose process has ended.
+    /// Those of `silences` that refused connections, which suggests that their process has ended.
     pub refusals: u32,
 }
 
-/// Endpoints that crash under a task before it is to blame, where no other task was at both crashes.
-const CRASHES: u32 = 2;
+/// The number of crashes that prove a task to blame, if it was the only suspected task at one of them.
+const MIN_SOLE_CRASHES: u32 = 2;
 
-/// Endpoints that crash under a task before it is to blame in any case.
-const SHARED_CRASHES: u32 = 3;
+/// The number of crashes that prove a task to blame in any case.
+const MIN_SHARED_CRASHES: u32 = 3;
 
 impl Suspicion {
-    /// Tells whether there is any.
+    /// Returns whether the task is suspected at all.
     pub fn is_present(self) -> bool {
         self.crashes + self.silences > 0
     }
 
-    /// Tells whether the task is to blame. One that shared both crashes with another may be as innocent as that: it runs once more. A
-    /// third crash is enough, since the platform bounds the starts after it.
+    /// Returns whether the task is to blame for the crashes.
+    ///
+    /// If it shared two crashes with another suspected task, either may be to blame, so it runs once more. A third
+    /// crash is enough, since the platform limits the starts after it.
     pub fn is_conclusive(self) -> bool {
-        let least = if self.sole_crashes > 0 {
-            CRASHES
+        let min_crashes = if self.sole_crashes > 0 {
+            MIN_SOLE_CRASHES
         } else {
-            SHARED_CRASHES
+            MIN_SHARED_CRASHES
         };
-        self.crashes >= least
+        self.crashes >= min_crashes
     }
 
-    /// Tells whether it is strong enough for the task to run alone. One endpoint that leaves calls without an answer is no reason: a cut
-    /// silences many, and what ran there would take an endpoint each, when there are fewer.
+    /// Returns whether the suspicion is strong enough for the task to run alone on an endpoint.
+    ///
+    /// A single endpoint that stopped answering isn't enough: a network partition silences many at once, and giving
+    /// each of their tasks an endpoint of its own would waste the remaining capacity.
     pub fn is_strong(self) -> bool {
         self.crashes + self.refusals > 0 || self.silences > 1
     }
 
-    /// Takes note that an endpoint which had fallen silent is heard of.
+    /// Withdraws one silence, after an endpoint that had stopped answering was heard again.
     pub fn on_endpoint_heard(&mut self) {
         self.silences = self.silences.saturating_sub(1);
         self.refusals = self.refusals.min(self.silences);
