--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -1,7 +1,7 @@
-//! The dispatcher of leased tasks: all decisions of an instance on the platform, without input or output.
+//! The dispatcher of leased tasks: a state machine that makes all decisions of an instance, without I/O.
 //!
-//! [`Dispatcher::step`] takes what happened and returns what is to be done. It knows no sockets, clocks or
-//! threads, so that every order of events can be played in a test.
+//! [`Dispatcher::step`] takes an [`Input`] and returns the [`Output`]s to carry out. It uses no sockets, clocks
+//! or threads, so tests can replay events in any order.
 
 mod announcement;
 mod coordination;
@@ -76,92 +76,94 @@
 };
 use crate::prelude::*;
 
-/// After which a batch of a member that isn't a neighbour comes too late: half of what a member may be silent.
-const BELATED: Span = Span(member::SILENCE.0 / 2);
+/// Age of a member's last message after which its batches are declined, unless it's a neighbour: half of the
+/// silence after which a member counts as lost.
+const MAX_SENDER_SILENCE: Span = Span(member::SILENCE.0 / 2);
 
-/// Between audits of batches that have been out for long.
-const AUDITS: Span = Span::millis(250);
+/// Interval between audits of batches that have been outstanding for long.
+const AUDIT_INTERVAL: Span = Span::millis(250);
 
-/// A pause between two steps after which an instance takes all that it holds as lapsed: it ticks every few
-/// milliseconds, and its peers take over what it had after [`member::SILENCE`].
-const PAUSE: Span = Span::millis(450);
+/// Gap between two steps after which an instance treats all that it holds as lapsed. It ticks every few
+/// milliseconds; its peers take over what it owned after [`member::SILENCE`].
+const MAX_STEP_GAP: Span = Span::millis(450);
 
-/// Between searches for members that have been silent too long: a tenth of what a heartbeat takes to come again.
-const EXPIRY: Span = Span::millis(10);
+/// Interval between checks for members that have been silent too long: a tenth of the heartbeat interval.
+const EXPIRY_INTERVAL: Span = Span::millis(10);
 
-/// How long a draining instance goes on taking jobs: the platform sends it no new connections after two missed
-/// checks, a second apart, and callers on open ones learn from their next answer that it leaves. A job that
-/// came later could not end before the process is killed.
-const LINGER: Span = Span::millis(2_500);
+/// How long a draining instance still accepts jobs. The platform sends it no new connections after two failed
+/// health checks, a second apart, and callers on open connections learn from their next answer that it leaves.
+/// A job that arrived later couldn't end before the process is killed.
+const DRAIN_ACCEPT_PERIOD: Span = Span::millis(2_500);
 
-/// How long an instance that takes no jobs any more still answers what comes on open connections, and how long one of
-/// these must have been idle before it is closed. A connection that had just been accepted was closed before
-/// its request came, and the caller saw it break; requests follow their connection within milliseconds.
+/// How long an instance that accepts no more jobs still answers requests on open connections, and how long a
+/// connection must be idle before it's closed. Without it a new connection could be closed before its first
+/// request arrives.
 pub const CONNECTION_GRACE: Span = Span::millis(200);
 
-/// Between decisions on which shards to coordinate: what others say of theirs comes as often.
-const COORDINATE: Span = member::HEARTBEAT;
+/// Interval between decisions on which shards to coordinate: peers announce theirs as often.
+const COORDINATION_INTERVAL: Span = member::HEARTBEAT;
 
-/// How long a question about a stored job may take: a few takeovers of its shard.
-const ASKED: Span = Span::millis(2_500);
+/// Timeout of a request about a stored job: a few takeovers of its shard.
+const JOB_REQUEST_TIMEOUT: Span = Span::millis(2_500);
 
-/// When a caller that a leaving instance refuses may come back: at once, anywhere else.
-const LEAVING: Span = Span::millis(500);
+/// Retry delay for callers that a leaving instance refuses: any other instance can take the job.
+const LEAVING_RETRY_DELAY: Span = Span::millis(500);
 
-/// How long a draining instance goes on naming racks that it has handed over: its heartbeats overtake the message with what
-/// runs there, and the next owner would claim the rack as nobody's and stop it.
-const CEDED: Span = Span::millis(700);
+/// How long an instance still announces racks that it has handed over. Its heartbeats can overtake the handover;
+/// without the claim the next owner would take the rack as unowned and stop what runs there.
+const HANDED_OVER_CLAIM_PERIOD: Span = Span::millis(700);
 
-/// Bits of an incarnation, a time in milliseconds, that number the batches of one life.
+/// Low bits of a batch's serial number that count within one incarnation; the incarnation, a time in
+/// milliseconds, takes the bits above them.
 const SERIAL_BITS: u32 = 22;
 
-/// Who the instance is.
+/// The identity of an instance.
 #[derive(Debug, Clone)]
 pub struct Identity {
-    /// Its name and where its peers reach it.
+    /// Its name and the address for its peers.
     pub contact: Contact,
     /// Its data centre.
     pub centre: String,
-    /// One life of it: a later one is higher.
+    /// Identifies one life of the process; a later one is higher.
     pub incarnation: u64,
     /// Its processor share, in thousandths of a core.
     pub share: u32,
-    /// Where its claims begin: above those of any life before, as far as clocks agree. Endpoints remember the
-    /// highest token, and a lower one costs a refused claim.
+    /// The epoch of its first claim: above those of its earlier incarnations, as far as clocks agree. Endpoints
+    /// refuse fencing tokens below the highest that they have seen.
     pub epoch: Epoch,
 }
 
-/// What the instance has and does, in numbers.
+/// Counts for the metrics of an instance.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Stats {
     /// Jobs in progress.
     pub jobs: usize,
-    /// Tasks that wait on its racks.
+    /// Tasks that wait for an endpoint on its racks.
     pub waiting_tasks: usize,
-    /// Runs on its endpoints.
+    /// Task runs in progress on its endpoints.
     pub runs: usize,
-    /// Endpoints that take tasks.
+    /// Endpoints that accept tasks.
     pub open_endpoints: usize,
     /// Racks that it owns.
     pub racks: usize,
     /// Live peers.
     pub peers: usize,
-    /// The configuration's version.
+    /// The version of the configuration, zero if there is none.
     pub configuration_version: u64,
     /// Data centres that are evacuated.
     pub evacuated_centres: usize,
 }
 
-/// All state of an instance.
+/// The state of an instance.
 #[derive(Debug)]
 pub struct Dispatcher {
     identity: Identity,
     members: Members,
     entry: Entry,
     owner: Owner,
-    /// The shards of stored jobs that it coordinates.
+    /// Shards of stored jobs that this instance coordinates.
     durable: Durable,
-    /// Requests about stored jobs that wait for an answer.
+    /// Callers' requests about stored jobs that wait for the coordinator's answer.
     requests: Requests,
     documents: Documents,
     configuration: Option<Configuration>,
@@ -169,34 +171,34 @@
     roster: Roster,
     has_roster: bool,
     reading: Reading,
-    /// The owner of each rack that another instance has, with its token.
+    /// The owner and token of each rack that another instance owns.
     rack_owners: Rc<HashMap<RackId, (Instance, Token)>>,
-    /// The counts of changes, of members' claims and of its own, up to which `rack_owners` is known.
+    /// The change counters of the members' claims and of the own ones that `rack_owners` was built from.
     claim_counts: Option<(u64, u64)>,
-    /// Racks that nobody is heard to own, and that may still be somebody's.
+    /// Racks that no member announces but whose last owner may still be alive.
     former_owners: BTreeMap<RackId, Former>,
     epoch: Epoch,
-    /// Racks that were handed over, with the time of that.
+    /// Racks that were handed over, with the time of the handover.
     handed_over: Vec<(Claim, Time)>,
-    /// When it gave a rack away last, or saw no need to.
+    /// When the balance of racks between members was last checked.
     rebalanced_at: Time,
     started_at: Time,
     startup: Startup,
-    stepped: Time,
-    expired: Time,
-    coordinated: Time,
+    stepped_at: Time,
+    expired_at: Time,
+    coordinated_at: Time,
     announced_at: Time,
     rooms_sent_at: Time,
     all_rooms_sent_at: Time,
-    audit: Time,
-    /// Since when it is about to end.
-    draining: Option<Time>,
-    /// Whether callers' idle connections were closed for that.
-    shut: bool,
+    audited_at: Time,
+    /// When the drain began.
+    draining_since: Option<Time>,
+    /// Whether the drain has closed callers' idle connections.
+    idle_callers_closed: bool,
 }
 
 impl Dispatcher {
-    /// Makes a dispatcher that knows nothing yet.
+    /// Creates a dispatcher without configuration, endpoints or peers.
     pub fn new(identity: Identity, now: Time) -> Self {
         let identity_epoch = identity.epoch;
         Self {
@@ -227,15 +229,15 @@
             rebalanced_at: now,
             started_at: now,
             startup: Startup::default(),
-            stepped: Time::default(),
-            expired: Time::default(),
-            coordinated: Time::default(),
+            stepped_at: Time::default(),
+            expired_at: Time::default(),
+            coordinated_at: Time::default(),
             announced_at: Time::default(),
             rooms_sent_at: Time::default(),
             all_rooms_sent_at: Time::default(),
-            audit: Time::default(),
-            draining: None,
-            shut: false,
+            audited_at: Time::default(),
+            draining_since: None,
+            idle_callers_closed: false,
         }
     }
 
@@ -244,45 +246,49 @@
         self.configuration.as_ref()
     }
 
-    /// Returns the list of endpoints that it goes by.
+    /// Returns the list of endpoints in force.
     pub fn roster(&self) -> &Roster {
         &self.roster
     }
 
-    /// Tells whether it can serve callers, and stays.
+    /// Returns whether the instance can serve callers and isn't draining.
     pub fn is_ready(&self) -> bool {
-        let known = self.configuration.is_some() && self.has_roster;
-        known && self.draining.is_none() && (self.entry.owned() || self.roster.endpoints.is_empty())
+        let configured = self.configuration.is_some() && self.has_roster;
+        configured
+            && self.draining_since.is_none()
+            && (self.entry.all_racks_owned() || self.roster.endpoints.is_empty())
     }
 
-    /// Tells whether it is about to end.
+    /// Returns whether the instance is draining.
     pub fn is_draining(&self) -> bool {
-        self.draining.is_some()
+        self.draining_since.is_some()
     }
 
-    /// Tells whether it takes no jobs any more, since it is about to end.
+    /// Returns whether the instance has drained for so long that it refuses new jobs.
     pub fn refuses_jobs(&self, now: Time) -> bool {
-        self.draining
-            .is_some_and(|since| now.since(since) >= LINGER)
+        self.draining_since
+            .is_some_and(|since| now.since(since) >= DRAIN_ACCEPT_PERIOD)
     }
 
-    /// Tells whether all that came before it took no jobs any more is answered, and what came since had time to be told.
-    fn over(&self, now: Time) -> bool {
-        let told = |since| now.since(since) >= LINGER + CONNECTION_GRACE + CONNECTION_GRACE;
+    /// Returns whether the drain is complete: all jobs and requests are answered, and callers that came after the
+    /// instance had stopped accepting jobs had time to be refused.
+    fn is_drained(&self, now: Time) -> bool {
+        let elapsed =
+            |since| now.since(since) >= DRAIN_ACCEPT_PERIOD + CONNECTION_GRACE + CONNECTION_GRACE;
         let answered = self.entry.is_empty() && self.requests.is_empty();
-        self.draining.is_some_and(told) && answered && self.owner.idle()
+        self.draining_since.is_some_and(elapsed) && answered && self.owner.idle()
     }
 
-    /// Tells whether it hears no peer.
+    /// Returns whether no peer is alive.
     pub fn is_alone(&self) -> bool {
         self.members.live().next().is_none()
     }
 
-    /// Counts the jobs of a queue of which nothing has started, at all instances that it hears.
+    /// Counts the jobs of a queue that have started no task, at this instance and at all live peers.
     pub fn count_pending(&self, route: &str) -> u32 {
         let members = self.members.live().filter_map(|m| m.status.as_ref());
-        let told = members.flat_map(|status| status.pending.iter());
-        let told = told
+        let announced = members.flat_map(|status| status.pending.iter());
+        let announced = announced
             .filter(|(name, _)| name == route)
             .map(|(_, count)| count);
         let own = self
@@ -291,15 +297,15 @@
             .get(route)
             .copied()
             .unwrap_or(0);
-        own + told.sum::<u32>()
+        own + announced.sum::<u32>()
     }
 
-    /// Tells whether a job is in progress here.
+    /// Returns whether a job is in progress here and its caller waits for the end.
     pub fn has_job(&self, job: id::JobId) -> bool {
         self.entry.has_job(job)
     }
 
-    /// Returns what it has and does, in numbers.
+    /// Returns counts for the metrics.
     pub fn stats(&self) -> Stats {
         let (waiting_tasks, runs, open_endpoints) = self.owner.counts();
         Stats {
@@ -314,29 +320,32 @@
         }
     }
 
-    /// Takes what happened and returns what is to be done.
+    /// Processes one input and returns the outputs to carry out, in order.
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Output> {
         let mut out = Effects::default();
-        let paused = self.stepped != Time::default() && now.since(self.stepped) > PAUSE;
-        self.stepped = now;
+        let paused =
+            self.stepped_at != Time::default() && now.since(self.stepped_at) > MAX_STEP_GAP;
+        self.stepped_at = now;
         if paused {
-            self.awake(now, &mut out);
+            self.on_process_pause(now, &mut out);
         }
-        // What heartbeats say goes before who is silent: they may have waited while the process stood still.
+        // Heartbeats are processed before silent members expire: they may have queued up while the process was
+        // paused.
         let heartbeats = matches!(input, Input::Heartbeats(_));
         if !heartbeats {
-            self.expire(now, &mut out);
+            self.expire_members(now, &mut out);
         }
-        self.take(now, input, &mut out);
+        self.on_input(now, input, &mut out);
         if heartbeats {
-            self.expire(now, &mut out);
+            self.expire_members(now, &mut out);
         }
-        self.settle(now, &mut out);
+        self.deliver_messages(now, &mut out);
         out.outputs
     }
 
-    /// Does what is due, and delivers messages of this instance to itself until there are none left.
-    fn settle(&mut self, now: Time, out: &mut Effects) {
+    /// Runs what is due, and delivers the instance's messages to itself until none are left. Messages to peers
+    /// become outputs.
+    fn deliver_messages(&mut self, now: Time, out: &mut Effects) {
         loop {
             let messages = std::mem::take(&mut out.messages);
             if messages.is_empty() {
@@ -350,7 +359,7 @@
             for (to, message) in messages {
                 if to.name == self.identity.contact.name {
                     let own = self.identity.contact.clone();
-                    self.message(&own, message, now, out);
+                    self.on_message(&own, message, now, out);
                 } else if let Some(member) = self.members.get(&to.name) {
                     let to = member.contact.clone();
                     out.outputs.push(Output::Send(to, message));
@@ -359,20 +368,20 @@
         }
     }
 
-    fn take(&mut self, now: Time, input: Input, out: &mut Effects) {
+    fn on_input(&mut self, now: Time, input: Input, out: &mut Effects) {
         match input {
-            Input::Submitted(arrival) => self.submit(*arrival, now, out),
+            Input::Submitted(arrival) => self.on_submission(*arrival, now, out),
             Input::Abandoned(ticket) => {
-                self.requests.abandon(ticket);
-                self.entry.abandon(ticket, now, out);
+                self.requests.on_caller_gone(ticket);
+                self.entry.on_caller_gone(ticket, now, out);
             }
             Input::JobRequested {
                 ticket,
                 job,
                 question,
             } => {
-                self.ask(ticket, job, question, ASKED, now);
-                self.ask_again(now, out);
+                self.begin_request(ticket, job, question, JOB_REQUEST_TIMEOUT, now);
+                self.send_due_requests(now, out);
             }
             Input::StoreReplied { call, reply } => {
                 let acts = self.durable.stored(call, reply, now, out);
@@ -385,47 +394,47 @@
                 }
             }
             Input::Configured(configuration) => self.configure(*configuration, "store", out),
-            Input::Evacuated(evacuation) => self.evacuate(evacuation, "store", now, out),
+            Input::Evacuated(evacuation) => self.apply_evacuation(evacuation, "store", now, out),
             Input::EvacuationChanged(change) => {
                 if let Some(evacuation) = self.evacuation.with(&change) {
-                    self.evacuate(evacuation, "store", now, out);
+                    self.apply_evacuation(evacuation, "store", now, out);
                 }
             }
             Input::RosterListed(roster) => {
                 let earlier = self.roster.clone();
-                self.list(roster, now, out);
+                self.apply_roster(roster, now, out);
                 self.tell_change(&earlier, out);
             }
             Input::RosterRead(done) => self.reading.note(done, now),
             Input::MembersFound(contacts) => {
                 for contact in contacts {
-                    self.find(&contact, now, out);
+                    self.on_member_found(&contact, now, out);
                 }
             }
             Input::Received { from, messages } => {
-                if self.meet(&from, now, out) {
+                if self.check_sender(&from, now, out) {
                     self.members.hear(&from.contact.name, from.sent, now);
                     for message in messages {
-                        self.message(&from.contact, message, now, out);
+                        self.on_message(&from.contact, message, now, out);
                     }
                 }
             }
-            Input::Heartbeats(heartbeats) => self.take_heartbeats(heartbeats, now, out),
+            Input::Heartbeats(heartbeats) => self.on_heartbeats(heartbeats, now, out),
             Input::EndpointReplied { call, sent, reply } => {
                 self.owner.called(call, sent, reply, now, out)
             }
             Input::Drain => {
-                self.draining.get_or_insert(now);
+                self.draining_since.get_or_insert(now);
                 out.outputs.push(Output::Log(Record::new("draining")));
                 self.announced_at = Time::default();
-                self.tick(now, out);
+                self.on_tick(now, out);
             }
-            Input::Closing => self.entry.close(now, out),
-            Input::Tick => self.tick(now, out),
+            Input::Closing => self.entry.give_up_all(now, out),
+            Input::Tick => self.on_tick(now, out),
         }
     }
 
-    fn submit(&mut self, arrival: Arrival, now: Time, out: &mut Effects) {
+    fn on_submission(&mut self, arrival: Arrival, now: Time, out: &mut Effects) {
         let Arrival {
             ticket,
             host,
@@ -440,7 +449,7 @@
             return out.outputs.push(Output::Answer(ticket, Answer::NoRoute));
         };
         if self.refuses_jobs(now) {
-            let again = LEAVING;
+            let again = LEAVING_RETRY_DELAY;
             out.outputs
                 .push(Output::Answer(ticket, Answer::Refused { again }));
             return;
@@ -452,70 +461,78 @@
         self.entry.submit(ticket, submission, route, wait, now, out);
     }
 
-    /// Puts a configuration in force, unless a newer one is.
+    /// Puts a configuration in force, unless the current one is as new.
     fn configure(&mut self, configuration: Configuration, from: &str, out: &mut Effects) {
-        let known = self.configuration.as_ref().map(|c| c.version);
-        if known.is_some_and(|known| known >= configuration.version) {
+        let current = self.configuration.as_ref().map(|c| c.version);
+        if current.is_some_and(|current| current >= configuration.version) {
             return;
         }
         let record = Record::new("configuration_applied").with("version", configuration.version);
         out.outputs.push(Output::Log(record.with("from", from)));
-        let same = self
+        let same_services = self
             .configuration
             .as_ref()
             .map(Configuration::service_names)
             == Some(configuration.service_names());
         self.configuration = Some(configuration);
-        if self.has_roster && !same {
-            self.list_racks();
+        if self.has_roster && !same_services {
+            self.update_racks();
         }
     }
 
-    /// Starts nothing in the data centres that are evacuated from now on, unless something newer is known.
-    fn evacuate(&mut self, evacuation: Evacuation, from: &str, now: Time, out: &mut Effects) {
+    /// Applies a list of evacuated data centres, where no new tasks may start, unless the current one is as new.
+    fn apply_evacuation(
+        &mut self,
+        evacuation: Evacuation,
+        from: &str,
+        now: Time,
+        out: &mut Effects,
+    ) {
         if evacuation.version <= self.evacuation.version {
             return;
         }
-        let former = std::mem::replace(&mut self.evacuation, evacuation);
+        let previous = std::mem::replace(&mut self.evacuation, evacuation);
         let centres = &self.evacuation.centres;
-        let begun = centres.difference(&former.centres);
-        let begun = begun.map(|centre| ("centre_evacuated", centre));
-        let over = former.centres.difference(centres);
-        let over = over.map(|centre| ("centre_returned", centre));
-        for (event, centre) in begun.chain(over) {
+        let evacuated = centres.difference(&previous.centres);
+        let evacuated = evacuated.map(|centre| ("centre_evacuated", centre));
+        let returned = previous.centres.difference(centres);
+        let returned = returned.map(|centre| ("centre_returned", centre));
+        for (event, centre) in evacuated.chain(returned) {
             let record = Record::new(event).with("centre", centre.as_str());
             let record = record.with("version", self.evacuation.version);
             out.outputs.push(Output::Log(record.with("from", from)));
         }
-        if former.centres != *centres {
+        if previous.centres != *centres {
             self.owner.evacuate(centres);
-            self.entry.evacuate(centres);
-            self.entry.work(now, out);
+            self.entry.set_evacuated_centres(centres);
+            self.entry.run_due(now, out);
         }
     }
 
-    /// Tells the entry of the racks whose service the configuration knows. Another program may list endpoints of a service
-    /// that nobody configured: their racks would be claimed, and looked at for good.
-    fn list_racks(&mut self) {
+    /// Passes the listed endpoints of configured services to the entry. Racks of services that nobody configured
+    /// would otherwise be claimed and polled for ever.
+    fn update_racks(&mut self) {
         let configuration = self.configuration.as_ref();
-        let known = |l: &&Listing| configuration.is_none_or(|c| c.names(&l.service));
-        self.entry.list(self.roster.endpoints.iter().filter(known));
-        // Racks that are new here have no owner yet.
+        let configured = |l: &&Listing| configuration.is_none_or(|c| c.has_service(&l.service));
+        self.entry
+            .set_endpoints(self.roster.endpoints.iter().filter(configured));
+        // New racks have no owner in the entry yet: forces the owners to be passed on again.
         self.claim_counts = None;
     }
 
-    fn list(&mut self, roster: Roster, now: Time, out: &mut Effects) {
+    /// Puts a list of endpoints in force, unless the current one is newer.
+    fn apply_roster(&mut self, roster: Roster, now: Time, out: &mut Effects) {
         if self.has_roster && roster.version < self.roster.version {
             return;
         }
         self.has_roster = true;
         self.owner.list(&roster.endpoints, now, out);
         self.roster = roster;
-        self.list_racks();
+        self.update_racks();
         self.deal(now, out);
     }
 
-    fn find(&mut self, contact: &Contact, now: Time, out: &mut Effects) {
+    fn on_member_found(&mut self, contact: &Contact, now: Time, out: &mut Effects) {
         if contact.name == self.identity.contact.name {
             return;
         }
@@ -526,7 +543,7 @@
         }
     }
 
-    fn take_heartbeats(
+    fn on_heartbeats(
         &mut self,
         heartbeats: Vec<(Sender, Heartbeat)>,
         now: Time,
@@ -538,34 +555,34 @@
         };
         let movable = heartbeats.iter().any(movable);
         for (from, heartbeat) in heartbeats {
-            if !self.meet(&from, now, out) {
+            if !self.check_sender(&from, now, out) {
                 continue;
             }
             let name = &from.contact.name;
-            let known = self.members.get(name);
-            let lived = known.is_some_and(|m| m.live);
+            let member = self.members.get(name);
+            let was_live = member.is_some_and(|m| m.live);
             self.epoch = self.epoch.max(heartbeat.status.epoch);
             let evacuation = heartbeat.status.evacuation.clone();
-            self.evacuate(evacuation, from.contact.name.as_str(), now, out);
+            self.apply_evacuation(evacuation, from.contact.name.as_str(), now, out);
             self.members
                 .heartbeat(name, heartbeat.status, from.sent, now);
             if heartbeat.watching {
                 self.members.asked(name, now);
             }
-            let lives = self.members.get(name).is_some_and(|m| m.live);
-            // Room counts only from a rack's owner.
+            let is_live = self.members.get(name).is_some_and(|m| m.live);
+            // The entry accepts free resources from a rack's owner only, so owners come first.
             self.update_owners();
-            if lives {
+            if is_live {
                 self.owner.hear(name);
                 self.entry.update_rooms(name, heartbeat.rooms);
             }
-            if lives && !lived {
+            if is_live && !was_live {
                 self.startup.heard(self.members.get(name), now);
                 self.durable.doubt_empty();
                 self.greet(&from.contact, now, out);
             }
         }
-        // What changes with time alone is found at the next tick.
+        // Changes that only time brings are handled at the next tick.
         if self.members.claims() != claims {
             self.deal(now, out);
         }
@@ -574,10 +591,10 @@
         }
     }
 
-    /// Judges a message by its sender's life and session; returns whether it counts.
-    fn meet(&mut self, from: &Sender, now: Time, out: &mut Effects) -> bool {
+    /// Checks a sender's incarnation and session; returns whether its messages are valid.
+    fn check_sender(&mut self, from: &Sender, now: Time, out: &mut Effects) -> bool {
         let name = &from.contact.name;
-        let was = self
+        let before = self
             .members
             .get(name)
             .map(|m| (m.live, m.incarnation, m.session));
@@ -588,8 +605,8 @@
                 return false;
             }
             Reception::Anew => {
-                if was.is_some_and(|(_, life, _)| life != from.incarnation) {
-                    // Its former life has ended for certain, and its racks can be claimed at once.
+                if before.is_some_and(|(_, incarnation, _)| incarnation != from.incarnation) {
+                    // Its former incarnation has ended, so its racks can be claimed at once.
                     self.former_owners
                         .retain(|_, former| former.owner.as_ref() != Some(name));
                 }
@@ -597,40 +614,40 @@
                 let record = record.with("session", from.session);
                 out.outputs.push(Output::Log(record));
                 self.owner.abandon(name, out);
-                self.entry.lost(name, now, out);
+                self.entry.on_owner_lost(name, now, out);
             }
             Reception::Valid => {}
         }
         let member = self.members.get(name);
-        let is = member.map(|m| (m.live, m.incarnation, m.session));
-        if is.map(|i| (i.1, i.2)) != was.map(|w| (w.1, w.2)) {
+        let after = member.map(|m| (m.live, m.incarnation, m.session));
+        if after.map(|a| (a.1, a.2)) != before.map(|b| (b.1, b.2)) {
             out.outputs.push(Output::BeginSession {
                 to: from.contact.clone(),
                 incarnation: from.incarnation,
-                session: is.map_or(0, |(_, _, session)| session),
+                session: after.map_or(0, |(_, _, session)| session),
             });
         }
         true
     }
 
-    /// Tells whether what comes of a member left it so long ago that it may be dead since.
+    /// Returns whether a message of a member may have been sent so long ago that the member has died since.
     ///
-    /// Of one that isn't a neighbour nothing else may have come lately. Its batch would be run until its silence is found, and
-    /// its caller, whose connection broke when it died, may have come again elsewhere by then.
-    fn is_belated(&self, name: &Instance, now: Time) -> bool {
+    /// Members that aren't neighbours may be heard rarely. A dead member's batch would run until its silence is
+    /// detected, while its caller may already have resubmitted the job elsewhere.
+    fn is_outdated(&self, name: &Instance, now: Time) -> bool {
         let member = self.members.get(name).filter(|m| !m.watch.is_near());
         let heard = member.and_then(|member| member.heard);
-        heard.is_some_and(|at| now.since(at) > BELATED)
+        heard.is_some_and(|at| now.since(at) > MAX_SENDER_SILENCE)
     }
 
-    fn message(&mut self, from: &Contact, message: Message, now: Time, out: &mut Effects) {
+    fn on_message(&mut self, from: &Contact, message: Message, now: Time, out: &mut Effects) {
         match message {
             Message::Members(contacts) => {
                 for contact in contacts {
-                    self.find(&contact, now, out);
+                    self.on_member_found(&contact, now, out);
                 }
             }
-            Message::Batch(batch) => match self.is_belated(&from.name, now) {
+            Message::Batch(batch) => match self.is_outdated(&from.name, now) {
                 true => self.owner.decline(from, *batch, out),
                 false => self.owner.accept(from, *batch, now, out),
             },
@@ -641,8 +658,10 @@
                 done,
                 started,
             } => {
-                let job = self.entry.report(serial, outcome, done, started, now, out);
-                if let Some(act) = job.and_then(|job| self.durable.fail(job)) {
+                let failed = self
+                    .entry
+                    .on_batch_ended(serial, outcome, done, started, now, out);
+                if let Some(act) = failed.and_then(|job| self.durable.fail(job)) {
                     self.act(vec![act], now, out);
                     self.call_store(now, out);
                 }
@@ -653,11 +672,15 @@
                 started,
                 cause,
             } => {
-                self.entry.returned(serial, tasks, started, cause, now, out);
-                self.entry.work(now, out);
+                self.entry
+                    .on_tasks_returned(serial, tasks, started, cause, now, out);
+                self.entry.run_due(now, out);
             }
             Message::Audit(serials) => self.owner.audit(from, serials, out),
-            Message::Unknown(serials) => self.entry.unknown(&from.name, &serials, now, out),
+            Message::Unknown(serials) => {
+                self.entry
+                    .on_unknown_batches(&from.name, &serials, now, out);
+            }
             Message::Want {
                 from: rack,
                 to,
@@ -665,23 +688,24 @@
             } => self.owner.spare(rack, to, rooms, out),
             Message::Handover(handover) => self.take_over(*handover, now, out),
             Message::Moved { serial, to, moves } => {
-                let lost = to != self.identity.contact.name
+                let owner_lost = to != self.identity.contact.name
                     && self.members.get(&to).is_none_or(|member| !member.live);
-                self.entry.moved(serial, to.clone(), moves, now, out);
-                if lost {
-                    // It can't be asked for the batch, nor will it be given up once more.
-                    self.entry.lost(&to, now, out);
+                self.entry
+                    .on_batch_moved(serial, to.clone(), moves, now, out);
+                if owner_lost {
+                    // The new owner was given up before the move was heard, so no other event takes the batch back.
+                    self.entry.on_owner_lost(&to, now, out);
                 }
             }
             Message::RosterChange(change) => {
                 if let Some(roster) = self.roster.with(&change).filter(|_| self.has_roster) {
-                    self.list(roster, now, out);
+                    self.apply_roster(roster, now, out);
                 }
             }
             Message::Fetch { document, offset } => {
                 self.send_piece(&from.name, document, offset, out);
             }
-            Message::Piece(piece) => self.take_piece(&from.name, *piece, now, out),
+            Message::Piece(piece) => self.on_piece(&from.name, *piece, now, out),
             Message::CancelJob(job) => {
                 self.entry.cancel(job, now, out);
             }
@@ -690,16 +714,16 @@
                 job,
                 question,
             } => {
-                self.request(from, serial, job, question, now, out);
+                self.on_request(from, serial, job, question, now, out);
                 self.call_store(now, out);
             }
-            Message::Verdict { serial, verdict } => self.verdict(serial, verdict, now, out),
-            Message::Begun(serial) => self.entry.begun(serial),
+            Message::Verdict { serial, verdict } => self.on_verdict(serial, verdict, now, out),
+            Message::Begun(serial) => self.entry.on_batch_started(serial),
             Message::Ended(end) => {
                 let own = &self.identity.contact.name;
                 let batch = end.batch.as_ref().filter(|(entry, _)| entry == own);
                 let batch = batch.map(|(_, serial)| *serial);
-                let batch = batch.filter(|serial| self.entry.has_out(*serial));
+                let batch = batch.filter(|serial| self.entry.has_batch(*serial));
                 let act = self.durable.ended(from, &end, batch, out);
                 self.act(act.into_iter().collect(), now, out);
                 self.call_store(now, out);
@@ -713,8 +737,8 @@
         }
     }
 
-    /// Takes all that it holds as lapsed, after the process stood still for longer than its peers wait.
-    fn awake(&mut self, now: Time, out: &mut Effects) {
+    /// Drops everything that peers have taken over, after the process was paused for longer than they wait.
+    fn on_process_pause(&mut self, now: Time, out: &mut Effects) {
         out.outputs.push(Output::Log(Record::new("awoke")));
         let acts = self.durable.void(out);
         self.act(acts, now, out);
@@ -726,18 +750,18 @@
                 session: member.session,
             });
         }
-        self.entry.void(now, out);
+        self.entry.take_back_all(now, out);
         self.started_at = now;
         self.startup = Startup::default();
         self.update_owners();
     }
 
-    /// Gives up members that have been silent too long.
-    fn expire(&mut self, now: Time, out: &mut Effects) {
-        if now.since(self.expired) < EXPIRY {
+    /// Declares members lost that have been silent too long, and takes back their batches.
+    fn expire_members(&mut self, now: Time, out: &mut Effects) {
+        if now.since(self.expired_at) < EXPIRY_INTERVAL {
             return;
         }
-        self.expired = now;
+        self.expired_at = now;
         for member in self.members.expire(now) {
             let name = member.contact.name.clone();
             let record = Record::new("member_lost").with("member", name.as_str());
@@ -752,34 +776,35 @@
             let claims = member.status.map_or_else(Vec::new, |status| status.racks);
             self.remember(&name, &claims, now);
             self.owner.abandon(&name, out);
-            self.entry.lost(&name, now, out);
+            self.entry.on_owner_lost(&name, now, out);
             self.durable.suspect(now);
         }
     }
 
-    fn tick(&mut self, now: Time, out: &mut Effects) {
-        self.handed_over.retain(|(_, at)| now.since(*at) < CEDED);
+    fn on_tick(&mut self, now: Time, out: &mut Effects) {
+        self.handed_over
+            .retain(|(_, at)| now.since(*at) < HANDED_OVER_CLAIM_PERIOD);
         self.deal(now, out);
         self.rebalance(now, out);
         self.choose_readers(now, out);
-        if now.since(self.coordinated) >= COORDINATE {
-            self.coordinated = now;
+        if now.since(self.coordinated_at) >= COORDINATION_INTERVAL {
+            self.coordinated_at = now;
             self.coordinate(now, out);
         }
         self.call_store(now, out);
-        self.ask_again(now, out);
-        self.fetch(now, out);
-        self.entry.work(now, out);
-        if now.since(self.audit) >= AUDITS {
-            self.audit = now;
-            self.entry.audit(now, out);
+        self.send_due_requests(now, out);
+        self.fetch_documents(now, out);
+        self.entry.run_due(now, out);
+        if now.since(self.audited_at) >= AUDIT_INTERVAL {
+            self.audited_at = now;
+            self.entry.audit_batches(now, out);
         }
         self.tell(now, out);
-        if self.refuses_jobs(now) && !self.shut {
-            self.shut = true;
+        if self.refuses_jobs(now) && !self.idle_callers_closed {
+            self.idle_callers_closed = true;
             out.outputs.push(Output::CloseIdleCallers);
         }
-        if self.over(now) {
+        if self.is_drained(now) {
             out.outputs.push(Output::Drained);
         }
     }
--- a/src/dispatch/documents.rs
+++ b/src/dispatch/documents.rs
@@ -1,9 +1,8 @@
-//! How a configuration, or a list of endpoints, reaches an instance that the store turns away: it asks one peer at a time
-//! for one piece at a time.
+//! Transfer of the configuration and the list of endpoints between peers, for instances that can't read the store.
 //!
-//! Heartbeats tell which version everyone has, so that who lacks one knows whom to ask. Pushed by all who had it, a document
-//! crossed a slow link as often as there were peers: 30 times its size to each of four instances, measured in bytes with
-//! 34 instances and 1,500 routes. Asked for, it crosses once, whatever their number.
+//! Heartbeats announce which version each member has. An instance with an older one fetches the document from one
+//! peer at a time, in pieces. Documents are pulled rather than pushed, so each crosses a slow link only once,
+//! whatever the number of peers that have it.
 
 use super::{
     id::keyed_hash,
@@ -22,22 +21,22 @@
 };
 use crate::prelude::*;
 
-/// Bytes in a piece: 10 ms of a link of 25 Mbit/s, so that what else is on its way to the peer waits no longer.
-const PIECE: usize = 32 << 10;
+/// The greatest size of a piece, in bytes: 10 ms on a link of 25 Mbit/s, so that other messages wait no longer.
+const MAX_PIECE_BYTES: usize = 32 << 10;
 
 /// How long a peer may take for a piece before another is asked: fifty times what it takes on such a link.
-const PATIENCE: Span = Span::millis(500);
+const PIECE_TIMEOUT: Span = Span::millis(500);
 
-/// The largest document that is taken, in bytes: sixty times the largest row that the store takes.
-const LARGEST: u32 = 16 << 20;
+/// The greatest size of a document, in bytes: sixty times that of a row in the store. Bounds the memory for pieces.
+const MAX_DOCUMENT_BYTES: u32 = 16 << 20;
 
-/// How many peers of the own data centre are asked before those of others: bytes between data centres are dear, and a data
-/// centre may be cut off as a whole.
-const NEAR: u32 = 2;
+/// The number of peers in the own data centre that are asked before those in others: traffic between data centres
+/// is expensive, but the own one may be cut off as a whole.
+const LOCAL_ATTEMPTS: u32 = 2;
 
 impl Document {
-    /// How long an instance may lack a document before it asks a peer: most hear it from the store at the same time.
-    fn delay(self) -> Span {
+    /// Returns how long an instance waits for a new version from the store before it asks a peer.
+    fn fetch_delay(self) -> Span {
         match self {
             Self::Configuration => Span::millis(300),
             Self::Roster => Span::millis(1_000),
@@ -50,44 +49,46 @@
 struct Holder {
     name: Instance,
     version: u64,
-    far: bool,
+    /// Whether it is in another data centre.
+    remote: bool,
 }
 
-/// What has come of a document, from which peer.
+/// The part of a document that a peer has sent.
 #[derive(Debug)]
 struct Partial {
     from: Instance,
-    /// When the last piece came, or the first was asked for.
+    /// When the last piece arrived, or the first was requested.
     since: Time,
     version: u64,
     size: u32,
     bytes: Vec<u8>,
 }
 
-/// A document that this instance lacks.
+/// The fetch of a document of which peers have a newer version.
 #[derive(Debug, Default)]
 struct Transfer {
-    /// Since when, and which version of it was the newest then.
-    lacking: Option<(Time, u64)>,
-    /// Peers that were asked in vain.
-    attempts: u32,
+    /// When a newer version was first heard of, and the newest version then.
+    outdated_since: Option<(Time, u64)>,
+    /// The number of peers that didn't answer in time.
+    failed_attempts: u32,
     partial: Option<Partial>,
 }
 
-/// What became of a piece.
+/// The state of a fetch after a piece has arrived.
 #[derive(Debug, PartialEq)]
 enum Progress {
-    /// It wasn't wanted.
-    Unwanted,
-    /// The next piece is to be asked for, from this offset.
+    /// The piece was ignored.
+    Ignored,
+    /// The next piece begins at this offset, in bytes.
     Next(u32),
-    /// The document is whole.
-    Whole(Vec<u8>),
+    /// The document is complete.
+    Complete(Vec<u8>),
 }
 
 impl Transfer {
-    /// Chooses a peer to ask, where none is being asked that still lives and answers.
-    fn choose(
+    /// Chooses a peer to fetch from, unless a fetch from a live peer is in progress. `own` is the name of this
+    /// instance and its version of the document.
+    fn choose_peer(
         &mut self,
         own: (&Instance, u64),
         delay: Span,
@@ -100,24 +101,32 @@
             return None;
         };
         let (own, version) = own;
-        // What was lacked has come; of what has changed since then each hears in its own time.
-        let lacking = self.lacking.filter(|(_, lacked)| *lacked > version);
-        let (since, _) = *self.lacking.insert(lacking.unwrap_or((now, newest)));
+        // Once the awaited version has arrived, the delay begins anew for later ones.
+        let outdated = self
+            .outdated_since
+            .filter(|(_, awaited)| *awaited > version);
+        let (since, _) = *self
+            .outdated_since
+            .insert(outdated.unwrap_or((now, newest)));
         if now.since(since) < delay {
             return None;
         }
         if let Some(partial) = &self.partial {
-            let lives = holders.iter().any(|holder| holder.name == partial.from);
-            if lives && now.since(partial.since) < PATIENCE {
+            let live = holders.iter().any(|holder| holder.name == partial.from);
+            if live && now.since(partial.since) < PIECE_TIMEOUT {
                 return None;
             }
-            self.attempts += 1;
+            self.failed_attempts += 1;
         }
-        let (attempts, near) = (self.attempts, self.attempts < NEAR);
-        // All who lack it choose differently, so that no peer has to serve them all.
+        let (attempts, prefer_local) =
+            (self.failed_attempts, self.failed_attempts < LOCAL_ATTEMPTS);
+        // The hash differs between instances, so that they don't all ask the same peer.
         let preference = |holder: &Holder| {
             let pair = format!("{own} {}", holder.name);
-            (near && holder.far, keyed_hash(u64::from(attempts), &pair))
+            (
+                prefer_local && holder.remote,
+                keyed_hash(u64::from(attempts), &pair),
+            )
         };
         holders.sort_by_cached_key(preference);
         let chosen = holders.first()?;
@@ -131,23 +140,23 @@
         Some(chosen.name.clone())
     }
 
-    /// Takes a piece in.
-    fn take(&mut self, from: &Instance, piece: Piece, now: Time) -> Progress {
+    /// Appends a piece if it comes from the chosen peer and continues the document.
+    fn append(&mut self, from: &Instance, piece: Piece, now: Time) -> Progress {
         let Some(partial) = self.partial.as_mut().filter(|p| p.from == *from) else {
-            return Progress::Unwanted;
+            return Progress::Ignored;
         };
-        if piece.size > LARGEST || piece.bytes.is_empty() {
-            return Progress::Unwanted;
+        if piece.size > MAX_DOCUMENT_BYTES || piece.bytes.is_empty() {
+            return Progress::Ignored;
         }
         if piece.offset == 0 {
-            // The peer may have a newer one than it was asked for.
+            // The peer may have a newer version by now than the one that it announced.
             partial.version = piece.version;
             partial.size = piece.size;
             partial.bytes.clear();
         }
         let expected = (partial.version, partial.size, partial.bytes.len());
         if expected != (piece.version, piece.size, piece.offset as usize) {
-            return Progress::Unwanted;
+            return Progress::Ignored;
         }
         partial.since = now;
         partial.bytes.extend_from_slice(&piece.bytes);
@@ -156,25 +165,25 @@
         }
         let bytes = std::mem::take(&mut partial.bytes);
         *self = Self::default();
-        Progress::Whole(bytes)
+        Progress::Complete(bytes)
     }
 }
 
-/// A document as it is sent, kept so that it is written once for all who ask.
+/// An encoded document, kept so that it is encoded once for all peers.
 #[derive(Debug, Default)]
 struct Encoded {
     version: u64,
     bytes: Vec<u8>,
 }
 
-/// What is on its way of one document, to this instance and from it.
+/// The transfers of one document: to this instance, and from it.
 #[derive(Debug, Default)]
 struct Exchange {
     transfer: Transfer,
     encoded: Encoded,
 }
 
-/// The documents that this instance asks for, and those that it was asked for.
+/// The transfers of all documents.
 #[derive(Debug, Default)]
 pub(super) struct Documents {
     configuration: Exchange,
@@ -191,7 +200,7 @@
 }
 
 impl Dispatcher {
-    /// Returns the version of a document that this instance has, zero where it has none.
+    /// Returns this instance's version of a document, or zero if it has none.
     pub(super) fn document_version(&self, document: Document) -> u64 {
         match document {
             Document::Configuration => self.configuration.as_ref().map_or(0, |c| c.version),
@@ -200,46 +209,49 @@
         }
     }
 
-    /// Asks a peer for each document that it has in a newer version.
-    pub(super) fn fetch(&mut self, now: Time, out: &mut Effects) {
+    /// Requests each document of which some peer has announced a newer version.
+    pub(super) fn fetch_documents(&mut self, now: Time, out: &mut Effects) {
         for document in [Document::Configuration, Document::Roster] {
             let version = self.document_version(document);
-            let holders = self.holders(document, version);
+            let holders = self.newer_holders(document, version);
             let own = &self.identity.contact.name;
             let transfer = &mut self.documents.exchange(document).transfer;
-            if let Some(name) = transfer.choose((own, version), document.delay(), holders, now) {
+            if let Some(name) =
+                transfer.choose_peer((own, version), document.fetch_delay(), holders, now)
+            {
                 let record = Record::new("document_asked").with("document", document.to_string());
                 out.outputs
                     .push(Output::Log(record.with("member", name.as_str())));
-                self.ask_piece(&name, document, 0, out);
+                self.request_piece(&name, document, 0, out);
             }
         }
     }
 
-    fn holders(&self, document: Document, than: u64) -> Vec<Holder> {
+    /// Returns the live members that have a document in a newer version than `version`.
+    fn newer_holders(&self, document: Document, version: u64) -> Vec<Holder> {
         let holder = |member: &Member| {
             let status = member.status.as_ref()?;
-            let version = match document {
+            let announced = match document {
                 Document::Configuration => status.configuration,
                 Document::Roster => status.roster,
             };
-            (version > than).then(|| Holder {
+            (announced > version).then(|| Holder {
                 name: member.contact.name.clone(),
-                version,
-                far: member.centre != self.identity.centre,
+                version: announced,
+                remote: member.centre != self.identity.centre,
             })
         };
         self.members.live().filter_map(holder).collect()
     }
 
-    fn ask_piece(&self, from: &Instance, document: Document, offset: u32, out: &mut Effects) {
+    fn request_piece(&self, from: &Instance, document: Document, offset: u32, out: &mut Effects) {
         if let Some(member) = self.members.get(from) {
             let message = Message::Fetch { document, offset };
             out.messages.push((member.contact.clone(), message));
         }
     }
 
-    /// Sends a piece of a document to a peer that asks for it; from its beginning, where a newer one came meanwhile.
+    /// Sends the requested piece of a document to a peer, or the first one if the document has changed since.
     pub(super) fn send_piece(
         &mut self,
         to: &Instance,
@@ -255,12 +267,12 @@
         let encoded = &mut self.documents.exchange(document).encoded;
         let mut offset = offset as usize;
         if encoded.version != version {
-            let written = match document {
+            let encoded_bytes = match document {
                 Document::Configuration => postcard::to_stdvec(&self.configuration),
                 Document::Roster => postcard::to_stdvec(&self.roster),
             };
-            // Plain data always has a form on the wire.
-            encoded.bytes = written.unwrap_or_default();
+            // Encoding plain data can't fail.
+            encoded.bytes = encoded_bytes.unwrap_or_default();
             encoded.version = version;
             offset = 0;
         }
@@ -272,35 +284,29 @@
             version,
             size: encoded.bytes.len() as u32,
             offset: offset as u32,
-            bytes: rest[..rest.len().min(PIECE)].to_vec(),
+            bytes: rest[..rest.len().min(MAX_PIECE_BYTES)].to_vec(),
         };
         out.messages.push((to, Message::Piece(Box::new(piece))));
     }
 
-    /// Takes a piece of a document; with the last one the document is in force.
-    pub(super) fn take_piece(
-        &mut self,
-        from: &Instance,
-        piece: Piece,
-        now: Time,
-        out: &mut Effects,
-    ) {
+    /// Handles a piece of a document: requests the next one, or puts the complete document in force.
+    pub(super) fn on_piece(&mut self, from: &Instance, piece: Piece, now: Time, out: &mut Effects) {
         let document = piece.document;
         let transfer = &mut self.documents.exchange(document).transfer;
-        let bytes = match transfer.take(from, piece, now) {
-            Progress::Unwanted => return,
-            Progress::Next(offset) => return self.ask_piece(from, document, offset, out),
-            Progress::Whole(bytes) => bytes,
+        let bytes = match transfer.append(from, piece, now) {
+            Progress::Ignored => return,
+            Progress::Next(offset) => return self.request_piece(from, document, offset, out),
+            Progress::Complete(bytes) => bytes,
         };
-        let read = match document {
+        let applied = match document {
             Document::Configuration => postcard::from_bytes::<Option<Configuration>>(&bytes)
-                .map(|read| read.map(|read| self.configure(read, from.as_str(), out))),
+                .map(|decoded| decoded.map(|new| self.configure(new, from.as_str(), out))),
             Document::Roster => postcard::from_bytes::<Roster>(&bytes).map(|roster| {
                 let newer = roster.version > self.roster.version || !self.has_roster;
-                newer.then(|| self.list(roster, now, out))
+                newer.then(|| self.apply_roster(roster, now, out))
             }),
         };
-        if let Err(error) = read {
+        if let Err(error) = applied {
             let record = Record::new("document_malformed").with("member", from.as_str());
             out.outputs
                 .push(Output::Log(record.with("error", error.to_string())));
--- a/src/dispatch/entry.rs
+++ b/src/dispatch/entry.rs
@@ -1,4 +1,4 @@
-//! The entry's duty: it takes jobs in, gives their tasks out as batches, and answers.
+//! The entry: accepts callers' jobs, sends their tasks to rack owners in batches, and answers the callers.
 
 mod batches;
 mod ending;
@@ -16,7 +16,7 @@
 };
 
 use self::rack::{
-    choose,
+    choose_rack,
     Demand,
     Rack, //
 };
@@ -42,35 +42,37 @@
 };
 use crate::prelude::*;
 
-/// How long after an instance was given up, or was found without a batch, it may still have runs of it. It starts
-/// nothing once it hasn't heard the entry for 600 ms, and stops what it has, or its last leases pass a second
-/// later; the rest is for the endpoints' clocks.
-const DOUBT: Span = Span::millis(1_700);
+/// How long an instance may still have runs of a batch after it was lost, or was found without the batch. It
+/// starts nothing once it hasn't heard the entry for 600 ms, and its runs are stopped or their leases lapse
+/// within another second; the rest allows for the endpoints' clocks. Tasks placed earlier could run twice.
+const LOST_BATCH_DELAY: Span = Span::millis(1_700);
 
-/// How long tasks that an owner sent back wait for its heartbeat, which tells what it owns.
-const ELSEWHERE: Span = Span::millis(10);
+/// Delay before returned tasks are placed again: the owner's next heartbeat, which announces its racks, must
+/// arrive first, or the tasks would go to the same owner over and over.
+const RETURNED_TASK_DELAY: Span = Span::millis(10);
 
-/// After which a batch that hasn't ended is asked for again: a message may have been lost with a session.
-const AUDIT: Span = Span::millis(700);
+/// Age after which an unfinished batch is audited at its owner: a message may have been lost with a session.
+const BATCH_AUDIT_AGE: Span = Span::millis(700);
 
-/// When callers that are refused for want of room may come back, at the least and at the most. What waits ahead
-/// of them is served at about the rate at which it came; the spread keeps them from coming back together.
-const AGAIN: (Span, Span) = (Span::seconds(1), Span::seconds(4));
+/// Least and greatest retry delay for callers that are refused for lack of capacity. Within these bounds it
+/// follows the estimated wait.
+const RETRY_DELAY_RANGE: (Span, Span) = (Span::seconds(1), Span::seconds(4));
 
-/// The answer to a job that was given up after it may have started. The time covers the stop of what runs, in
-/// the worst case until its leases have lapsed, and what keeps the caller's place from being served now.
-const GIVEN_UP: Answer = Answer::GivenUp { again: AGAIN.0 };
+/// The answer to a job that was given up after it may have started. The retry delay covers the stop of its runs,
+/// in the worst case until their leases have lapsed.
+const GIVEN_UP: Answer = Answer::GivenUp {
+    again: RETRY_DELAY_RANGE.0,
+};
 
-/// How long a stored job may take: it is run to its end, however late that is.
-const FOREVER: Span = Span::seconds(1_000_000_000);
+/// The time limit of a stored job, about 30 years: it runs to its end, however late.
+const UNLIMITED: Span = Span::seconds(1_000_000_000);
 
-/// After this multiple of its objective an answer is of little use. A job that would end later is refused where it
-/// would have to wait, so that those which can still be of use get the room: without that, two seconds of overload
-/// make everything late for as long as the load lasts.
-pub(super) const USEFUL: f64 = 3.0;
+/// Multiple of a job's objective after which an answer is of little use. A job that would have to wait and end
+/// later is refused. Otherwise the backlog of a short overload would make all later jobs late.
+pub(super) const USEFUL_FACTOR: f64 = 3.0;
 
-/// The share of the estimated wait and work that must fit in a caller's time for its job to be taken.
-const CAUTION: f64 = 0.8;
+/// Share of the estimated wait and work that must fit within a caller's time limit for its job to be accepted.
+const ESTIMATE_SHARE: f64 = 0.8;
 
 /// A job in progress.
 #[derive(Debug)]
@@ -80,64 +82,67 @@
     service: String,
     attempts: u32,
     priority: u32,
-    arrived: Time,
-    /// Until when it is on time.
-    due: Time,
-    /// Until when an answer is of use.
-    useful: Time,
-    /// Until when its callers wait.
-    until: Time,
+    arrived_at: Time,
+    /// An answer after this is late.
+    due_at: Time,
+    /// An answer after this is of little use.
+    useful_until: Time,
+    /// When its callers stop waiting.
+    deadline: Time,
     steps: Vec<Progress>,
-    batches: BTreeMap<u64, Sent>,
-    /// Tasks that no owner has, with the earliest time at which they may be placed.
-    loose: Vec<Loose>,
-    /// Whether some start may have left.
+    batches: BTreeMap<u64, SentBatch>,
+    /// Tasks that are in no batch.
+    unplaced: Vec<UnplacedTasks>,
+    /// Whether a start of a task may have been sent to an endpoint.
     started: bool,
-    /// Set once it is given up: it is answered when all owners have dropped it.
-    ending: bool,
-    /// Whether it is given up because a task failed as often as it may.
+    /// Whether it was given up: it is answered once all owners have dropped its batches.
+    given_up: bool,
+    /// Whether a task has used up its attempts.
     failed: bool,
-    /// Whether it is stored: nobody waits, and the ends of its tasks come one by one.
+    /// Whether the job is stored: no caller waits, and the ends of its tasks arrive one by one.
     stored: bool,
-    /// The queue that it came by.
+    /// The queue that accepted it.
     route: String,
 }
 
-/// How far a step has come.
+/// The progress of a step.
 #[derive(Debug, Clone)]
 struct Progress {
-    /// The tasks that are not done. A mere count would take a task that two batches report for two tasks, and the
-    /// caller would be told complete while one has not ended.
-    left: BTreeSet<u32>,
+    /// The tasks that aren't done. With a count instead, a task that two batches report would count twice, and
+    /// the job could be answered as completed too early.
+    remaining: BTreeSet<u32>,
     placed: bool,
 }
 
 /// Tasks that wait to be placed.
 #[derive(Debug)]
-struct Loose {
+struct UnplacedTasks {
     step: u32,
     tasks: Vec<u32>,
-    at: Time,
-    hint: Option<RackId>,
+    /// The earliest time at which they may be placed.
+    not_before: Time,
+    /// A rack that has asked for tasks.
+    preferred_rack: Option<RackId>,
 }
 
-/// A batch that an owner has.
+/// A batch that was sent to an owner.
 #[derive(Debug)]
-struct Sent {
+struct SentBatch {
     owner: Instance,
     step: u32,
     tasks: Vec<u32>,
-    at: Time,
-    /// How often it moved, as far as this entry has heard.
+    /// When it was sent, or was last heard to have moved.
+    sent_at: Time,
+    /// How often it moved to another owner, as far as this entry has heard.
     moves: u32,
 }
 
-/// The jobs that an instance has taken in.
+/// The jobs in progress that an instance has accepted, and its view of all racks.
 #[derive(Debug)]
 pub struct Entry {
-    /// Its instance.
-    own: Instance,
-    /// The data centre of its instance.
+    /// This instance.
+    instance: Instance,
+    /// The data centre of this instance.
     centre: String,
     jobs: BTreeMap<JobId, Job>,
     by_ticket: HashMap<Ticket, JobId>,
@@ -145,45 +150,48 @@
     racks: BTreeMap<RackId, Rack>,
     /// Data centres where nothing may be started.
     evacuated: BTreeSet<String>,
-    /// Stored jobs that wait until what ran of them elsewhere has ended.
-    held_back: Vec<(Time, JobId)>,
-    serial: u64,
-    refused: u32,
+    /// Stored jobs and when they may start: after their runs under a former coordinator have ended.
+    delayed_starts: Vec<(Time, JobId)>,
+    /// The serial number of the last batch.
+    last_serial: u64,
+    /// Counts refusals, to spread the retry delays.
+    refusals: u32,
 }
 
 impl Entry {
-    /// Starts the numbers of batches at `serial`, which must be above those of any former life.
-    pub fn new(serial: u64, own: &Instance, centre: impl Into<String>) -> Self {
+    /// Creates an entry without jobs or racks. Batches are numbered from above `last_serial`, which must not be
+    /// below any number of a former incarnation.
+    pub fn new(last_serial: u64, instance: &Instance, centre: impl Into<String>) -> Self {
         Self {
-            own: own.clone(),
+            instance: instance.clone(),
             centre: centre.into(),
-            serial,
+            last_serial,
             jobs: BTreeMap::new(),
             by_ticket: HashMap::new(),
             by_serial: HashMap::new(),
             racks: BTreeMap::new(),
             evacuated: BTreeSet::new(),
-            held_back: Vec::new(),
-            refused: 0,
+            delayed_starts: Vec::new(),
+            refusals: 0,
         }
     }
 
-    /// Counts the jobs in progress.
+    /// Returns the number of jobs in progress.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Tells whether no job is in progress.
+    /// Returns whether no job is in progress.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// Tells whether a job whose caller waits is in progress here.
+    /// Returns whether a job is in progress here and its caller waits for the end.
     pub fn has_job(&self, job: JobId) -> bool {
         self.jobs.get(&job).is_some_and(|job| !job.stored)
     }
 
-    /// Counts the jobs of which nothing has started, by queue.
+    /// Counts the jobs that have started no task, by queue.
     pub fn pending_by_route(&self) -> BTreeMap<String, u32> {
         let mut counts: BTreeMap<String, u32> = BTreeMap::new();
         for job in self.jobs.values().filter(|job| !job.started) {
@@ -197,13 +205,14 @@
         counts
     }
 
-    /// Tells whether some of a job has started here.
-    pub fn started(&self, job: JobId) -> bool {
+    /// Returns whether a task of a job has started here.
+    pub fn has_started(&self, job: JobId) -> bool {
         self.jobs.get(&job).is_some_and(|job| job.started)
     }
 
-    /// Takes note of the endpoints that the platform lists.
-    pub fn list<'a>(&mut self, listings: impl IntoIterator<Item = &'a Listing>) {
+    /// Replaces the racks by those of the listed endpoints. Racks that stay keep their owner and free resources;
+    /// endpoints that are draining don't count.
+    pub fn set_endpoints<'a>(&mut self, listings: impl IntoIterator<Item = &'a Listing>) {
         let mut racks: BTreeMap<RackId, Rack> = BTreeMap::new();
         for listing in listings.into_iter().filter(|l| !l.draining) {
             let id = listing.rack_id();
@@ -215,8 +224,8 @@
                 ..Rack::default()
             });
             rack.cpu += listing.capacity.cpu;
-            if !rack.sizes.contains(&listing.capacity) {
-                rack.sizes.push(listing.capacity);
+            if !rack.endpoint_sizes.contains(&listing.capacity) {
+                rack.endpoint_sizes.push(listing.capacity);
             }
             for label in &listing.labels {
                 if !rack.labels.contains(label) {
@@ -225,25 +234,26 @@
             }
         }
         for (id, rack) in &mut racks {
-            if let Some(known) = self.racks.remove(id) {
-                rack.owner = known.owner;
-                rack.free = known.free;
-                rack.movable = known.movable;
-                rack.backlog = known.backlog;
+            if let Some(previous) = self.racks.remove(id) {
+                rack.owner = previous.owner;
+                rack.free = previous.free;
+                rack.movable = previous.movable;
+                rack.backlog = previous.backlog;
             }
         }
         self.racks = racks;
     }
 
-    /// Places nothing in these data centres from now on.
-    pub fn evacuate(&mut self, centres: &BTreeSet<String>) {
+    /// Sets the data centres where no tasks are placed.
+    pub fn set_evacuated_centres(&mut self, centres: &BTreeSet<String>) {
         self.evacuated.clone_from(centres);
         for rack in self.racks.values_mut() {
             rack.evacuated = centres.contains(&rack.centre);
         }
     }
 
-    /// Takes note of the owners.
+    /// Sets the owner of each rack. A rack whose owner changes has no free resources until the new one announces
+    /// them.
     pub fn set_owners(&mut self, owners: &HashMap<RackId, Contact>) {
         for (id, rack) in &mut self.racks {
             let owner = owners.get(id);
@@ -254,8 +264,8 @@
         }
     }
 
-    /// Tells whether every rack has an owner.
-    pub fn owned(&self) -> bool {
+    /// Returns whether every rack has an owner.
+    pub fn all_racks_owned(&self) -> bool {
         self.racks.values().all(|rack| rack.owner.is_some())
     }
 
@@ -268,12 +278,12 @@
     /// Returns the racks without an owner, with their data centres.
     pub fn unowned_racks(&self) -> Vec<(RackId, String)> {
         let racks = self.racks.iter();
-        let orphans = racks.filter(|(_, rack)| rack.owner.is_none());
-        let with_centre = orphans.map(|(id, rack)| (*id, rack.centre.clone()));
+        let unowned = racks.filter(|(_, rack)| rack.owner.is_none());
+        let with_centre = unowned.map(|(id, rack)| (*id, rack.centre.clone()));
         with_centre.collect()
     }
 
-    /// Takes note of the room that racks have.
+    /// Updates the free resources and the backlog of racks that `from` owns; ignores other racks.
     pub fn update_rooms(&mut self, from: &Instance, rooms: Vec<Vacancy>) {
         for vacancy in rooms {
             let Some(rack) = self.racks.get_mut(&vacancy.rack) else {
@@ -287,7 +297,7 @@
         }
     }
 
-    /// Finds the rack of the same service with the most tasks that wait and could move to `to`.
+    /// Returns the rack of the same service, and its owner, with the most waiting tasks that could move to `to`.
     pub fn busiest_rack(&self, to: RackId) -> Option<(RackId, Contact)> {
         let service = &self.racks.get(&to)?.service;
         let others = self.racks.iter();
@@ -296,14 +306,14 @@
         Some((*id, rack.owner.clone()?))
     }
 
-    /// Takes note that tasks were asked for from a rack.
+    /// Counts `count` tasks of a rack as no longer movable, after they were requested from its owner.
     pub fn on_tasks_requested(&mut self, from: RackId, count: u32) {
         if let Some(rack) = self.racks.get_mut(&from) {
             rack.movable = rack.movable.saturating_sub(count);
         }
     }
 
-    /// Takes a job in, or answers it at once.
+    /// Accepts a job and places its first steps, or refuses it at once. `wait` is the caller's own time limit.
     pub fn submit(
         &mut self,
         ticket: Ticket,
@@ -315,29 +325,35 @@
     ) {
         let id = submission.id;
         if let Some(job) = self.jobs.get_mut(&id) {
-            // The caller has handed in the same job twice; both get its answer.
+            // The job was submitted twice: both callers get its answer.
             job.tickets.push(ticket);
             self.by_ticket.insert(ticket, id);
             return;
         }
         let chain = submission.critical_path();
-        // A caller that says how long it waits may ask for more work than fits in the route's usual time.
+        // A caller's own limit may exceed the queue's timeout, to allow for more work.
         let limit = wait.unwrap_or(route.timeout);
-        if let Some(reason) = unsupported(&submission, route) {
+        if let Some(reason) = unsupported_feature(&submission, route) {
             return self.refuse(ticket, id, &reason, Span(0), out);
         }
         let objective = route.objective(chain);
-        let useful = Span((objective.0 as f64 * USEFUL) as u64);
-        let needed = self.expect(&submission, &route.service);
+        let useful = Span((objective.0 as f64 * USEFUL_FACTOR) as u64);
+        let needed = self.estimate_duration(&submission, &route.service);
         let Some(needed) = needed else {
-            return self.refuse(ticket, id, "no endpoint can run it", AGAIN.1, out);
+            return self.refuse(
+                ticket,
+                id,
+                "no endpoint can run it",
+                RETRY_DELAY_RANGE.1,
+                out,
+            );
         };
-        let waits = needed > chain;
-        if needed.0 as f64 * CAUTION > limit.0 as f64 || waits && needed > useful {
+        let must_wait = needed > chain;
+        if needed.0 as f64 * ESTIMATE_SHARE > limit.0 as f64 || must_wait && needed > useful {
             return self.refuse(ticket, id, "it would end too late", needed, out);
         }
         let steps = submission.steps.iter().map(|step| Progress {
-            left: (0..step.count).collect(),
+            remaining: (0..step.count).collect(),
             placed: false,
         });
         let job = Job {
@@ -345,23 +361,23 @@
             service: route.service.clone(),
             attempts: route.attempts.max(1),
             priority: route.priority,
-            arrived: now,
-            due: now + objective,
-            useful: now + useful,
-            until: now + limit,
+            arrived_at: now,
+            due_at: now + objective,
+            useful_until: now + useful,
+            deadline: now + limit,
             steps: steps.collect(),
             submission: Rc::new(submission),
             batches: BTreeMap::new(),
-            loose: Vec::new(),
+            unplaced: Vec::new(),
             started: false,
-            ending: false,
+            given_up: false,
             failed: false,
             stored: false,
             route: route.name.clone(),
         };
         let record = Record::routine("job_accepted").job(id);
         let record = record.with("route", route.name.as_str());
-        let record = record.with("due_ms", job.due.since(now));
+        let record = record.with("due_ms", job.due_at.since(now));
         let record = record.with("until_ms", limit);
         out.outputs
             .push(Output::Log(record.with("expected_ms", needed)));
@@ -370,47 +386,47 @@
         self.advance(id, now, out);
     }
 
-    /// Refuses a job of which nothing has left, with the time after which its caller may come back.
+    /// Refuses a job of which nothing was started. Its caller may retry after about `wait`, the estimated wait.
     pub(super) fn refuse(
         &mut self,
         ticket: Ticket,
         id: JobId,
-        why: &str,
-        ahead: Span,
+        reason: &str,
+        wait: Span,
         out: &mut Effects,
     ) {
-        // Callers of the same moment come back at different ones.
-        self.refused = self.refused.wrapping_add(1);
-        let spread = u64::from(self.refused % 4) * 500_000;
-        let again = ahead.max(AGAIN.0).min(AGAIN.1);
+        // Staggers the retries of callers that are refused at the same moment.
+        self.refusals = self.refusals.wrapping_add(1);
+        let spread = u64::from(self.refusals % 4) * 500_000;
+        let again = wait.max(RETRY_DELAY_RANGE.0).min(RETRY_DELAY_RANGE.1);
         let again = Span(again.0 + spread);
-        let record = Record::new("job_refused").job(id).with("reason", why);
+        let record = Record::new("job_refused").job(id).with("reason", reason);
         out.outputs
             .push(Output::Log(record.with("again_ms", again)));
         let answer = Answer::Refused { again };
         out.outputs.push(Output::Answer(ticket, answer));
     }
 
-    /// Estimates how long a job would take now; none where it can never run.
-    pub(super) fn expect(&self, submission: &Submission, service: &str) -> Option<Span> {
+    /// Estimates how long a job would take if it started now; `None` if no endpoint can run one of its steps.
+    pub(super) fn estimate_duration(&self, submission: &Submission, service: &str) -> Option<Span> {
         let mut wait = Span(0);
         for step in &submission.steps {
             let racks = self.racks.values();
-            let fit = racks.filter(|rack| rack.service == service && rack.carries(step));
-            let waits = fit.map(|rack| rack.wait(step));
+            let fit = racks.filter(|rack| rack.service == service && rack.can_run(step));
+            let waits = fit.map(|rack| rack.estimate_wait(step));
             wait = wait.max(waits.min()?);
         }
         Some(Span(wait.0 + submission.critical_path().0))
     }
 
-    /// Places the steps of a job whose turn has come, or answers it when all are done.
+    /// Places the steps of a job whose predecessors are done, or ends the job once all its steps are done.
     fn advance(&mut self, id: JobId, now: Time, out: &mut Effects) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if job.steps.iter().all(|step| step.left.is_empty()) {
+        if job.steps.iter().all(|step| step.remaining.is_empty()) {
             return match job.stored {
-                true => self.forget(id),
+                true => self.remove(id),
                 false => self.answer(id, Answer::Completed, now, out),
             };
         }
@@ -420,12 +436,12 @@
             let ready = |s: &u32| {
                 job.steps
                     .get(*s as usize)
-                    .is_some_and(|p| p.left.is_empty())
+                    .is_some_and(|p| p.remaining.is_empty())
             };
             if !job.steps[index].placed && step.after.iter().all(ready) {
                 job.steps[index].placed = true;
-                let left: Vec<u32> = job.steps[index].left.iter().copied().collect();
-                due.push((index as u32, left));
+                let tasks: Vec<u32> = job.steps[index].remaining.iter().copied().collect();
+                due.push((index as u32, tasks));
             }
         }
         for (step, tasks) in due {
@@ -433,13 +449,13 @@
         }
     }
 
-    /// Gives tasks of a step out to the racks where they are expected to end first.
+    /// Chooses a rack for each task of a step and sends one batch to each rack. Tasks without a rack stay unplaced.
     fn place(
         &mut self,
         id: JobId,
         step: u32,
         tasks: Vec<u32>,
-        hint: Option<RackId>,
+        preferred_rack: Option<RackId>,
         now: Time,
         out: &mut Effects,
     ) {
@@ -449,38 +465,39 @@
         let submission = job.submission.clone();
         let wanted = &submission.steps[step as usize];
         let mut shares: BTreeMap<RackId, Vec<u32>> = BTreeMap::new();
-        let mut loose = Vec::new();
+        let mut unplaced = Vec::new();
         let mut demand = Demand {
             job: id,
             step: wanted,
             service: &job.service,
-            hint,
-            rest: tasks.len() as u64,
-            own: &self.own,
+            preferred_rack,
+            remaining: tasks.len() as u64,
+            instance: &self.instance,
             centre: &self.centre,
         };
         for task in tasks {
-            let rack = choose(&mut self.racks, &demand, &shares);
-            demand.rest -= 1;
+            let rack = choose_rack(&mut self.racks, &demand, &shares);
+            demand.remaining -= 1;
             match rack {
                 Some(rack) => shares.entry(rack).or_default().push(task),
-                None => loose.push(task),
+                None => unplaced.push(task),
             }
         }
-        if !loose.is_empty() {
-            job.loose.push(Loose {
+        if !unplaced.is_empty() {
+            job.unplaced.push(UnplacedTasks {
                 step,
-                tasks: loose,
-                at: now,
-                hint: None,
+                tasks: unplaced,
+                not_before: now,
+                preferred_rack: None,
             });
         }
         for (rack, tasks) in shares {
-            self.send(id, step, tasks, rack, now, out);
+            self.send_batch(id, step, tasks, rack, now, out);
         }
     }
 
-    fn send(
+    /// Sends tasks of one step to a rack's owner as a batch.
+    fn send_batch(
         &mut self,
         id: JobId,
         step: u32,
@@ -495,15 +512,15 @@
         let Some(owner) = rack.owner.clone() else {
             return;
         };
-        self.serial += 1;
-        let serial = self.serial;
+        self.last_serial += 1;
+        let serial = self.last_serial;
         let wanted = &job.submission.steps[step as usize];
         let rest = job
             .submission
             .critical_path()
             .0
             .saturating_sub(wanted.estimate.0);
-        let latest = Time(job.due.0.saturating_sub(rest + wanted.estimate.0));
+        let latest_start = Time(job.due_at.0.saturating_sub(rest + wanted.estimate.0));
         let batch = Batch {
             serial,
             rack: to,
@@ -518,12 +535,12 @@
             spec: job.submission.spec.clone(),
             attempts: job.attempts,
             priority: job.priority,
-            work: job.submission.work(),
+            work: job.submission.total_work(),
             tied: wanted.affinity.as_ref() == Some(&rack.name),
             stored: job.stored,
-            slack: (latest > now).then(|| latest.since(now)),
-            useful: job.useful.since(now),
-            time_left: job.until.since(now),
+            slack: (latest_start > now).then(|| latest_start.since(now)),
+            useful: job.useful_until.since(now),
+            time_left: job.deadline.since(now),
         };
         let record = Record::routine("batch_sent").job(id);
         let record = record
@@ -532,11 +549,11 @@
         let record = record.with("rack", rack.name.as_str());
         out.outputs
             .push(Output::Log(record.with("tasks", tasks.len())));
-        let sent = Sent {
+        let sent = SentBatch {
             owner: owner.name.clone(),
             step,
             tasks,
-            at: now,
+            sent_at: now,
             moves: 0,
         };
         job.batches.insert(serial, sent);
@@ -544,78 +561,82 @@
         out.messages.push((owner, Message::Batch(Box::new(batch))));
     }
 
-    /// Does what is due: places loose tasks, gives up jobs whose time has passed.
-    pub fn work(&mut self, now: Time, out: &mut Effects) {
-        let mut over = Vec::new();
+    /// Places the tasks that are due and gives up jobs that can't meet their deadline.
+    pub fn run_due(&mut self, now: Time, out: &mut Effects) {
+        let mut overdue = Vec::new();
         let mut ready = Vec::new();
         for (id, job) in &mut self.jobs {
-            if now >= job.until {
-                over.push(*id);
+            if now >= job.deadline {
+                overdue.push(*id);
                 continue;
             }
-            if job.ending {
+            if job.given_up {
                 continue;
             }
-            let chain = job.submission.critical_path().0 as f64 * CAUTION;
-            let hopeless = |loose: &Loose| loose.at + Span(chain as u64) > job.until;
-            if job.loose.iter().any(hopeless) {
-                over.push(*id);
+            let chain = job.submission.critical_path().0 as f64 * ESTIMATE_SHARE;
+            let hopeless =
+                |unplaced: &UnplacedTasks| unplaced.not_before + Span(chain as u64) > job.deadline;
+            if job.unplaced.iter().any(hopeless) {
+                overdue.push(*id);
                 continue;
             }
-            let (due, later) = std::mem::take(&mut job.loose)
+            let (due, later) = std::mem::take(&mut job.unplaced)
                 .into_iter()
-                .partition(|loose: &Loose| loose.at <= now);
-            job.loose = later;
-            let due: Vec<Loose> = due;
-            ready.extend(due.into_iter().map(|loose| (*id, loose)));
+                .partition(|unplaced: &UnplacedTasks| unplaced.not_before <= now);
+            job.unplaced = later;
+            let due: Vec<UnplacedTasks> = due;
+            ready.extend(due.into_iter().map(|unplaced| (*id, unplaced)));
         }
-        for id in over {
-            self.end(id, "its time has passed or can't be met", now, out);
-            // Nobody waits for the owners' word any more.
-            let passed = self.jobs.get(&id).is_some_and(|job| now >= job.until);
-            if passed {
+        for id in overdue {
+            self.give_up(id, "its time has passed or can't be met", now, out);
+            // At the deadline the answer no longer waits for the owners' replies.
+            let expired = self.jobs.get(&id).is_some_and(|job| now >= job.deadline);
+            if expired {
                 self.answer(id, GIVEN_UP, now, out);
             }
         }
-        for (id, loose) in ready {
-            let Loose {
-                step, tasks, hint, ..
-            } = loose;
+        for (id, unplaced) in ready {
+            let UnplacedTasks {
+                step,
+                tasks,
+                preferred_rack,
+                ..
+            } = unplaced;
             match self.is_stranded(id, step) {
-                true => self.end(id, "no endpoint can run it", now, out),
-                false => self.place(id, step, tasks, hint, now, out),
+                true => self.give_up(id, "no endpoint can run it", now, out),
+                false => self.place(id, step, tasks, preferred_rack, now, out),
             }
         }
     }
 
-    /// Tells whether a caller waits for a step that no endpoint could ever run: its data centres were evacuated, or what could run
-    /// it has shrunk or left. Kept, the job would be told so only when its time is over.
+    /// Returns whether a caller waits for a step that no endpoint can run any more, since data centres were
+    /// evacuated or endpoints were removed. Without this check its job would be kept until the deadline.
     fn is_stranded(&self, id: JobId, step: u32) -> bool {
         let Some(job) = self.jobs.get(&id).filter(|job| !job.stored) else {
             return false;
         };
         let step = &job.submission.steps[step as usize];
         let mut racks = self.racks.values();
-        !racks.any(|rack| rack.service == job.service && rack.carries(step))
+        !racks.any(|rack| rack.service == job.service && rack.can_run(step))
     }
 
-    /// Returns the owners that have batches.
+    /// Returns the owners of outstanding batches.
     pub fn batch_owners(&self) -> HashSet<&Instance> {
         let batches = self.jobs.values().flat_map(|job| job.batches.values());
         batches.map(|sent| &sent.owner).collect()
     }
 
-    /// Asks owners for batches that have been out for long.
-    pub fn audit(&self, now: Time, out: &mut Effects) {
-        let mut asked: BTreeMap<Instance, Vec<u64>> = BTreeMap::new();
+    /// Asks owners whether they still hold the batches that have been outstanding for long.
+    pub fn audit_batches(&self, now: Time, out: &mut Effects) {
+        let mut audits: BTreeMap<Instance, Vec<u64>> = BTreeMap::new();
         for job in self.jobs.values() {
             for (serial, sent) in &job.batches {
-                if now.since(sent.at) > AUDIT {
-                    asked.entry(sent.owner.clone()).or_default().push(*serial);
+                if now.since(sent.sent_at) > BATCH_AUDIT_AGE {
+                    audits.entry(sent.owner.clone()).or_default().push(*serial);
                 }
             }
         }
-        for (name, serials) in asked {
+        for (name, serials) in audits {
             let contact = Contact {
                 name,
                 address: String::new(),
@@ -625,8 +646,8 @@
     }
 }
 
-/// Tells what a job asks for that can't be done yet.
-pub(super) fn unsupported(submission: &Submission, route: &Route) -> Option<String> {
+/// Returns the reason why a job can't be accepted if it needs a feature that isn't supported.
+pub(super) fn unsupported_feature(submission: &Submission, route: &Route) -> Option<String> {
     if route.advised {
         return Some("queues with an adviser are not supported".to_owned());
     }
--- a/src/dispatch/entry/batches.rs
+++ b/src/dispatch/entry/batches.rs
@@ -1,4 +1,4 @@
-//! Batches that owners have: what they tell of them, and what becomes of those that are lost.
+//! Messages from owners about the entry's batches, and the recovery of lost batches.
 
 use std::collections::BTreeSet;
 
@@ -13,19 +13,19 @@
         },
         owner::Effects, //
     },
-    ending::cancel_at,
+    ending::send_cancel,
     Entry,
-    Loose,
-    Sent,
-    AUDIT,
-    DOUBT,
-    ELSEWHERE, //
+    SentBatch,
+    UnplacedTasks,
+    BATCH_AUDIT_AGE,
+    LOST_BATCH_DELAY,
+    RETURNED_TASK_DELAY, //
 };
 use crate::prelude::*;
 
 impl Entry {
-    /// Takes note of how a batch ended; returns its job if that is stored and has failed by this.
-    pub fn report(
+    /// Handles the end of a batch. Returns its job if that is stored and has thereby failed.
+    pub fn on_batch_ended(
         &mut self,
         serial: u64,
         outcome: Outcome,
@@ -43,7 +43,7 @@
             Outcome::Done => {
                 let step = &mut job.steps[sent.step as usize];
                 for task in &done {
-                    step.left.remove(task);
+                    step.remaining.remove(task);
                 }
                 let tasks: Vec<u32> = sent
                     .tasks
@@ -51,42 +51,42 @@
                     .filter(|t| !done.contains(t))
                     .collect();
                 if !tasks.is_empty() {
-                    // They were sent back, and the message got lost.
+                    // The owner returned these tasks, and the message was lost.
                     let record = Record::new("batch_incomplete").job(id);
                     let record = record.with("batch", serial);
                     out.outputs
                         .push(Output::Log(record.with("missing", tasks.len())));
-                    let at = now + ELSEWHERE;
-                    job.loose.push(Loose {
+                    let not_before = now + RETURNED_TASK_DELAY;
+                    job.unplaced.push(UnplacedTasks {
                         step: sent.step,
                         tasks,
-                        at,
-                        hint: None,
+                        not_before,
+                        preferred_rack: None,
                     });
                 }
-                match job.ending {
-                    true => self.end(id, "given up", now, out),
+                match job.given_up {
+                    true => self.give_up(id, "given up", now, out),
                     false => self.advance(id, now, out),
                 }
             }
             Outcome::Failed | Outcome::Crashed => {
                 job.started = true;
                 job.failed = true;
-                let why = match outcome {
+                let reason = match outcome {
                     Outcome::Crashed => "endpoints crash under a task",
                     _ => "a task failed too often",
                 };
-                self.end(id, why, now, out);
+                self.give_up(id, reason, now, out);
                 return stored.then_some(id);
             }
-            Outcome::Hopeless => self.end(id, "its time can't be met", now, out),
-            Outcome::Dropped => self.end(id, "given up", now, out),
+            Outcome::Hopeless => self.give_up(id, "its time can't be met", now, out),
+            Outcome::Dropped => self.give_up(id, "given up", now, out),
         }
         None
     }
 
-    /// Takes tasks back that their owner doesn't run.
-    pub fn returned(
+    /// Handles tasks that an owner returned without running them: places them again.
+    pub fn on_tasks_returned(
         &mut self,
         serial: u64,
         tasks: Vec<u32>,
@@ -107,15 +107,15 @@
         let record = Record::routine("tasks_returned").job(id);
         let record = record.with("batch", serial).with("tasks", tasks.len());
         let record = record.with("reason", cause.to_string());
-        let begun = if started {
+        let of_batch = if started {
             "some had started"
         } else {
             "none had started"
         };
         out.outputs
-            .push(Output::Log(record.with("of_batch", begun)));
+            .push(Output::Log(record.with("of_batch", of_batch)));
         job.started |= started;
-        // Only what the batch still has: a task must not be placed twice.
+        // Takes back only tasks that the batch still has: a repeated message must not place a task twice.
         let (tasks, kept): (Vec<u32>, Vec<u32>) =
             sent.tasks.iter().partition(|task| tasks.contains(task));
         sent.tasks = kept;
@@ -127,37 +127,45 @@
             job.batches.remove(&serial);
             self.by_serial.remove(&serial);
         }
-        if job.ending {
-            // Its owner has nothing left to say of it, and the caller's answer may have waited for just that.
-            return self.end(id, "given up", now, out);
+        if job.given_up {
+            // The answer to the caller may have waited only for this batch.
+            return self.give_up(id, "given up", now, out);
         }
-        // On a rack that was lost, runs may be left that its next owner stops. What isn't known here yet, its loss or that
-        // it can't run them, would send the tasks back at once, over and over.
-        let (at, hint) = match (cause, started) {
-            (Cause::Lost, true) => (now + DOUBT, None),
-            (Cause::Lost, false) | (Cause::Unfit, _) => (now + ELSEWHERE, None),
+        // A rack that changed its owner may still have runs, until the next owner stops them. In the other cases
+        // the delay lets the owner's next heartbeat arrive, or the tasks could bounce back and forth.
+        let (not_before, preferred_rack) = match (cause, started) {
+            (Cause::Lost, true) => (now + LOST_BATCH_DELAY, None),
+            (Cause::Lost, false) | (Cause::Unfit, _) => (now + RETURNED_TASK_DELAY, None),
             (Cause::Room(rack), _) => (now, Some(rack)),
         };
-        job.loose.push(Loose {
+        job.unplaced.push(UnplacedTasks {
             step,
             tasks,
-            at,
-            hint,
+            not_before,
+            preferred_rack,
         });
     }
 
-    /// Takes note that a batch has another owner, which may not have heard that it was given up.
+    /// Records the new owner of a batch. Cancels the batch there if its job was given up or has ended, since the
+    /// new owner may not have heard the cancellation.
     ///
-    /// What an earlier owner tells may come last: it must not hide the present one.
-    pub fn moved(&mut self, serial: u64, to: Instance, moves: u32, now: Time, out: &mut Effects) {
+    /// Messages of former owners may arrive out of order: the move with the highest count wins.
+    pub fn on_batch_moved(
+        &mut self,
+        serial: u64,
+        to: Instance,
+        moves: u32,
+        now: Time,
+        out: &mut Effects,
+    ) {
         let id = self.by_serial.get(&serial).copied();
         let job = id.and_then(|id| self.jobs.get_mut(&id));
-        let known = job.and_then(|job| {
+        let batch = job.and_then(|job| {
             let sent = job.batches.get_mut(&serial)?;
-            Some((sent, job.ending))
+            Some((sent, job.given_up))
         });
-        let (Some(id), Some((sent, ending))) = (id, known) else {
-            return cancel_at(to, serial, out);
+        let (Some(id), Some((sent, given_up))) = (id, batch) else {
+            return send_cancel(to, serial, out);
         };
         if moves <= sent.moves {
             return;
@@ -167,55 +175,69 @@
         out.outputs
             .push(Output::Log(record.with("owner", to.as_str())));
         sent.owner = to.clone();
-        sent.at = now;
+        sent.sent_at = now;
         sent.moves = moves;
-        if ending {
-            cancel_at(to, serial, out);
+        if given_up {
+            send_cancel(to, serial, out);
         }
     }
 
-    /// Takes the batches back that an instance lost with its life or with the session.
-    pub fn lost(&mut self, owner: &Instance, now: Time, out: &mut Effects) {
-        self.take_back(|_, sent| sent.owner == *owner, now + DOUBT, now, out);
+    /// Takes back the batches of an owner that died or began a new session.
+    pub fn on_owner_lost(&mut self, owner: &Instance, now: Time, out: &mut Effects) {
+        self.take_back(
+            |_, sent| sent.owner == *owner,
+            now + LOST_BATCH_DELAY,
+            now,
+            out,
+        );
     }
 
-    /// Takes batches back that their owner doesn't know. A rack may still be on its way to it, so that only what has been out
-    /// for long is taken for lost; what was given up isn't run again and is taken back at once.
-    pub fn unknown(&mut self, from: &Instance, serials: &[u64], now: Time, out: &mut Effects) {
-        let ending: BTreeSet<u64> = serials
+    /// Takes back batches that their owner doesn't hold.
+    ///
+    /// A handover to that owner may still be on its way, so only batches that have been outstanding for long count
+    /// as lost. Those of given-up jobs aren't run again and are taken back at once.
+    pub fn on_unknown_batches(
+        &mut self,
+        from: &Instance,
+        serials: &[u64],
+        now: Time,
+        out: &mut Effects,
+    ) {
+        let given_up: BTreeSet<u64> = serials
             .iter()
             .copied()
             .filter(|serial| {
                 let job = self.by_serial.get(serial);
                 let job = job.and_then(|id| self.jobs.get(id));
-                job.is_some_and(|job| job.ending)
+                job.is_some_and(|job| job.given_up)
             })
             .collect();
-        let unknown = |serial: u64, sent: &Sent| {
-            let long = now.since(sent.at) > AUDIT || ending.contains(&serial);
-            sent.owner == *from && long && serials.contains(&serial)
+        let unknown = |serial: u64, sent: &SentBatch| {
+            let lost = now.since(sent.sent_at) > BATCH_AUDIT_AGE || given_up.contains(&serial);
+            sent.owner == *from && lost && serials.contains(&serial)
         };
-        self.take_back(unknown, now + DOUBT, now, out);
+        self.take_back(unknown, now + LOST_BATCH_DELAY, now, out);
     }
 
-    /// Takes all batches back, after this process stood still.
-    pub fn void(&mut self, now: Time, out: &mut Effects) {
-        self.take_back(|_, _| true, now + DOUBT, now, out);
+    /// Takes back all batches, after this process was paused for long.
+    pub fn take_back_all(&mut self, now: Time, out: &mut Effects) {
+        self.take_back(|_, _| true, now + LOST_BATCH_DELAY, now, out);
     }
 
+    /// Takes back the batches that `is_lost` selects: their tasks are placed again from `not_before` on.
     fn take_back(
         &mut self,
-        which: impl Fn(u64, &Sent) -> bool,
-        at: Time,
+        is_lost: impl Fn(u64, &SentBatch) -> bool,
+        not_before: Time,
         now: Time,
         out: &mut Effects,
     ) {
-        let mut touched = Vec::new();
+        let mut affected = Vec::new();
         for (id, job) in &mut self.jobs {
             let lost: Vec<u64> = job
                 .batches
                 .iter()
-                .filter(|(serial, sent)| which(**serial, sent))
+                .filter(|(serial, sent)| is_lost(**serial, sent))
                 .map(|(serial, _)| *serial)
                 .collect();
             for serial in lost {
@@ -227,20 +249,20 @@
                 let record = record.with("owner", sent.owner.as_str());
                 out.outputs.push(Output::Log(record));
                 job.started = true;
-                job.loose.push(Loose {
+                job.unplaced.push(UnplacedTasks {
                     step: sent.step,
                     tasks: sent.tasks,
-                    at: at.max(now),
-                    hint: None,
+                    not_before: not_before.max(now),
+                    preferred_rack: None,
                 });
-                touched.push(*id);
+                affected.push(*id);
             }
         }
-        touched.dedup();
-        for id in touched {
-            let ending = self.jobs.get(&id).is_some_and(|job| job.ending);
-            if ending {
-                self.end(id, "given up", now, out);
+        affected.dedup();
+        for id in affected {
+            let given_up = self.jobs.get(&id).is_some_and(|job| job.given_up);
+            if given_up {
+                self.give_up(id, "given up", now, out);
             }
         }
     }
--- a/src/dispatch/entry/ending.rs
+++ b/src/dispatch/entry/ending.rs
@@ -1,4 +1,4 @@
-//! Jobs that end: with all of their tasks, or given up.
+//! The ends of jobs: completed, failed, given up or cancelled.
 
 use super::{
     super::{
@@ -14,25 +14,25 @@
         owner::Effects, //
     },
     Entry,
-    AGAIN,
-    GIVEN_UP, //
+    GIVEN_UP,
+    RETRY_DELAY_RANGE, //
 };
 use crate::prelude::*;
 
 impl Entry {
-    /// Gives a job up: its owners drop what they have, then its callers are answered.
+    /// Gives a job up: cancels its batches at their owners and answers its callers.
     ///
-    /// "Not run" is only said when no start has left and none can any more, so the answer waits for the owners'
-    /// word. Where something has started the answer is the same whatever they say, and leaves at once.
-    pub(super) fn end(&mut self, id: JobId, why: &str, now: Time, out: &mut Effects) {
+    /// A refusal promises that nothing of the job was or will be run, so it waits until all owners have dropped
+    /// their batches. If something may have started, the answer doesn't depend on them and is sent at once.
+    pub(super) fn give_up(&mut self, id: JobId, reason: &str, now: Time, out: &mut Effects) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if !job.ending {
-            job.ending = true;
-            job.loose.clear();
-            let record = Record::new("job_given_up").job(id).with("reason", why);
-            let record = record.with("age_ms", now.since(job.arrived));
+        if !job.given_up {
+            job.given_up = true;
+            job.unplaced.clear();
+            let record = Record::new("job_given_up").job(id).with("reason", reason);
+            let record = record.with("age_ms", now.since(job.arrived_at));
             out.outputs.push(Output::Log(record));
             let mut serials: Vec<u64> = job.batches.keys().copied().collect();
             serials.sort_unstable();
@@ -49,17 +49,26 @@
         } else if started {
             self.answer(id, GIVEN_UP, now, out);
         } else if job.batches.is_empty() {
-            self.answer(id, Answer::Refused { again: AGAIN.0 }, now, out);
+            self.answer(
+                id,
+                Answer::Refused {
+                    again: RETRY_DELAY_RANGE.0,
+                },
+                now,
+                out,
+            );
         }
     }
 
+    /// Asks the owner of a batch to drop it.
     pub(super) fn cancel_batch(&mut self, id: JobId, serial: u64, out: &mut Effects) {
         let sent = self.jobs.get(&id).and_then(|job| job.batches.get(&serial));
         if let Some(sent) = sent {
-            cancel_at(sent.owner.clone(), serial, out);
+            send_cancel(sent.owner.clone(), serial, out);
         }
     }
 
+    /// Answers the callers of a job and removes it.
     pub(super) fn answer(&mut self, id: JobId, answer: Answer, now: Time, out: &mut Effects) {
         let Some(job) = self.jobs.remove(&id) else {
             return;
@@ -69,8 +78,8 @@
         }
         let record = Record::routine("job_answered").job(id);
         let record = record.with("answer", format!("{answer:?}"));
-        let record = record.with("age_ms", now.since(job.arrived));
-        let on_time = if now <= job.due { "on time" } else { "late" };
+        let record = record.with("age_ms", now.since(job.arrived_at));
+        let on_time = if now <= job.due_at { "on time" } else { "late" };
         out.outputs
             .push(Output::Log(record.with("objective", on_time)));
         for ticket in job.tickets {
@@ -79,22 +88,23 @@
         }
     }
 
-    /// Drops a job whose callers have all gone.
-    pub fn abandon(&mut self, ticket: Ticket, now: Time, out: &mut Effects) {
+    /// Handles a caller that disconnected: gives its job up and removes it once no caller waits for it.
+    pub fn on_caller_gone(&mut self, ticket: Ticket, now: Time, out: &mut Effects) {
         let Some(id) = self.by_ticket.remove(&ticket) else {
             return;
         };
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        job.tickets.retain(|known| *known != ticket);
+        job.tickets.retain(|other| *other != ticket);
         if job.tickets.is_empty() {
-            self.end(id, "its caller has gone", now, out);
-            self.forget(id);
+            self.give_up(id, "its caller has gone", now, out);
+            self.remove(id);
         }
     }
 
-    pub(super) fn forget(&mut self, id: JobId) {
+    /// Removes a job without an answer.
+    pub(super) fn remove(&mut self, id: JobId) {
         if let Some(job) = self.jobs.remove(&id) {
             for serial in job.batches.keys() {
                 self.by_serial.remove(serial);
@@ -102,32 +112,32 @@
         }
     }
 
-    /// Cancels a job; returns whether it was in progress here.
+    /// Cancels a job and answers its callers; returns whether it was in progress here.
     pub fn cancel(&mut self, id: JobId, now: Time, out: &mut Effects) -> bool {
-        // A stored one is cancelled at its shard.
+        // Stored jobs are cancelled by their shard's coordinator.
         if self.jobs.get(&id).is_none_or(|job| job.stored) {
             return false;
         }
-        self.end(id, "its caller cancels it", now, out);
+        self.give_up(id, "its caller cancels it", now, out);
         if self.jobs.contains_key(&id) {
             self.answer(id, GIVEN_UP, now, out);
         }
         true
     }
 
-    /// Gives all jobs up and answers their callers, when the process can't wait for their ends any longer.
-    pub fn close(&mut self, now: Time, out: &mut Effects) {
-        let waited = self.jobs.iter().filter(|(_, job)| !job.stored);
-        let ids: Vec<JobId> = waited.map(|(id, _)| *id).collect();
+    /// Gives all jobs up and answers their callers, because the process is about to end. Stored jobs stay.
+    pub fn give_up_all(&mut self, now: Time, out: &mut Effects) {
+        let awaited = self.jobs.iter().filter(|(_, job)| !job.stored);
+        let ids: Vec<JobId> = awaited.map(|(id, _)| *id).collect();
         for id in ids {
-            self.end(id, "its instance ends", now, out);
+            self.give_up(id, "its instance ends", now, out);
             self.answer(id, GIVEN_UP, now, out);
         }
     }
 }
 
 /// Asks an owner to drop a batch.
-pub(super) fn cancel_at(owner: Instance, serial: u64, out: &mut Effects) {
+pub(super) fn send_cancel(owner: Instance, serial: u64, out: &mut Effects) {
     let contact = Contact {
         name: owner,
         address: String::new(),
--- a/src/dispatch/entry/rack.rs
+++ b/src/dispatch/entry/rack.rs
@@ -1,4 +1,4 @@
-//! Racks as an entry sees them, and which one a task goes to.
+//! The entry's view of racks, and the choice of a rack for a task.
 
 use std::{
     cmp::Reverse,
@@ -19,55 +19,59 @@
 };
 use crate::prelude::*;
 
-/// A rack as the entry sees it.
+/// The entry's view of a rack.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Rack {
     pub(super) service: String,
     pub(super) centre: String,
     pub(super) name: String,
     pub(super) owner: Option<Contact>,
-    /// What is free, by endpoint, less what was sent since it was told.
+    /// Free resources by endpoint, as last announced by the owner, less what this entry has placed since.
     pub(super) free: Vec<Resources>,
+    /// Waiting tasks that could run on another rack as well.
     pub(super) movable: u32,
+    /// The work that waits, in core-milliseconds.
     pub(super) backlog: u64,
-    /// Cores of all its endpoints that stay, in thousandths.
+    /// The cores of all endpoints that aren't draining, in thousandths.
     pub(super) cpu: u64,
+    /// The labels of all endpoints that aren't draining.
     pub(super) labels: Vec<String>,
-    /// What its endpoints have that stay, each size once: a task that is larger than any of them can never start, however much
-    /// the rack has in all.
-    pub(super) sizes: Vec<Resources>,
+    /// The distinct capacities of endpoints that aren't draining: a task that exceeds each of them can never start,
+    /// whatever the rack's total.
+    pub(super) endpoint_sizes: Vec<Resources>,
     /// Whether its data centre is evacuated.
     pub(super) evacuated: bool,
 }
 
-/// What is to be placed, and from where.
+/// A task to be placed, and the instance that places it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Demand<'a> {
     pub(super) job: JobId,
     pub(super) step: &'a Step,
     pub(super) service: &'a str,
     /// A rack that has asked for tasks.
-    pub(super) hint: Option<RackId>,
-    /// How many tasks of the step are still to be placed, this one among them.
-    pub(super) rest: u64,
-    /// The instance that places them.
-    pub(super) own: &'a Instance,
-    /// Its data centre.
+    pub(super) preferred_rack: Option<RackId>,
+    /// The number of tasks of the step that are still to be placed, this one included.
+    pub(super) remaining: u64,
+    /// The instance that places the task.
+    pub(super) instance: &'a Instance,
+    /// The data centre of that instance.
     pub(super) centre: &'a str,
 }
 
-/// Chooses the rack for one task of a step, and takes its room there; `chosen` are those that have others of the step.
+/// Chooses a rack for one task of a step and reserves the resources there. `chosen` holds the racks that were
+/// chosen for other tasks of the step.
 ///
-/// A task whose data lies on a rack goes there: anywhere else it takes a multiple of its time, and its rack's queue
-/// would have to be longer than that to be worse. Any other goes where there is room, in its own data centre
-/// first; where there is room nowhere, to the rack with the least work ahead. Owners with idle endpoints ask for
-/// tasks of others, which evens out what was chosen on old figures.
-///
-/// Of the racks with room, those of the instance itself go first, and one that has tasks of the step already: a job is as late as
-/// the last of its tasks, and each further owner is one more message that may be held up. Spread evenly, a job of eight tasks went to
-/// as many owners. Of the other racks with room for what is left, each job draws its own: sent to the one with the most, the jobs
-/// that came before it told of them met there.
-pub(super) fn choose<T>(
+/// The order of preference:
+/// - the rack that has asked for tasks;
+/// - the rack that holds the task's data, since the task takes a multiple of its time elsewhere;
+/// - racks with free resources: the same data centre first, then racks of this instance, then racks in `chosen`,
+///   then those with room for more of the remaining tasks. Few owners per job mean few messages that can delay
+///   its last task. A hash of job and rack breaks ties, so that concurrent jobs don't all pick the same rack
+///   before its owner announces them;
+/// - the rack with the shortest estimated wait. Owners with idle endpoints later request tasks from others, which
+///   corrects choices that were made on stale figures.
+pub(super) fn choose_rack<T>(
     racks: &mut BTreeMap<RackId, Rack>,
     demand: &Demand<'_>,
     chosen: &BTreeMap<RackId, T>,
@@ -75,29 +79,31 @@
     let Demand {
         step,
         service,
-        hint,
+        preferred_rack,
         centre,
         ..
     } = *demand;
-    // A rack of which no endpoint takes tasks can't be reached, or is being taken over.
+    // A rack without an endpoint that accepts tasks is unreachable or changing its owner.
     let usable = |rack: &Rack| rack.owner.is_some() && !rack.free.is_empty();
-    let fits = |rack: &Rack| usable(rack) && rack.service == service && rack.carries(step);
-    let tied = |rack: &Rack| step.affinity.as_ref() == Some(&rack.name);
-    let hinted = hint.filter(|id| racks.get(id).is_some_and(&fits));
-    let home = racks.iter().find(|(_, rack)| tied(rack) && fits(rack));
-    let chosen = hinted.or(home.map(|(id, _)| *id)).or_else(|| {
+    let fits = |rack: &Rack| usable(rack) && rack.service == service && rack.can_run(step);
+    let holds_data = |rack: &Rack| step.affinity.as_ref() == Some(&rack.name);
+    let preferred = preferred_rack.filter(|id| racks.get(id).is_some_and(&fits));
+    let local = racks
+        .iter()
+        .find(|(_, rack)| holds_data(rack) && fits(rack));
+    let chosen = preferred.or(local.map(|(id, _)| *id)).or_else(|| {
         let fit = racks.iter().filter(|(_, rack)| fits(rack));
         let key = |id: &RackId, rack: &Rack| {
-            let room = rack.room(&step.need);
-            let far = rack.centre != centre;
-            let ahead = rack.backlog * 1_000 / rack.cpu.max(1);
+            let fitting = rack.count_fitting(&step.need);
+            let remote = rack.centre != centre;
+            let wait_ms = rack.backlog * 1_000 / rack.cpu.max(1);
             (
-                room == 0,
-                if room == 0 { ahead } else { 0 },
-                far,
-                !rack.is_of(demand.own),
+                fitting == 0,
+                if fitting == 0 { wait_ms } else { 0 },
+                remote,
+                !rack.is_owned_by(demand.instance),
                 !chosen.contains_key(id),
-                Reverse(room.min(demand.rest)),
+                Reverse(fitting.min(demand.remaining)),
                 keyed_hash(id.0 ^ demand.job.0, ""),
             )
         };
@@ -105,29 +111,30 @@
         best.map(|(id, _)| *id)
     })?;
     if let Some(rack) = racks.get_mut(&chosen) {
-        rack.take(step);
+        rack.reserve(step);
     }
     Some(chosen)
 }
 
 impl Rack {
-    /// Tells whether some endpoint of it can have what a step needs.
-    pub(super) fn carries(&self, step: &Step) -> bool {
+    /// Returns whether the rack has the label and an endpoint large enough for a task of a step, busy or not.
+    pub(super) fn can_run(&self, step: &Step) -> bool {
         let label = step.label.as_ref();
         let labelled = label.is_none_or(|label| self.labels.contains(label));
-        !self.evacuated && labelled && self.sizes.iter().any(|size| size.fits(&step.need))
+        !self.evacuated && labelled && self.endpoint_sizes.iter().any(|size| size.fits(&step.need))
     }
 
-    fn is_of(&self, instance: &Instance) -> bool {
+    fn is_owned_by(&self, instance: &Instance) -> bool {
         self.owner.as_ref().is_some_and(|o| o.name == *instance)
     }
 
-    /// Counts how often a need fits into what is free.
-    pub(super) fn room(&self, need: &Resources) -> u64 {
-        self.free.iter().map(|free| free.times(need, 64)).sum()
+    /// Counts the tasks with this need that fit into the free resources, at most 64 for each endpoint.
+    pub(super) fn count_fitting(&self, need: &Resources) -> u64 {
+        self.free.iter().map(|free| free.count_fits(need, 64)).sum()
     }
 
-    pub(super) fn take(&mut self, step: &Step) {
+    /// Subtracts a task of a step from the free resources, or adds it to the backlog where none fit.
+    pub(super) fn reserve(&mut self, step: &Step) {
         let free = self.free.iter_mut().find(|free| free.fits(&step.need));
         match free {
             Some(free) => free.subtract(&step.need),
@@ -135,9 +142,9 @@
         }
     }
 
-    /// Estimates how long a task of a step would wait.
-    pub(super) fn wait(&self, step: &Step) -> Span {
-        if self.room(&step.need) > 0 {
+    /// Estimates how long a task of a step would wait for an endpoint.
+    pub(super) fn estimate_wait(&self, step: &Step) -> Span {
+        if self.count_fitting(&step.need) > 0 {
             return Span(0);
         }
         Span::millis(self.backlog * 1_000 / self.cpu.max(1))
--- a/src/dispatch/entry/stored.rs
+++ b/src/dispatch/entry/stored.rs
@@ -1,5 +1,5 @@
-//! Stored jobs at the instance that coordinates them: their tasks are given out like those of any other job, and
-//! their ends come one by one, as they are stored.
+//! Stored jobs at the entry of the instance that coordinates their shard. Their tasks are placed like those of any
+//! other job; their ends arrive one by one, once they're stored.
 
 use std::{
     collections::BTreeMap,
@@ -21,15 +21,15 @@
     },
     Entry,
     Job,
-    Loose,
     Progress,
-    Sent,
-    FOREVER, //
+    SentBatch,
+    UnplacedTasks,
+    UNLIMITED, //
 };
 use crate::prelude::*;
 
 impl Entry {
-    /// Runs what is not done of a stored job, from `at` on.
+    /// Adds a stored job. Its tasks that aren't done are placed from `at` on.
     pub fn run_stored(
         &mut self,
         id: JobId,
@@ -40,107 +40,108 @@
     ) {
         let steps = accepted.submission.steps.iter().zip(&stored.steps);
         let steps = steps.map(|(step, ends)| Progress {
-            left: (0..step.count).filter(|i| !ends.done.contains(i)).collect(),
+            remaining: (0..step.count).filter(|i| !ends.done.contains(i)).collect(),
             placed: false,
         });
-        let begun = |ends: &Ends| !ends.done.is_empty() || !ends.failures.is_empty();
+        let has_started = |ends: &Ends| !ends.done.is_empty() || !ends.failures.is_empty();
         let job = Job {
             tickets: Vec::new(),
             service: accepted.service.clone(),
             attempts: accepted.attempts,
             priority: accepted.priority,
-            arrived: now,
-            due: now + accepted.objective,
-            useful: now + FOREVER,
-            until: now + FOREVER,
+            arrived_at: now,
+            due_at: now + accepted.objective,
+            useful_until: now + UNLIMITED,
+            deadline: now + UNLIMITED,
             steps: steps.collect(),
             submission: Rc::new(accepted.submission.clone()),
             batches: BTreeMap::new(),
-            loose: Vec::new(),
-            started: stored.steps.iter().any(begun),
-            ending: false,
+            unplaced: Vec::new(),
+            started: stored.steps.iter().any(has_started),
+            given_up: false,
             failed: false,
             stored: true,
             route: accepted.route.clone(),
         };
         self.jobs.insert(id, job);
-        self.held_back.push((at, id));
+        self.delayed_starts.push((at, id));
     }
 
-    /// Places the first steps of stored jobs whose time has come.
+    /// Places the first steps of added stored jobs whose start time has come.
     pub fn start_due_stored(&mut self, now: Time, out: &mut Effects) {
-        if self.held_back.is_empty() {
+        if self.delayed_starts.is_empty() {
             return;
         }
-        let (due, later) = std::mem::take(&mut self.held_back)
+        let (due, later) = std::mem::take(&mut self.delayed_starts)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        self.held_back = later;
+        self.delayed_starts = later;
         let due: Vec<(Time, JobId)> = due;
         for (_, id) in due {
             self.advance(id, now, out);
         }
     }
 
-    /// Takes note that a task of a stored job is done.
+    /// Handles the stored end of a task that is done: removes it from its batch and advances the job.
     pub fn on_task_done(&mut self, task: TaskId, now: Time, out: &mut Effects) {
-        if let Some(serial) = self.batch_of(task) {
-            self.take_out_of(serial, task);
+        if let Some(serial) = self.find_batch(task) {
+            self.remove_from_batch(serial, task);
         }
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         job.started = true;
-        for loose in &mut job.loose {
-            if loose.step == task.step {
-                loose.tasks.retain(|index| *index != task.index);
+        for unplaced in &mut job.unplaced {
+            if unplaced.step == task.step {
+                unplaced.tasks.retain(|index| *index != task.index);
             }
         }
-        job.loose.retain(|loose| !loose.tasks.is_empty());
+        job.unplaced.retain(|unplaced| !unplaced.tasks.is_empty());
         if let Some(step) = job.steps.get_mut(task.step as usize) {
-            step.left.remove(&task.index);
+            step.remaining.remove(&task.index);
         }
-        if !self.held_back.iter().any(|(_, id)| *id == task.job) {
+        if !self.delayed_starts.iter().any(|(_, id)| *id == task.job) {
             self.advance(task.job, now, out);
         }
     }
 
-    /// Takes note that a run of a task of a stored job failed: it is placed again, if the run was of the batch that has it.
+    /// Handles the stored failure of a run of a task: places the task again if the run belongs to the batch that
+    /// holds the task now.
     ///
-    /// An end may come long after its run, and be of a batch of a former coordinator. The task may have been given out again
-    /// since: placed once more, it would run beside the run that is out. That run's own end, or the loss of its batch,
-    /// tells when the task may be placed. A task that no batch has waits already, or its step hasn't been placed.
+    /// A failure may arrive late and belong to a batch of a former coordinator. If the task is in a new batch by
+    /// then, placing it once more would run it twice at the same time; the end of the new run, or the loss of its
+    /// batch, decides instead. A task in no batch is waiting already, or its step isn't placed yet.
     pub fn on_task_failed(&mut self, task: TaskId, batch: Option<u64>, now: Time) {
-        let out_of_batch = batch.is_some_and(|serial| self.take_out_of(serial, task));
+        let removed = batch.is_some_and(|serial| self.remove_from_batch(serial, task));
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         job.started = true;
-        if out_of_batch {
-            job.loose.push(Loose {
+        if removed {
+            job.unplaced.push(UnplacedTasks {
                 step: task.step,
                 tasks: vec![task.index],
-                at: now,
-                hint: None,
+                not_before: now,
+                preferred_rack: None,
             });
         }
     }
 
-    /// Returns the batch that has a task.
-    fn batch_of(&self, task: TaskId) -> Option<u64> {
+    /// Returns the serial number of the batch that holds a task.
+    fn find_batch(&self, task: TaskId) -> Option<u64> {
         let job = self.jobs.get(&task.job)?;
         let mut batches = job.batches.iter();
-        let (serial, _) = batches.find(|(_, sent)| sent.has(task))?;
+        let (serial, _) = batches.find(|(_, sent)| sent.contains(task))?;
         Some(*serial)
     }
 
-    /// Takes a task out of a batch; returns whether the batch had it.
-    fn take_out_of(&mut self, serial: u64, task: TaskId) -> bool {
+    /// Removes a task from a batch; returns whether the batch held it.
+    fn remove_from_batch(&mut self, serial: u64, task: TaskId) -> bool {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return false;
         };
         let sent = job.batches.get_mut(&serial);
-        let Some(sent) = sent.filter(|sent| sent.has(task)) else {
+        let Some(sent) = sent.filter(|sent| sent.contains(task)) else {
             return false;
         };
         sent.tasks.retain(|index| *index != task.index);
@@ -151,20 +152,20 @@
         true
     }
 
-    /// Tells whether an owner has a batch of this instance.
-    pub fn has_out(&self, serial: u64) -> bool {
+    /// Returns whether a batch of this entry is outstanding at an owner.
+    pub fn has_batch(&self, serial: u64) -> bool {
         self.by_serial.contains_key(&serial)
     }
 
-    /// Takes note that a start of a batch has left.
-    pub fn begun(&mut self, serial: u64) {
+    /// Marks the job of a batch as started, after its owner has sent a start to an endpoint.
+    pub fn on_batch_started(&mut self, serial: u64) {
         let job = self.by_serial.get(&serial).copied();
         if let Some(job) = job.and_then(|id| self.jobs.get_mut(&id)) {
             job.started = true;
         }
     }
 
-    /// Stops what runs of a stored job, and forgets it.
+    /// Cancels the batches of a stored job and removes the job.
     pub fn release_stored(&mut self, id: JobId, out: &mut Effects) {
         let Some(job) = self.jobs.get(&id).filter(|job| job.stored) else {
             return;
@@ -173,13 +174,13 @@
         for serial in serials {
             self.cancel_batch(id, serial, out);
         }
-        self.held_back.retain(|(_, held)| *held != id);
-        self.forget(id);
+        self.delayed_starts.retain(|(_, delayed)| *delayed != id);
+        self.remove(id);
     }
 }
 
-impl Sent {
-    fn has(&self, task: TaskId) -> bool {
+impl SentBatch {
+    fn contains(&self, task: TaskId) -> bool {
         self.step == task.step && self.tasks.contains(&task.index)
     }
 }
--- a/src/dispatch/id.rs
+++ b/src/dispatch/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers, run numbers and fencing tokens of leased tasks.
+//! Identifiers of jobs, tasks, racks and shards, run numbers, and fencing tokens.
 
 use std::{
     fmt,
@@ -10,19 +10,19 @@
     Serialize, //
 };
 
-/// Hexadecimal digits of a job's identifier.
+/// The number of hexadecimal digits in a job's identifier.
 const JOB_DIGITS: usize = 16;
 
-/// Bits of a fencing token that tell apart two claimants with the same epoch. With the epoch above them a
-/// token stays below 2^53, so that it survives parsers that read numbers as floating point.
+/// Low bits of a fencing token that distinguish claimants with the same epoch. With the epoch above them a token
+/// stays below 2^53, so parsers that read numbers as floating point keep it exact.
 const CLAIMANT_BITS: u32 = 20;
 
-/// Why a text is no job identifier.
+/// The error for a text that isn't a job identifier.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("a job identifier has {JOB_DIGITS} hexadecimal digits")]
 pub struct JobIdError;
 
-/// A job's identifier, chosen by its caller.
+/// A job's identifier, which its caller chooses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct JobId(pub u64);
 
@@ -46,11 +46,11 @@
     }
 }
 
-/// How many shards the stored jobs are divided into. Each has one writer, which makes a call to the store every 30 ms at the
-/// most: 16 of them stay below the 600 calls a second that the smallest platform allows.
+/// The number of shards of stored jobs. Each has one writer, which calls the store at most every 30 ms; 16 writers
+/// stay below the 600 calls a second that the smallest platform allows.
 pub const SHARDS: u16 = 16;
 
-/// A part of the stored jobs, by a hash of their identifiers; one instance at a time coordinates it.
+/// A shard of the stored jobs, by a hash of their identifiers; one instance at a time coordinates it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ShardId(pub u16);
 
@@ -60,7 +60,7 @@
         (0..SHARDS).map(Self)
     }
 
-    /// Weighs a member as the shard's coordinator: the highest weight of all wins.
+    /// Returns a member's weight as the shard's coordinator: the highest of all wins (rendezvous hashing).
     pub fn weight(self, member: &str) -> u64 {
         mix(fnv1a(
             fnv1a(FNV_OFFSET, &self.0.to_le_bytes()),
@@ -82,14 +82,14 @@
     }
 }
 
-/// One task of a job: the place of its step in the job, and its own place in the step.
+/// A task of a job, by the index of its step and its index in the step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskId {
     /// The job.
     pub job: JobId,
-    /// The step, counting from zero.
+    /// The index of the step, from zero.
     pub step: u32,
-    /// The task within the step, counting from zero.
+    /// The index of the task in the step, from zero.
     pub index: u32,
 }
 
@@ -99,20 +99,20 @@
     }
 }
 
-/// One start of a task: an endpoint runs a higher one of the same task only after a lower one has ended.
+/// The number of a task's run: an endpoint starts a higher run of a task only after the lower ones have ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Run(pub u32);
 
 impl Run {
-    /// The first start of a task.
+    /// The first run of a task.
     pub const FIRST: Self = Self(1);
 
-    /// Returns the number of the start after this one.
+    /// Returns the number of the next run.
     pub fn next(self) -> Self {
         Self(self.0.saturating_add(1))
     }
 
-    /// Returns a number well above this one, for a task whose earlier numbers are not known.
+    /// Returns a number well above this one, for a task whose highest run isn't known.
     pub fn skip_ahead(self) -> Self {
         Self(self.0.saturating_mul(2).saturating_add(1))
     }
@@ -124,7 +124,7 @@
     }
 }
 
-/// One life of an endpoint, by when it began, in milliseconds since 1970; zero where that isn't told.
+/// The incarnation of an endpoint: when its process began, in milliseconds since 1970, or zero if that's unknown.
 #[derive(
     Debug,
     Clone,
@@ -141,37 +141,37 @@
 pub struct Life(pub u64);
 
 impl Life {
-    /// Tells whether it is known when the life began.
+    /// Returns whether the start of the incarnation is known.
     pub fn is_known(self) -> bool {
         self != Self::default()
     }
 
-    /// Tells whether this life ended before another began.
+    /// Returns whether this incarnation is known and older than another.
     pub fn is_before(self, other: Self) -> bool {
         self.is_known() && self < other
     }
 }
 
-/// Counts the claims of racks; every claim takes one above all that its claimant has heard of.
+/// A number that orders claims of racks: each claim takes one above the highest that its claimant has heard.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Epoch(pub u64);
 
-/// A fencing token: an endpoint does nothing for one that is lower than the highest it has seen.
+/// A fencing token: an endpoint refuses orders with a token below the highest that it has seen.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Token(pub u64);
 
 impl Token {
-    /// Makes the token of a claim; `claimant` tells apart instances that claim with the same epoch.
+    /// Creates the token of a claim; `claimant` distinguishes instances that claim with the same epoch.
     pub fn new(epoch: Epoch, claimant: u64) -> Self {
         let low = claimant & ((1 << CLAIMANT_BITS) - 1);
         Self(epoch.0 << CLAIMANT_BITS | low)
     }
 
-    /// Returns the epoch that it was made with.
+    /// Returns the epoch of the claim.
     pub fn epoch(self) -> Epoch {
         Epoch(self.0 >> CLAIMANT_BITS)
     }
@@ -183,19 +183,19 @@
     }
 }
 
-/// A rack of endpoints of one service in one data centre, by a stable hash of the three names.
+/// A rack, by a stable hash of its service, data centre and name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RackId(pub u64);
 
 impl RackId {
-    /// Takes the hash of the names.
+    /// Returns the identifier of a rack with these names.
     pub fn of(service: &str, centre: &str, rack: &str) -> Self {
         let hash = fnv1a(FNV_OFFSET, service.as_bytes());
         let hash = fnv1a(fnv1a(hash, &[0]), centre.as_bytes());
         Self(fnv1a(fnv1a(hash, &[0]), rack.as_bytes()))
     }
 
-    /// Weighs a member as the rack's owner: the highest weight of all members wins (rendezvous hashing).
+    /// Returns a member's weight as the rack's owner: the highest of all wins (rendezvous hashing).
     pub fn weight(self, member: &str) -> u64 {
         keyed_hash(self.0, member)
     }
@@ -210,21 +210,21 @@
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// Hashes by FNV-1a: instances of different builds must agree on the result, which the standard library's
-/// hashers don't promise.
+/// Returns the FNV-1a hash of `bytes`, continued from `start`. Instances of different builds must agree on it, which
+/// the standard library's hashers don't guarantee.
 pub fn fnv1a(start: u64, bytes: &[u8]) -> u64 {
     bytes.iter().fold(start, |hash, b| {
         (hash ^ u64::from(*b)).wrapping_mul(FNV_PRIME)
     })
 }
 
-/// Weighs a member for something that is named by a number: the highest weight of all members wins (rendezvous hashing).
-pub fn keyed_hash(of: u64, member: &str) -> u64 {
-    mix(fnv1a(of ^ FNV_OFFSET, member.as_bytes()))
+/// Returns a well-mixed hash of a name for a numeric key, such as a member's weight in rendezvous hashing.
+pub fn keyed_hash(key: u64, name: &str) -> u64 {
+    mix(fnv1a(key ^ FNV_OFFSET, name.as_bytes()))
 }
 
-/// Spreads the bits of a hash (the finaliser of MurmurHash3): FNV-1a alone hardly moves the high bits for
-/// names that differ in their last character only, and rendezvous hashing compares these first.
+/// Mixes the bits of a hash (the finaliser of MurmurHash3). FNV-1a alone hardly changes the high bits between names
+/// that differ only in the last character, and rendezvous hashing depends on these.
 fn mix(mut hash: u64) -> u64 {
     hash ^= hash >> 33;
     hash = hash.wrapping_mul(0xff51_afd7_ed55_8ccd);
--- a/src/dispatch/requests.rs
+++ b/src/dispatch/requests.rs
@@ -1,11 +1,11 @@
-//! Requests of callers about stored jobs: they go to the instance that coordinates the job's shard.
+//! Callers' requests about stored jobs, forwarded to the instance that coordinates the job's shard.
 
 use std::collections::BTreeMap;
 
 use super::{
     entry::{
-        unsupported,
-        USEFUL, //
+        unsupported_feature,
+        USEFUL_FACTOR, //
     },
     id::JobId,
     message::{
@@ -30,60 +30,61 @@
 };
 use crate::prelude::*;
 
-/// After which a request that has no answer is sent again, to whoever coordinates the shard then.
-const AGAIN: Span = Span::millis(400);
+/// Interval after which an unanswered request is sent again, to the shard's current coordinator.
+const RESEND_INTERVAL: Span = Span::millis(400);
 
-/// The same where the receiver couldn't tell.
-const SOON: Span = Span::millis(60);
+/// Retry delay where the shard has no coordinator, or its coordinator isn't ready.
+const UNREADY_RETRY_DELAY: Span = Span::millis(60);
 
-/// How long a request may take: a few takeovers of a shard. A caller comes again after that.
-const PATIENCE: Span = Span::millis(4_000);
+/// Greatest time limit for accepting a job: a few takeovers of a shard. The caller can retry after that.
+const MAX_ACCEPT_TIMEOUT: Span = Span::millis(4_000);
 
-/// How long a job is offered to coordinators that can't take it before its caller is told to come back: a few tries.
-const REFUSED: Span = Span::millis(600);
+/// How long a job is offered to coordinators that can't accept it before it is refused: a few attempts.
+const REFUSAL_TIMEOUT: Span = Span::millis(600);
 
-/// The share of its caller's time after which a job that may have been stored is answered as unknown, so that the answer
+/// Share of the caller's time limit after which a job without a verdict is given up, so that the answer still
 /// arrives in time.
-const SHARE: f64 = 0.7;
+const TIME_LIMIT_SHARE: f64 = 0.7;
 
-/// When a caller may come back whose job was not accepted.
-const BACK: Span = Span::seconds(1);
+/// Retry delay for callers whose job wasn't accepted.
+const RETRY_DELAY: Span = Span::seconds(1);
 
-/// A request of a caller that waits.
+/// A caller's request that has no answer yet.
 #[derive(Debug)]
 struct Request {
     ticket: Ticket,
     job: JobId,
     question: Question,
-    began: Time,
-    /// When it is sent again.
-    next: Time,
-    until: Time,
-    /// How many times it was sent and nobody said that nothing was done.
-    doubt: u32,
+    began_at: Time,
+    /// When it is sent next.
+    next_send: Time,
+    deadline: Time,
+    /// The number of times that it was sent without hearing that nothing was done: while it's above zero, the
+    /// request may have taken effect.
+    unconfirmed: u32,
 }
 
-/// Requests on their way.
+/// Requests that wait for an answer, by serial number.
 #[derive(Debug, Default)]
 pub(super) struct Requests {
     open: BTreeMap<u64, Request>,
-    serial: u64,
+    last_serial: u64,
 }
 
 impl Requests {
-    /// Forgets the request of a caller that has gone.
-    pub(super) fn abandon(&mut self, ticket: Ticket) {
+    /// Drops the request of a caller that disconnected.
+    pub(super) fn on_caller_gone(&mut self, ticket: Ticket) {
         self.open.retain(|_, request| request.ticket != ticket);
     }
 
-    /// Tells whether nobody waits.
+    /// Returns whether no request is open.
     pub(super) fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 }
 
 impl Dispatcher {
-    /// Takes in a job that is to be stored.
+    /// Forwards a job that is to be stored to its shard's coordinator, or refuses it.
     pub(super) fn submit_stored(
         &mut self,
         ticket: Ticket,
@@ -93,7 +94,7 @@
         now: Time,
         out: &mut Effects,
     ) {
-        if let Some(reason) = unsupported(&submission, route) {
+        if let Some(reason) = unsupported_feature(&submission, route) {
             let id = submission.id;
             return self.entry.refuse(ticket, id, &reason, Span(0), out);
         }
@@ -107,13 +108,13 @@
             submission,
         };
         let limit = wait.unwrap_or(route.timeout);
-        let limit = Span((limit.0 as f64 * SHARE) as u64).min(PATIENCE);
-        self.ask(ticket, job, Question::Accept(Box::new(record)), limit, now);
-        self.ask_again(now, out);
+        let limit = Span((limit.0 as f64 * TIME_LIMIT_SHARE) as u64).min(MAX_ACCEPT_TIMEOUT);
+        self.begin_request(ticket, job, Question::Accept(Box::new(record)), limit, now);
+        self.send_due_requests(now, out);
     }
 
-    /// Begins a request.
-    pub(super) fn ask(
+    /// Adds a request that [`Self::send_due_requests`] sends.
+    pub(super) fn begin_request(
         &mut self,
         ticket: Ticket,
         job: JobId,
@@ -125,39 +126,39 @@
             ticket,
             job,
             question,
-            began: now,
-            next: now,
-            until: now + limit,
-            doubt: 0,
+            began_at: now,
+            next_send: now,
+            deadline: now + limit,
+            unconfirmed: 0,
         };
-        self.requests.serial += 1;
-        let serial = self.requests.serial;
+        self.requests.last_serial += 1;
+        let serial = self.requests.last_serial;
         self.requests.open.insert(serial, request);
     }
 
-    /// Sends the requests that are due, and answers those whose time has passed.
-    pub(super) fn ask_again(&mut self, now: Time, out: &mut Effects) {
+    /// Sends the requests that are due, and answers those whose time limit has passed.
+    pub(super) fn send_due_requests(&mut self, now: Time, out: &mut Effects) {
         if self.requests.open.is_empty() {
             return;
         }
         let coordinators = self.coordinators();
-        let mut over = Vec::new();
+        let mut expired = Vec::new();
         for (serial, request) in &mut self.requests.open {
-            // A job that nobody can have taken up is refused before its caller's time is gone.
-            let idle = request.doubt == 0 && now.since(request.began) >= REFUSED;
-            if now >= request.until || idle && matches!(request.question, Question::Accept(_)) {
-                over.push(*serial);
+            // A job that no coordinator can have accepted is refused early.
+            let idle = request.unconfirmed == 0 && now.since(request.began_at) >= REFUSAL_TIMEOUT;
+            if now >= request.deadline || idle && matches!(request.question, Question::Accept(_)) {
+                expired.push(*serial);
                 continue;
             }
-            if now < request.next {
+            if now < request.next_send {
                 continue;
             }
             let Some(to) = coordinators.get(&request.job.shard()) else {
-                request.next = now + SOON;
+                request.next_send = now + UNREADY_RETRY_DELAY;
                 continue;
             };
-            request.next = now + AGAIN;
-            request.doubt += 1;
+            request.next_send = now + RESEND_INTERVAL;
+            request.unconfirmed += 1;
             let message = Message::Request {
                 serial: *serial,
                 job: request.job,
@@ -165,30 +166,36 @@
             };
             out.messages.push((to.clone(), message));
         }
-        for serial in over {
+        for serial in expired {
             let Some(request) = self.requests.open.remove(&serial) else {
                 continue;
             };
             let record = Record::new("request_unanswered").job(request.job);
             out.outputs.push(Output::Log(record));
-            let answer = match (&request.question, request.doubt) {
-                (Question::Accept(_), 1..) => Answer::GivenUp { again: BACK },
-                (Question::Accept(_), 0) => Answer::Refused { again: BACK },
+            let answer = match (&request.question, request.unconfirmed) {
+                (Question::Accept(_), 1..) => Answer::GivenUp { again: RETRY_DELAY },
+                (Question::Accept(_), 0) => Answer::Refused { again: RETRY_DELAY },
                 _ => Answer::Unready,
             };
             out.outputs.push(Output::Answer(request.ticket, answer));
         }
     }
 
-    /// Takes the answer to a request.
-    pub(super) fn verdict(&mut self, serial: u64, verdict: Verdict, now: Time, out: &mut Effects) {
+    /// Handles the coordinator's answer to a request: answers the caller, or sends the request again later.
+    pub(super) fn on_verdict(
+        &mut self,
+        serial: u64,
+        verdict: Verdict,
+        now: Time,
+        out: &mut Effects,
+    ) {
         let Some(request) = self.requests.open.get_mut(&serial) else {
             return;
         };
         let answer = match verdict {
             Verdict::Unready => {
-                request.doubt = request.doubt.saturating_sub(1);
-                request.next = now + SOON;
+                request.unconfirmed = request.unconfirmed.saturating_sub(1);
+                request.next_send = now + UNREADY_RETRY_DELAY;
                 return;
             }
             Verdict::Accepted => Answer::Accepted,
@@ -201,8 +208,8 @@
         out.outputs.push(Output::Answer(ticket, answer));
     }
 
-    /// Answers a request about a job of a shard that this instance coordinates.
-    pub(super) fn request(
+    /// Handles a request about a job whose shard this instance coordinates.
+    pub(super) fn on_request(
         &mut self,
         from: &Contact,
         serial: u64,
@@ -212,8 +219,8 @@
         out: &mut Effects,
     ) {
         let verdict = match &question {
-            Question::State => self.state(job).map(Verdict::Standing),
-            Question::Accept(record) => self.rejection(job, record),
+            Question::State => self.job_state(job).map(Verdict::Standing),
+            Question::Accept(record) => self.check_capacity(job, record),
             Question::Cancel => None,
         };
         if let Some(verdict) = verdict {
@@ -226,24 +233,26 @@
         }
     }
 
-    fn state(&self, job: JobId) -> Option<JobState> {
+    fn job_state(&self, job: JobId) -> Option<JobState> {
         let state = self.durable.state(job)?.into();
-        let queued = state == JobState::Running && !self.entry.started(job);
+        let queued = state == JobState::Running && !self.entry.has_started(job);
         Some(if queued { JobState::Queued } else { state })
     }
 
-    /// Rejects a job for which there is no room in any useful time, before anything of it is stored.
-    fn rejection(&self, job: JobId, record: &AcceptedJob) -> Option<Verdict> {
-        // What a former coordinator accepted is known when the shard is held.
+    /// Returns a rejection for a new job that can't end in useful time, before anything of it is stored.
+    fn check_capacity(&self, job: JobId, record: &AcceptedJob) -> Option<Verdict> {
+        // Jobs that a former coordinator accepted must stay accepted; they're known once the shard is loaded.
         let held = self.durable.knowledge(job.shard()) == Some(Knowledge::Held);
         if !held || self.durable.knows(job) {
             return None;
         }
-        let needed = self.entry.expect(&record.submission, &record.service);
-        let useful = Span((record.objective.0 as f64 * USEFUL) as u64);
+        let needed = self
+            .entry
+            .estimate_duration(&record.submission, &record.service);
+        let useful = Span((record.objective.0 as f64 * USEFUL_FACTOR) as u64);
         match needed {
             Some(needed) if needed <= useful || needed <= record.submission.critical_path() => None,
-            _ => Some(Verdict::Rejected { again: BACK }),
+            _ => Some(Verdict::Rejected { again: RETRY_DELAY }),
         }
     }
 }
--- a/src/dispatch/route.rs
+++ b/src/dispatch/route.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: queues by host and prefix, services, limits.
+//! The configuration: queues by host and path prefix, services, and limits for callers' connections.
 
 use std::collections::BTreeSet;
 
@@ -9,39 +9,39 @@
 
 use crate::prelude::*;
 
-/// One version of the configuration, whole.
+/// One version of the whole configuration.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// A higher one replaces a lower one.
+    /// Its version; a higher one replaces a lower one.
     pub version: u64,
     /// The queues.
     pub routes: Vec<Route>,
-    /// The services that run their tasks.
+    /// The services whose endpoints run tasks.
     pub services: Vec<Service>,
-    /// Bounds on callers' connections.
+    /// Limits for callers' connections.
     pub limits: Limits,
 }
 
-/// A queue: where jobs come in, and how they are run.
+/// A queue: the requests that submit jobs to it, and how these jobs run.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// The host that requests name.
+    /// The host of its requests, without a port.
     pub host: String,
-    /// What their paths begin with.
+    /// The prefix of the paths of its requests.
     pub prefix: String,
     /// The service whose endpoints run the tasks.
     pub service: String,
-    /// Zero comes first.
+    /// Its priority; zero is the highest.
     pub priority: u32,
-    /// How many runs of a task may fail before its job has failed.
+    /// The number of failed runs of a task after which its job fails.
     pub attempts: u32,
-    /// How long callers wait at most.
+    /// The time limit for callers that set none.
     pub timeout: Span,
-    /// A job is on time within this multiple of its longest chain of work, and [`Route::target`] more.
+    /// The factor on a job's critical path in its objective, see [`Route::objective`].
     pub stretch: f64,
-    /// See [`Route::stretch`].
+    /// The constant part of a job's objective, see [`Route::objective`].
     pub target: Span,
     /// Whether only endpoints that an adviser names may run its tasks.
     pub advised: bool,
@@ -52,27 +52,27 @@
 pub struct Service {
     /// Its name.
     pub name: String,
-    /// Whether its endpoints refuse what doesn't fit.
+    /// Whether its endpoints refuse tasks that exceed their free resources.
     pub guarded: bool,
-    /// Connections that one endpoint takes of all instances together.
+    /// The most connections that one endpoint accepts, from all instances together.
     pub connections: u32,
 }
 
-/// Bounds on callers' connections.
+/// Limits for callers' connections.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Bytes of the headers of a request.
+    /// The greatest size of a request's headers, in bytes.
     pub max_header_bytes: usize,
-    /// Bytes of the body of a request.
+    /// The greatest size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// For the headers of a request to come whole.
+    /// How long a request's headers may take to arrive; its body is bounded alike.
     pub header_timeout: Span,
-    /// For an idle connection to stay open.
+    /// How long an idle connection stays open.
     pub idle_timeout: Span,
 }
 
 impl Default for Limits {
-    /// Stands in until the first configuration: what the platform's examples show.
+    /// Returns the limits in force before the first configuration: those of the platform's examples.
     fn default() -> Self {
         Self {
             max_header_bytes: 16 << 10,
@@ -84,34 +84,36 @@
 }
 
 impl Configuration {
-    /// Finds the queue of a request, and the rest of its path: the host and the longest prefix decide.
+    /// Returns the queue of a request and the rest of its path. Of the host's queues the longest prefix wins; a port
+    /// in `host` is ignored.
     pub fn find_route<'a, 'p>(&'a self, host: &str, path: &'p str) -> Option<(&'a Route, &'p str)> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
-        let fits = |route: &&Route| {
+        let matches = |route: &&Route| {
             route.host.eq_ignore_ascii_case(host) && path.starts_with(&route.prefix)
         };
-        let found = self.routes.iter().filter(fits);
+        let found = self.routes.iter().filter(matches);
         let route = found.max_by_key(|route| route.prefix.len())?;
         Some((route, &path[route.prefix.len()..]))
     }
 
-    /// Tells whether a service is named here, by itself or by a queue.
-    pub fn names(&self, service: &str) -> bool {
-        self.services.iter().any(|pool| pool.name == service)
+    /// Returns whether a service is configured, or is named by a queue.
+    pub fn has_service(&self, service: &str) -> bool {
+        self.services.iter().any(|entry| entry.name == service)
             || self.routes.iter().any(|route| route.service == service)
     }
 
-    /// Returns the names of all services.
+    /// Returns the names of all services, including those that only a queue names.
     pub fn service_names(&self) -> BTreeSet<&str> {
-        let pools = self.services.iter().map(|pool| pool.name.as_str());
-        let queues = self.routes.iter().map(|route| route.service.as_str());
-        pools.chain(queues).collect()
+        let services = self.services.iter().map(|service| service.name.as_str());
+        let routes = self.routes.iter().map(|route| route.service.as_str());
+        services.chain(routes).collect()
     }
 }
 
 impl Route {
-    /// Returns how long after its arrival a job with the longest chain of work `chain` is on time.
-    pub fn objective(&self, chain: Span) -> Span {
-        Span((chain.0 as f64 * self.stretch) as u64 + self.target.0)
+    /// Returns the time after its arrival within which a job's end is on time: its critical path times
+    /// [`Route::stretch`], plus [`Route::target`].
+    pub fn objective(&self, critical_path: Span) -> Span {
+        Span((critical_path.0 as f64 * self.stretch) as u64 + self.target.0)
     }
 }
--- a/src/dispatch/task.rs
+++ b/src/dispatch/task.rs
@@ -1,4 +1,4 @@
-//! What callers ask for: jobs of steps, steps of equal tasks.
+//! Jobs as callers submit them: steps of equal tasks, and the resources that these need.
 
 use serde::{
     Deserialize,
@@ -8,32 +8,32 @@
 use super::id::JobId;
 use crate::prelude::*;
 
-/// What a task takes of an endpoint, or what an endpoint has.
+/// The resources that a task needs, or that an endpoint has.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resources {
-    /// Thousandths of a core.
+    /// Processor time, in thousandths of a core.
     pub cpu: u64,
-    /// Mebibytes of memory.
+    /// Memory, in mebibytes.
     pub memory: u64,
-    /// Graphics processors.
+    /// The number of graphics processors.
     pub gpu: u64,
 }
 
 impl Resources {
-    /// Tells whether `need` fits in.
+    /// Returns whether `need` fits into these resources.
     pub fn fits(&self, need: &Resources) -> bool {
         self.cpu >= need.cpu && self.memory >= need.memory && self.gpu >= need.gpu
     }
 
-    /// Takes `need` out, down to nothing.
+    /// Subtracts `need`; stops at zero.
     pub fn subtract(&mut self, need: &Resources) {
         self.cpu = self.cpu.saturating_sub(need.cpu);
         self.memory = self.memory.saturating_sub(need.memory);
         self.gpu = self.gpu.saturating_sub(need.gpu);
     }
 
-    /// Counts how many times `need` fits in, at most `most`.
-    pub fn times(&self, need: &Resources, most: u64) -> u64 {
+    /// Counts how many times `need` fits into these resources, at most `most`.
+    pub fn count_fits(&self, need: &Resources, most: u64) -> u64 {
         let times = |have: u64, want: u64| have.checked_div(want).unwrap_or(most);
         times(self.cpu, need.cpu)
             .min(times(self.memory, need.memory))
@@ -46,42 +46,42 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Step {
-    /// How many tasks.
+    /// The number of tasks.
     pub count: u32,
-    /// What each takes.
+    /// The resources that each task needs.
     pub need: Resources,
     /// The caller's rough estimate of a task's duration.
     pub estimate: Span,
-    /// Steps before this one, by their place, all of whose tasks must be done first.
+    /// The indices of the steps whose tasks must all be done first.
     pub after: Vec<u32>,
-    /// A label that the endpoint must have.
+    /// The label that the endpoint must have.
     pub label: Option<String>,
-    /// The rack where its data lies; a task takes a multiple of its time elsewhere.
+    /// The rack that holds the step's data; a task takes a multiple of its time elsewhere.
     pub affinity: Option<String>,
-    /// The most tasks of the step on one endpoint; none is no bound.
+    /// The most tasks of the step on one endpoint; `None` is no bound.
     pub per_endpoint: Option<u32>,
-    /// What it asks for that no job of this instance can have yet.
+    /// The reason for a refusal if the step asks for a feature that isn't supported.
     pub unsupported: Option<String>,
 }
 
-/// A job as it came.
+/// A job as its caller submitted it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Submission {
     /// Its identifier.
     pub id: JobId,
-    /// What the endpoints are given with every task, unread.
+    /// Opaque data that endpoints are given with every task.
     pub spec: String,
     /// Its steps.
     pub steps: Vec<Step>,
-    /// Whether it may be lost, and run again from the start: it is answered at its end.
+    /// Whether the job isn't stored: it's answered at its end, and is lost with its instance.
     pub best_effort: bool,
-    /// What it asks for that can't be done yet.
+    /// The reason for a refusal if the job asks for a feature that isn't supported.
     pub unsupported: Option<String>,
 }
 
 impl Submission {
-    /// Returns the work of all of its tasks by their estimates, in core-milliseconds.
-    pub fn work(&self) -> u64 {
+    /// Returns the estimated work of all tasks, in core-milliseconds.
+    pub fn total_work(&self) -> u64 {
         let steps = self.steps.iter();
         let work = steps.map(|step| {
             let each = step.need.cpu.saturating_mul(step.estimate.as_millis()) / 1_000;
@@ -90,7 +90,7 @@
         work.fold(0, u64::saturating_add)
     }
 
-    /// Returns the longest chain of estimates over the steps.
+    /// Returns the length of the critical path: the greatest sum of task estimates along dependent steps.
     pub fn critical_path(&self) -> Span {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
@@ -102,20 +102,20 @@
     }
 }
 
-/// A job as it was accepted and stored.
+/// A job as it is stored once it's accepted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedJob {
-    /// What its caller handed in.
+    /// The job as its caller submitted it.
     pub submission: Submission,
-    /// The queue that it came by.
+    /// The queue that accepted it.
     pub route: String,
-    /// The service whose endpoints run it.
+    /// The service whose endpoints run its tasks.
     pub service: String,
-    /// How many runs of a task may fail.
+    /// The number of failed runs of a task after which the job fails.
     pub attempts: u32,
-    /// The queue's priority: zero goes first.
+    /// The queue's priority; zero is the highest.
     #[serde(default)]
     pub priority: u32,
-    /// How long after its arrival it is on time.
+    /// The time after its arrival within which its end is on time.
     pub objective: Span,
 }
--- a/tests/entry.rs
+++ b/tests/entry.rs
@@ -60,7 +60,7 @@
     };
     let rack = listing.rack_id();
     let mut entry = Entry::new(0, &"own".parse().unwrap(), "a");
-    entry.list(&[listing]);
+    entry.set_endpoints(&[listing]);
     entry.set_owners(&HashMap::from([(rack, owner.clone())]));
     let vacancy = Vacancy {
         rack,
@@ -94,7 +94,7 @@
     let listings: Vec<Listing> = (0..free.len() * 8).map(listing).collect();
     let own: Instance = "own".parse().unwrap();
     let mut entry = Entry::new(0, &own, "a");
-    entry.list(&listings);
+    entry.set_endpoints(&listings);
     let owner = |i: usize| Contact {
         name: if i == 0 {
             own.clone()
@@ -213,18 +213,18 @@
     let later = NOW + Span::millis(50);
     let mut out = Effects::default();
     for _ in 0..2 {
-        entry.returned(first.serial, vec![1], false, Cause::Lost, NOW, &mut out);
+        entry.on_tasks_returned(first.serial, vec![1], false, Cause::Lost, NOW, &mut out);
     }
-    entry.work(later, &mut out);
+    entry.run_due(later, &mut out);
     let again = batches(&out);
     assert_eq!(again.len(), 1, "the task is placed once");
     let done = |batch: &Batch| batch.tasks.clone();
     for _ in 0..2 {
         let tasks = done(&again[0]);
-        entry.report(again[0].serial, Outcome::Done, tasks, true, later, &mut out);
+        entry.on_batch_ended(again[0].serial, Outcome::Done, tasks, true, later, &mut out);
     }
     assert_eq!(answers(&out), []);
-    entry.report(first.serial, Outcome::Done, vec![0], true, later, &mut out);
+    entry.on_batch_ended(first.serial, Outcome::Done, vec![0], true, later, &mut out);
     assert_eq!(answers(&out), [Answer::Completed]);
 }
 
@@ -234,7 +234,7 @@
     let (mut entry, _) = entry();
     let first = submit(&mut entry, 2).remove(0);
     let mut out = Effects::default();
-    entry.report(
+    entry.on_batch_ended(
         first.serial,
         Outcome::Hopeless,
         vec![],
@@ -251,7 +251,7 @@
     let (mut entry, _) = entry();
     let first = submit(&mut entry, 2).remove(0);
     let mut out = Effects::default();
-    entry.report(first.serial, Outcome::Hopeless, vec![], true, NOW, &mut out);
+    entry.on_batch_ended(first.serial, Outcome::Hopeless, vec![], true, NOW, &mut out);
     assert!(matches!(answers(&out)[..], [Answer::GivenUp { .. }]));
 }
 
@@ -262,7 +262,7 @@
     let (mut entry, _) = entry();
     submit(&mut entry, 2);
     let mut out = Effects::default();
-    entry.close(NOW, &mut out);
+    entry.give_up_all(NOW, &mut out);
     assert!(matches!(answers(&out)[..], [Answer::GivenUp { .. }]));
     assert!(entry.is_empty());
     let cancels = |(_, message): &(Contact, Message)| matches!(message, Message::Cancel(_));
@@ -276,9 +276,9 @@
     let (mut entry, _) = entry();
     let first = submit(&mut entry, 2).remove(0);
     let mut out = Effects::default();
-    entry.report(first.serial, Outcome::Done, vec![0], true, NOW, &mut out);
+    entry.on_batch_ended(first.serial, Outcome::Done, vec![0], true, NOW, &mut out);
     assert_eq!(answers(&out), []);
-    entry.work(NOW + Span::millis(50), &mut out);
+    entry.run_due(NOW + Span::millis(50), &mut out);
     let again = batches(&out);
     assert_eq!(again.len(), 1);
     assert_eq!(again[0].tasks, [1]);
@@ -289,11 +289,11 @@
 fn given_up(entry: &mut Entry) -> Batch {
     let first = submit(entry, 2).remove(0);
     let mut out = Effects::default();
-    entry.returned(first.serial, vec![1], false, Cause::Lost, NOW, &mut out);
-    entry.work(NOW + Span::millis(50), &mut out);
+    entry.on_tasks_returned(first.serial, vec![1], false, Cause::Lost, NOW, &mut out);
+    entry.run_due(NOW + Span::millis(50), &mut out);
     let second = batches(&out).remove(0);
     let mut out = Effects::default();
-    entry.report(
+    entry.on_batch_ended(
         second.serial,
         Outcome::Hopeless,
         Vec::new(),
@@ -321,7 +321,7 @@
     let (mut entry, _) = entry();
     let first = given_up(&mut entry);
     let mut out = Effects::default();
-    entry.returned(first.serial, vec![0], false, Cause::Lost, NOW, &mut out);
+    entry.on_tasks_returned(first.serial, vec![0], false, Cause::Lost, NOW, &mut out);
     assert!(matches!(answers(&out)[..], [Answer::Refused { .. }]));
 }
 
@@ -333,11 +333,11 @@
     let first = given_up(&mut entry);
     let next: Instance = "next".parse().unwrap();
     let mut out = Effects::default();
-    entry.moved(first.serial, next.clone(), 1, NOW, &mut out);
+    entry.on_batch_moved(first.serial, next.clone(), 1, NOW, &mut out);
     assert_eq!(cancelled(&out), [("next".to_owned(), first.serial)]);
-    entry.unknown(&"owner".parse().unwrap(), &[first.serial], NOW, &mut out);
+    entry.on_unknown_batches(&"owner".parse().unwrap(), &[first.serial], NOW, &mut out);
     assert_eq!(answers(&out), [], "it isn't the owner any more");
-    entry.unknown(&next, &[first.serial], NOW, &mut out);
+    entry.on_unknown_batches(&next, &[first.serial], NOW, &mut out);
     assert!(matches!(answers(&out)[..], [Answer::GivenUp { .. }]));
 }
 
@@ -347,7 +347,7 @@
 fn batch_that_nobody_wants_is_dropped_where_it_moved() {
     let (mut entry, _) = entry();
     let mut out = Effects::default();
-    entry.moved(17, "next".parse().unwrap(), 1, NOW, &mut out);
+    entry.on_batch_moved(17, "next".parse().unwrap(), 1, NOW, &mut out);
     assert_eq!(cancelled(&out), [("next".to_owned(), 17)]);
 }
 
@@ -359,9 +359,9 @@
     let first = submit(&mut entry, 1).remove(0);
     let mut out = Effects::default();
     for (owner, moves) in [("last", 2), ("between", 1)] {
-        entry.moved(first.serial, owner.parse().unwrap(), moves, NOW, &mut out);
+        entry.on_batch_moved(first.serial, owner.parse().unwrap(), moves, NOW, &mut out);
     }
-    entry.audit(NOW + Span::seconds(1), &mut out);
+    entry.audit_batches(NOW + Span::seconds(1), &mut out);
     let audited = out.messages.iter().map(|(to, _)| to.name.as_str());
     assert_eq!(audited.collect::<Vec<_>>(), ["last"]);
 }
@@ -413,11 +413,11 @@
     for other in [None, Some(batch.serial + 1)] {
         let mut out = Effects::default();
         entry.on_task_failed(task, other, NOW);
-        entry.work(NOW + Span::seconds(3), &mut out);
+        entry.run_due(NOW + Span::seconds(3), &mut out);
         assert_eq!(batches(&out).len(), 0, "its run goes on");
     }
     let mut out = Effects::default();
     entry.on_task_failed(task, Some(batch.serial), NOW);
-    entry.work(NOW, &mut out);
+    entry.run_due(NOW, &mut out);
     assert_eq!(batches(&out).len(), 1, "its own run failed");
 }
