--- a/tests/dispatch/overload.rs
+++ b/tests/dispatch/overload.rs
@@ -1,4 +1,4 @@
-//! Load at its worst: more work than the endpoints can do in its time, and how it waits and is turned away.
+//! Overload: the order in which tasks wait, refusals, stalled tasks, and restarts under load.
 
 use std::collections::BTreeSet;
 
@@ -21,33 +21,33 @@
     CALM, //
 };
 
-/// How long the burst lasts, and what follows it.
+/// How long the burst lasts.
 const BURST: Span = Span::seconds(2);
 
-/// Plays a burst of three times the work that the endpoints can do, and then half of what they can.
-fn burst(seed: u64) -> (World, Time) {
+/// Runs a burst of three times the endpoints' capacity, followed by half of it. Returns the world and the time at which
+/// the burst ended.
+fn run_burst(seed: u64) -> (World, Time) {
     let mut world = World::new(seed, 3, 2, CALM);
     world.load(100, Span::millis(20));
     world.run(BURST);
-    let over = world.now;
+    let burst_end = world.now;
     world.load(60, Span::millis(150));
     world.run(Span::seconds(12));
     world.settle();
-    (world, over)
+    (world, burst_end)
 }
 
-/// Two seconds bring three times the work that can be done. Callers are turned away meanwhile; if instead all of it
-/// waited, everything would be late for as long as the usual load lasts. What was taken in and is late waits behind what
-/// comes after, so that most of that is on time at once, and all but a few when five seconds have passed.
+/// A backlog from a burst must not make later jobs late: excess jobs are refused, and late tasks wait behind those that
+/// can still be on time. Most jobs are on time 1.5 s after the burst, and all but a few after 5 s.
 #[test]
 fn burst_passes() {
     for seed in 0..5 {
-        let (world, over) = burst(seed);
+        let (world, burst_end) = run_burst(seed);
         let late = |from: Span| {
             let after = world
                 .jobs
                 .iter()
-                .filter(|(_, seen)| seen.since > over + from);
+                .filter(|(_, seen)| seen.since > burst_end + from);
             let after: Vec<JobId> = after.map(|(id, _)| *id).collect();
             let late = after.iter().filter(|id| !world.on_time(**id)).count();
             (late, after.len())
@@ -59,14 +59,17 @@
     }
 }
 
-/// The endpoints can do three in ten of what the burst brings. Two in ten are on time at least: what was begun for jobs that
-/// are given up costs the rest.
+/// During the burst the endpoints could do three jobs in ten. At least two in ten must be on time; tasks of jobs that
+/// are given up take the rest.
 #[test]
 fn burst_is_served_in_time() {
     let (mut served, mut all) = (0, 0);
     for seed in 0..5 {
-        let (world, over) = burst(seed);
-        let during = world.jobs.iter().filter(|(_, seen)| seen.since <= over);
+        let (world, burst_end) = run_burst(seed);
+        let during = world
+            .jobs
+            .iter()
+            .filter(|(_, seen)| seen.since <= burst_end);
         let during: Vec<JobId> = during.map(|(id, _)| *id).collect();
         served += during.iter().filter(|id| world.on_time(**id)).count();
         all += during.len();
@@ -74,28 +77,28 @@
     assert!(served * 5 >= all, "{served} of {all}");
 }
 
-/// Callers whose jobs can't be done in any useful time hear that at once, and come back at different times: together they
+/// Jobs that can't end in useful time must be refused at once, with different retry delays: retries at the same time
 /// would make the next burst.
 #[test]
 fn refusals_come_at_once_and_spread() {
-    let (world, _) = burst(1);
+    let (world, _) = run_burst(1);
     let mut quick = 0;
-    let mut again = BTreeSet::new();
+    let mut delays = BTreeSet::new();
     let mut refused = 0;
     for seen in world.jobs.values() {
-        if let Some(Answer::Refused { again: after }) = seen.answer {
+        if let Some(Answer::Refused { again: delay }) = seen.answer {
             refused += 1;
             quick += usize::from(seen.at.since(seen.since) < Span::millis(20));
-            again.insert(after.as_millis() / 500);
+            delays.insert(delay.as_millis() / 500);
         }
     }
     assert!(refused > 10, "{refused} refused");
     assert!(quick * 10 >= refused * 8, "{quick} of {refused} at once");
-    assert!(again.len() >= 3, "{again:?}");
+    assert!(delays.len() >= 3, "{delays:?}");
 }
 
-/// Tasks wait in the order in which they must start. When one can't be on time any more it goes behind all that still can
-/// be: in front, each would get its room just after its time, and everything would be late together.
+/// Tasks wait in the order of their latest start. One that can't be on time any more moves behind all that can: in
+/// front it would make these late as well.
 #[test]
 fn late_tasks_wait_behind_the_others() {
     let mut queue = Queue::default();
@@ -122,9 +125,8 @@
     assert_eq!(order(&queue), [3, 1]);
 }
 
-/// A quarter of the endpoints answer every call, take every task, and leave it standing still for six seconds. Each job with
-/// a task there was lost: its run kept its room until its caller's time had passed. Such a run is stopped when its percent
-/// has not risen for a quarter of its estimate and 100 ms, and started elsewhere.
+/// A quarter of the endpoints accept tasks but make no progress for six seconds. Stalled runs must be stopped and started
+/// elsewhere, or their jobs would miss their deadlines.
 #[test]
 fn tasks_that_stand_still_are_started_elsewhere() {
     let (mut lost, mut late, mut all) = (0, 0, 0);
@@ -144,9 +146,8 @@
     assert!(late * 5 <= all, "{late} of {all} are late or lost");
 }
 
-/// All instances die at once and are back after 0.7 s, while callers go on coming. Each listened for 450 ms before it claimed
-/// a rack, in which no endpoint did anything: with four fifths of them in use before, what had waited took seconds to pass,
-/// and a tenth of a second's callers were turned away. Where nobody that is heard owns anything there is nobody to wait for.
+/// All instances restart at once under load. They must claim racks without the usual wait for owners' heartbeats, since
+/// no live member owns any: endpoints that idle meanwhile would leave a backlog.
 #[test]
 fn a_fleet_that_starts_as_a_whole_serves_soon() {
     for seed in 0..5 {
@@ -155,13 +156,13 @@
         for i in 0..3 {
             world.kill_at(Span::millis(500), i, down);
         }
-        let back = world.now + Span::millis(500) + down;
+        let restart = world.now + Span::millis(500) + down;
         world.load(40, Span::millis(50));
         world.run(Span::seconds(4));
         world.settle();
         let starts = world.workers.iter().flat_map(|w| &w.history);
-        let first = starts.map(|begun| begun.from).filter(|at| *at > back).min();
-        let idle = first.map(|at| at.since(back));
+        let first = starts.map(|run| run.from).filter(|at| *at > restart).min();
+        let idle = first.map(|at| at.since(restart));
         assert!(
             idle.is_some_and(|idle| idle < Span::millis(250)),
             "seed {seed}: nothing was started for {idle:?}"
@@ -169,8 +170,8 @@
     }
 }
 
-/// One of three instances dies and is back while the others live. It claims nothing that is theirs, although it starts to hear
-/// them one after the other.
+/// One of five instances restarts while the others live. It must not claim their racks, although it hears their
+/// heartbeats one after the other.
 #[test]
 fn an_instance_that_starts_among_others_takes_no_rack() {
     for seed in 0..5 {
@@ -183,10 +184,8 @@
     }
 }
 
-/// Jobs of three queues wait for one endpoint after a burst: short ones whose operator puts them first, wide ones of the same queue,
-/// and long ones of another. While all are on time, and again when all are late, what is put first goes first, and of that what
-/// takes least. One that has waited long past its time goes before any other, however little that takes, so that none waits for
-/// ever.
+/// Among tasks that are all on time, or all late, those of the highest priority go first, and of these the jobs with the
+/// least work. A task that is long overdue goes before all others, so that none starves.
 #[test]
 fn priority_and_little_work_go_first_but_none_starves() {
     let mut queue = Queue::default();
--- a/tests/entry.rs
+++ b/tests/entry.rs
@@ -1,4 +1,4 @@
-//! The entry's duty by itself: what callers are told, whatever owners say.
+//! The entry on its own: placement of tasks, and answers to callers whatever owners report.
 
 use std::collections::HashMap;
 
@@ -37,7 +37,8 @@
 
 const NOW: Time = Time(1_000_000);
 
-fn entry() -> (Entry, Contact) {
+/// Returns an entry with one rack of one idle endpoint, and the rack's owner.
+fn entry_with_rack() -> (Entry, Contact) {
     let owner = Contact {
         name: "owner".parse().unwrap(),
         address: "owner:1".to_owned(),
@@ -72,10 +73,10 @@
     (entry, owner)
 }
 
-/// Makes an entry with racks of eight endpoints, one owner each: the first is its own instance, all of the same data centre. Each
-/// endpoint has room for one task, on as many of a rack's endpoints as `free` says.
-fn fleet(free: &[usize]) -> Entry {
-    let room = Resources {
+/// Returns an entry with `free.len()` racks of eight endpoints in one data centre. Each rack has its own owner, the
+/// first one the entry's instance. Each endpoint runs one task at a time; `free` has the idle endpoints of each rack.
+fn entry_with_racks(free: &[usize]) -> Entry {
+    let capacity = Resources {
         cpu: 1_000,
         memory: 8_000,
         gpu: 0,
@@ -88,7 +89,7 @@
         centre: "a".to_owned(),
         rack: format!("r{}", i / 8),
         labels: Vec::new(),
-        capacity: room,
+        capacity,
         draining: false,
     };
     let listings: Vec<Listing> = (0..free.len() * 8).map(listing).collect();
@@ -109,8 +110,8 @@
     for (i, free) in free.iter().enumerate() {
         let vacancy = Vacancy {
             rack: listings[i * 8].rack_id(),
-            // A rack without room is still one that takes tasks.
-            free: vec![room; *free]
+            // A busy rack still has an endpoint that accepts tasks.
+            free: vec![capacity; *free]
                 .into_iter()
                 .chain([Resources::default()])
                 .collect(),
@@ -122,6 +123,7 @@
     entry
 }
 
+/// Submits a job of one step and returns the batches that the entry sends.
 fn submit(entry: &mut Entry, tasks: u32) -> Vec<Batch> {
     submit_as(entry, JobId(1), tasks)
 }
@@ -173,28 +175,27 @@
     out.outputs.iter().filter_map(answer).collect()
 }
 
-/// A caller hands in a job of eight tasks while most endpoints are idle. Spread evenly it went to eight owners, and was as late as the
-/// message to the last of them. It stays with the instance that took it in; what has no room there goes to one other owner.
+/// A job must not be spread over many owners, since the slowest message to one of them would delay all of it. Tasks
+/// stay at the entry's own instance; those without room there go to one other owner.
 #[test]
 fn a_wide_job_stays_in_one_place() {
-    let mut idle = fleet(&[8; 28]);
+    let mut idle = entry_with_racks(&[8; 28]);
     let batches = submit(&mut idle, 8);
     assert_eq!(batches.len(), 1, "{batches:?}");
     assert_eq!(batches[0].tasks.len(), 8);
-    let mut busy = fleet(&[3, 8, 8, 8, 8, 8]);
+    let mut busy = entry_with_racks(&[3, 8, 8, 8, 8, 8]);
     let mut sizes: Vec<usize> = submit(&mut busy, 8).iter().map(|b| b.tasks.len()).collect();
     sizes.sort_unstable();
     assert_eq!(sizes, [3, 5]);
 }
 
-/// An instance without room of its own takes forty jobs in before any owner tells how much is left. Each of them went to the rack
-/// with the most room, as did those of all other instances, and they waited there for each other. They are dealt out over all racks
-/// that have room for a whole job.
+/// Jobs that arrive between two heartbeats must not all go to the rack with the most free resources: they spread over
+/// all racks that have room for a whole job.
 #[test]
 fn jobs_draw_different_racks() {
     let mut used: HashMap<_, usize> = HashMap::new();
     for job in 0..40 {
-        let mut entry = fleet(&[0, 8, 6, 6, 6, 6, 6, 6, 6, 6]);
+        let mut entry = entry_with_racks(&[0, 8, 6, 6, 6, 6, 6, 6, 6, 6]);
         for batch in submit_as(&mut entry, JobId(job * 7_919 + 1), 4) {
             *used.entry(batch.rack).or_default() += batch.tasks.len();
         }
@@ -204,11 +205,11 @@
     assert!(most <= 40, "{most} of 160 tasks meet on one rack");
 }
 
-/// An owner sends a task back twice, and both batches that follow from it are told done, or so it seems. The other task of
-/// the job has not ended: its caller must not be told complete.
+/// An owner returns a task twice, and the batch that follows is reported done twice. The other task of the job hasn't
+/// ended, so the caller must not be told that the job is completed.
 #[test]
 fn task_told_done_twice_is_one_task() {
-    let (mut entry, _) = entry();
+    let (mut entry, _) = entry_with_rack();
     let first = submit(&mut entry, 2).remove(0);
     let later = NOW + Span::millis(50);
     let mut out = Effects::default();
@@ -216,22 +217,29 @@
         entry.on_tasks_returned(first.serial, vec![1], false, Cause::Lost, NOW, &mut out);
     }
     entry.run_due(later, &mut out);
-    let again = batches(&out);
-    assert_eq!(again.len(), 1, "the task is placed once");
+    let second = batches(&out);
+    assert_eq!(second.len(), 1, "the task is placed once");
     let done = |batch: &Batch| batch.tasks.clone();
     for _ in 0..2 {
-        let tasks = done(&again[0]);
-        entry.on_batch_ended(again[0].serial, Outcome::Done, tasks, true, later, &mut out);
+        let tasks = done(&second[0]);
+        entry.on_batch_ended(
+            second[0].serial,
+            Outcome::Done,
+            tasks,
+            true,
+            later,
+            &mut out,
+        );
     }
     assert_eq!(answers(&out), []);
     entry.on_batch_ended(first.serial, Outcome::Done, vec![0], true, later, &mut out);
     assert_eq!(answers(&out), [Answer::Completed]);
 }
 
-/// An owner gives a batch up before any start. Its caller is told that nothing was run, once every owner has said so.
+/// An owner gives up the only batch of a job before any start: the caller is told that nothing was run.
 #[test]
 fn hopeless_job_is_refused_when_nothing_started() {
-    let (mut entry, _) = entry();
+    let (mut entry, _) = entry_with_rack();
     let first = submit(&mut entry, 2).remove(0);
     let mut out = Effects::default();
     entry.on_batch_ended(
@@ -245,48 +253,48 @@
     assert!(matches!(answers(&out)[..], [Answer::Refused { .. }]));
 }
 
-/// The same after a start has left: "not run" would be untrue.
+/// After a start was sent, the caller must not be told that nothing was run.
 #[test]
 fn hopeless_job_is_given_up_when_something_started() {
-    let (mut entry, _) = entry();
+    let (mut entry, _) = entry_with_rack();
     let first = submit(&mut entry, 2).remove(0);
     let mut out = Effects::default();
     entry.on_batch_ended(first.serial, Outcome::Hopeless, vec![], true, NOW, &mut out);
     assert!(matches!(answers(&out)[..], [Answer::GivenUp { .. }]));
 }
 
-/// A caller's job has not ended when its instance must go: an outage of the endpoints took the time of the drain. The
-/// caller is told that its job was given up; left without an answer, it would have to guess.
+/// A job that hasn't ended when the process must end is given up: its caller gets an answer, and its owner a
+/// cancellation.
 #[test]
 fn callers_are_answered_when_the_process_ends() {
-    let (mut entry, _) = entry();
+    let (mut entry, _) = entry_with_rack();
     submit(&mut entry, 2);
     let mut out = Effects::default();
     entry.give_up_all(NOW, &mut out);
     assert!(matches!(answers(&out)[..], [Answer::GivenUp { .. }]));
     assert!(entry.is_empty());
-    let cancels = |(_, message): &(Contact, Message)| matches!(message, Message::Cancel(_));
-    assert!(out.messages.iter().any(cancels), "its owner stops it");
+    let is_cancel = |(_, message): &(Contact, Message)| matches!(message, Message::Cancel(_));
+    assert!(out.messages.iter().any(is_cancel), "its owner stops it");
 }
 
-/// An owner sends a task back, and the message gets lost; it reports the batch as done when the other task is. The caller
-/// must not be told complete: the task that was sent back has never run. It is placed again.
+/// The message that returns a task is lost, and the owner reports the batch as done with the other task only. The
+/// returned task never ran: it must be placed again before the job counts as completed.
 #[test]
 fn report_counts_only_the_tasks_that_it_names() {
-    let (mut entry, _) = entry();
+    let (mut entry, _) = entry_with_rack();
     let first = submit(&mut entry, 2).remove(0);
     let mut out = Effects::default();
     entry.on_batch_ended(first.serial, Outcome::Done, vec![0], true, NOW, &mut out);
     assert_eq!(answers(&out), []);
     entry.run_due(NOW + Span::millis(50), &mut out);
-    let again = batches(&out);
-    assert_eq!(again.len(), 1);
-    assert_eq!(again[0].tasks, [1]);
+    let second = batches(&out);
+    assert_eq!(second.len(), 1);
+    assert_eq!(second[0].tasks, [1]);
 }
 
-/// A job of two batches, which is given up since one of them is hopeless. Returns the other, which its owner is asked to
-/// drop.
-fn given_up(entry: &mut Entry) -> Batch {
+/// Submits a job of two batches of which one is hopeless, so that the job is given up. Returns the other batch, which
+/// its owner is asked to drop.
+fn give_up_job(entry: &mut Entry) -> Batch {
     let first = submit(entry, 2).remove(0);
     let mut out = Effects::default();
     entry.on_tasks_returned(first.serial, vec![1], false, Cause::Lost, NOW, &mut out);
@@ -302,11 +310,12 @@
         &mut out,
     );
     assert_eq!(answers(&out), [], "the first may have started");
-    assert_eq!(cancelled(&out), [("owner".to_owned(), first.serial)]);
+    assert_eq!(cancels(&out), [("owner".to_owned(), first.serial)]);
     first
 }
 
-fn cancelled(out: &Effects) -> Vec<(String, u64)> {
+/// Returns the receivers and serial numbers of cancelled batches.
+fn cancels(out: &Effects) -> Vec<(String, u64)> {
     let cancel = |(to, message): &(Contact, Message)| match message {
         Message::Cancel(serial) => Some((to.name.to_string(), *serial)),
         _ => None,
@@ -314,48 +323,48 @@
     out.messages.iter().filter_map(cancel).collect()
 }
 
-/// An owner sends tasks back in the moment in which it is asked to drop them. It has nothing left to say of them, and the
-/// caller is told at once that nothing was run. Otherwise it would wait until its own time has passed.
+/// An owner returns the tasks of a batch while its cancellation is on the way. The caller must be answered then: no
+/// other message about the batch follows.
 #[test]
 fn given_up_job_is_answered_when_its_tasks_come_back() {
-    let (mut entry, _) = entry();
-    let first = given_up(&mut entry);
+    let (mut entry, _) = entry_with_rack();
+    let first = give_up_job(&mut entry);
     let mut out = Effects::default();
     entry.on_tasks_returned(first.serial, vec![0], false, Cause::Lost, NOW, &mut out);
     assert!(matches!(answers(&out)[..], [Answer::Refused { .. }]));
 }
 
-/// A batch goes to another owner in the moment in which its entry gives it up. The next owner is asked to drop it. It
-/// doesn't have it yet and can't say what was started of it: the caller isn't told that nothing was run.
+/// A batch moves to another owner while its cancellation is on the way. The new owner is asked to drop it, but may not
+/// hold it yet and can't tell what was started: the caller must not be told that nothing was run.
 #[test]
 fn given_up_batch_that_moved_is_in_doubt() {
-    let (mut entry, _) = entry();
-    let first = given_up(&mut entry);
+    let (mut entry, _) = entry_with_rack();
+    let first = give_up_job(&mut entry);
     let next: Instance = "next".parse().unwrap();
     let mut out = Effects::default();
     entry.on_batch_moved(first.serial, next.clone(), 1, NOW, &mut out);
-    assert_eq!(cancelled(&out), [("next".to_owned(), first.serial)]);
+    assert_eq!(cancels(&out), [("next".to_owned(), first.serial)]);
     entry.on_unknown_batches(&"owner".parse().unwrap(), &[first.serial], NOW, &mut out);
     assert_eq!(answers(&out), [], "it isn't the owner any more");
     entry.on_unknown_batches(&next, &[first.serial], NOW, &mut out);
     assert!(matches!(answers(&out)[..], [Answer::GivenUp { .. }]));
 }
 
-/// A batch that its entry doesn't know any more comes to an owner with a rack. It is dropped there: its job was answered,
-/// or its tasks are about to be placed elsewhere, and would run twice.
+/// A batch that its entry has removed moves to another owner. It's cancelled there, since its job was answered or its
+/// tasks are placed elsewhere and would run twice.
 #[test]
 fn batch_that_nobody_wants_is_dropped_where_it_moved() {
-    let (mut entry, _) = entry();
+    let (mut entry, _) = entry_with_rack();
     let mut out = Effects::default();
     entry.on_batch_moved(17, "next".parse().unwrap(), 1, NOW, &mut out);
-    assert_eq!(cancelled(&out), [("next".to_owned(), 17)]);
+    assert_eq!(cancels(&out), [("next".to_owned(), 17)]);
 }
 
-/// A batch moves twice, and the entry hears of it in the wrong order. It goes by the later move: asked for its batch, the
-/// owner between would not know it, and the tasks would be placed a second time.
+/// A batch moves twice, and the entry hears of it in the wrong order. The later move counts: an audit of the owner in
+/// between would take the batch for lost and place its tasks a second time.
 #[test]
 fn later_move_counts() {
-    let (mut entry, _) = entry();
+    let (mut entry, _) = entry_with_rack();
     let first = submit(&mut entry, 1).remove(0);
     let mut out = Effects::default();
     for (owner, moves) in [("last", 2), ("between", 1)] {
@@ -366,8 +375,8 @@
     assert_eq!(audited.collect::<Vec<_>>(), ["last"]);
 }
 
-/// Gives the only task of a stored job out.
-fn stored(entry: &mut Entry) -> Batch {
+/// Runs a stored job of one task and returns its batch.
+fn run_stored_job(entry: &mut Entry) -> Batch {
     let step = Step {
         count: 1,
         need: Resources {
@@ -399,8 +408,8 @@
     batches(&out).remove(0)
 }
 
-/// A run fails that a former coordinator gave out. A cut holds its end back until the next coordinator has given the task
-/// out again. The new run goes on: placed once more at the word of the old end, the task would run twice at the same time.
+/// The failure of a run that a former coordinator placed arrives after the next coordinator has placed the task again.
+/// The new run goes on: placing the task once more would run it twice at the same time.
 #[test]
 fn failed_end_of_another_batch_places_nothing() {
     let task = TaskId {
@@ -408,8 +417,8 @@
         step: 0,
         index: 0,
     };
-    let (mut entry, _) = entry();
-    let batch = stored(&mut entry);
+    let (mut entry, _) = entry_with_rack();
+    let batch = run_stored_job(&mut entry);
     for other in [None, Some(batch.serial + 1)] {
         let mut out = Effects::default();
         entry.on_task_failed(task, other, NOW);
--- a/tests/inbox.rs
+++ b/tests/inbox.rs
@@ -1,4 +1,4 @@
-//! Envelopes of peers that come twice, and those that are meant for a former life of their receiver.
+//! Deduplication of peers' envelopes across retransmissions, sessions and restarts of the receiver.
 
 use poplarknot::{
     dispatch::message::{
@@ -9,11 +9,11 @@
     prelude::*,
 };
 
-/// The present life of the receiver, and the one before it.
+/// The receiver's incarnation, and the one before it.
 const OWN: u64 = 20;
 const FORMER: u64 = 10;
 
-fn sender(to: u64, session: u32) -> Sender {
+fn sender(receiver_incarnation: u64, session: u32) -> Sender {
     Sender {
         contact: Contact {
             name: "instance-1".parse().unwrap(),
@@ -21,15 +21,14 @@
         },
         centre: "a".to_owned(),
         incarnation: 5,
-        receiver_incarnation: to,
+        receiver_incarnation,
         session,
         sent: Time(1),
     }
 }
 
-/// An instance is killed and back within half a second. A peer that hasn't heard so is still sending the 900th envelope of
-/// its session with the former life, and then begins again with the first. Taken for one that had come before, it and the next
-/// 898 were acknowledged and dropped: batches were lost without a word, and their callers waited until their time had passed.
+/// A peer that hasn't heard of the receiver's restart still sends high serial numbers to its former incarnation. The
+/// first envelopes to the new one must not be dropped as duplicates: their batches would be lost.
 #[test]
 fn envelopes_for_a_former_life_hide_none() {
     let mut inbox = Inbox::new(OWN);
@@ -37,12 +36,12 @@
     for serial in 1..5 {
         assert!(!inbox.repeated(&sender(OWN, 0), serial), "{serial}");
     }
-    // One that was on its way for long changes nothing.
+    // A delayed envelope changes nothing.
     assert!(!inbox.repeated(&sender(FORMER, 0), 901));
     assert!(inbox.repeated(&sender(OWN, 0), 4));
 }
 
-/// The same holds for what a peer sends before it has heard of any life of this instance.
+/// The same holds for envelopes that a peer sends before it knows any incarnation of the receiver.
 #[test]
 fn envelopes_for_no_life_hide_none() {
     let mut inbox = Inbox::new(OWN);
@@ -52,7 +51,7 @@
     assert!(inbox.repeated(&sender(0, 0), 7));
 }
 
-/// What is sent again counts once, and a new session begins anew.
+/// Retransmitted envelopes are dropped, and a new session counts from the first again.
 #[test]
 fn what_is_sent_again_counts_once() {
     let mut inbox = Inbox::new(OWN);
