--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -182,11 +182,13 @@
     handed_over: Vec<(Claim, Time)>,
     /// When the balance of racks between members was last checked.
     rebalanced_at: Time,
+    /// When it started, or resumed after a long pause.
     started_at: Time,
     startup: Startup,
     stepped_at: Time,
     expired_at: Time,
     coordinated_at: Time,
+    /// When the last heartbeat was sent; zero makes the next one due at once.
     announced_at: Time,
     rooms_sent_at: Time,
     all_rooms_sent_at: Time,
@@ -434,6 +436,7 @@
         }
     }
 
+    /// Finds the queue of a submission and passes it to the entry, or to the job's shard if it's to be stored.
     fn on_submission(&mut self, arrival: Arrival, now: Time, out: &mut Effects) {
         let Arrival {
             ticket,
@@ -532,6 +535,7 @@
         self.deal(now, out);
     }
 
+    /// Adds a member that the store or a peer has named, and sends it a heartbeat if it's new.
     fn on_member_found(&mut self, contact: &Contact, now: Time, out: &mut Effects) {
         if contact.name == self.identity.contact.name {
             return;
@@ -543,6 +547,7 @@
         }
     }
 
+    /// Updates the members, and the entry's view of their racks, from heartbeats.
     fn on_heartbeats(
         &mut self,
         heartbeats: Vec<(Sender, Heartbeat)>,
@@ -781,6 +786,7 @@
         }
     }
 
+    /// Runs the periodic work: ownership of racks, shards, requests, documents, audits, heartbeats and the drain.
     fn on_tick(&mut self, now: Time, out: &mut Effects) {
         self.handed_over
             .retain(|(_, at)| now.since(*at) < HANDED_OVER_CLAIM_PERIOD);
--- a/src/dispatch/entry.rs
+++ b/src/dispatch/entry.rs
@@ -54,8 +54,8 @@
 /// Age after which an unfinished batch is audited at its owner: a message may have been lost with a session.
 const BATCH_AUDIT_AGE: Span = Span::millis(700);
 
-/// Least and greatest retry delay for callers that are refused for lack of capacity. Within these bounds it
-/// follows the estimated wait.
+/// Bounds of the retry delay for callers that are refused for lack of capacity. Between them it follows the estimated
+/// wait; a stagger comes on top, see [`Entry::refuse`].
 const RETRY_DELAY_RANGE: (Span, Span) = (Span::seconds(1), Span::seconds(4));
 
 /// The answer to a job that was given up after it may have started. The retry delay covers the stop of its runs,
