--- a/src/dispatch/durable.rs
+++ b/src/dispatch/durable.rs
@@ -1,8 +1,8 @@
-//! Jobs that are stored: their shards, and what an instance that coordinates some of them keeps and writes.
+//! Stored jobs: the shards that this instance coordinates, and what it reads and writes for them.
 //!
-//! A shard's coordinator is the only one that writes its rows: each write is guarded by the version of the shard's lock
-//! row, which the next coordinator changes first. What was accepted, and how each run ended, is answered to callers
-//! and endpoints only when it is written, so that nothing but the store has to survive.
+//! Only a shard's coordinator writes its rows. Each write is conditional on the version of the shard's lock row, which
+//! actions as a fencing token: the next coordinator changes it first. Accepted jobs and ends of runs are confirmed to
+//! callers and endpoints only after they're written, so that nothing but the store has to survive a crash.
 
 pub mod record;
 mod shard;
@@ -18,7 +18,7 @@
         State, //
     },
     shard::{
-        answer,
+        send_verdict,
         Phase,
         Shard, //
     },
@@ -46,58 +46,58 @@
 };
 use crate::prelude::*;
 
-/// How long a coordinator that has lost a member may go on without having found its lock unchanged: the member may live,
-/// and have taken the shard over.
-const CONFIDENCE: Span = Span::millis(1_000);
+/// How long a lock check stays valid during [`LOCK_CHECK_PERIOD`]. After that the shard is released, since the lost member
+/// may be alive and have taken it over.
+const LOCK_VALIDITY: Span = Span::millis(1_000);
 
-/// How long after the loss of a member it may still take over: it is forgotten after that.
-const SUSPICION: Span = Span::seconds(30);
+/// How long locks are checked after the loss of a member. After that the member is forgotten and takes nothing over.
+const LOCK_CHECK_PERIOD: Span = Span::seconds(30);
 
-/// How long an instance leaves a shard alone that another one took over which it doesn't hear: the two sides of a cut
-/// between instances must not take it from each other by turns, since nothing runs for the shard's `DOUBT` after each time.
-const TAKEN: Span = Span::seconds(8);
+/// How long an instance doesn't claim a shard again after another one took it over. Without the delay, the two sides of a
+/// network partition would take it from each other by turns, and each takeover pauses its jobs for `TAKEOVER_DELAY`.
+const RECLAIM_DELAY: Span = Span::seconds(8);
 
-/// What the dispatcher must do with a job's tasks.
+/// An action that the dispatcher takes on a job or one of its tasks.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Run what is not done, from a time on.
+    /// Run the tasks that aren't done, from the given time on.
     Run(JobId, Time),
     /// A task is done.
     TaskDone(TaskId),
-    /// A run of a task failed, and it may run again. The batch is the run's, if this instance has it out.
+    /// A run of a task failed, and the task may be retried. Carries the batch of the run, if it's outstanding here.
     TaskFailed(TaskId, Option<u64>),
-    /// Stop all of a job that runs, and forget it.
+    /// Stop all runs of a job and drop it.
     Release(JobId),
 }
 
-/// All shards that this instance coordinates.
+/// The shards of stored jobs that this instance coordinates.
 #[derive(Debug)]
 pub struct Coordinator {
-    /// Names one life of the instance in lock rows.
-    own: String,
+    /// The value that this process writes to lock rows. It identifies the instance and its incarnation.
+    lock_owner: String,
     shards: BTreeMap<ShardId, Shard>,
     calls: HashMap<StoreCall, ShardId>,
     serial: u64,
-    /// When a member was lost last.
-    lost: Option<Time>,
-    /// Shards that another instance took over, with the time of that.
-    taken: BTreeMap<ShardId, Time>,
+    /// When a member was lost last, or a shard was found to have two coordinators.
+    member_lost_at: Option<Time>,
+    /// Shards that another instance took over, and when.
+    taken_over: BTreeMap<ShardId, Time>,
 }
 
 impl Coordinator {
-    /// Makes one that coordinates nothing; `own` tells one life of an instance from all others.
-    pub fn new(own: impl Into<String>) -> Self {
+    /// Returns a coordinator without shards. `lock_owner` must be unique for each incarnation of each instance.
+    pub fn new(lock_owner: impl Into<String>) -> Self {
         Self {
-            own: own.into(),
+            lock_owner: lock_owner.into(),
             shards: BTreeMap::new(),
             calls: HashMap::new(),
             serial: 0,
-            lost: None,
-            taken: BTreeMap::new(),
+            member_lost_at: None,
+            taken_over: BTreeMap::new(),
         }
     }
 
-    /// Returns the shards that it coordinates, for the others to know.
+    /// Returns the shards that it coordinates, as announced in heartbeats.
     pub fn coordinations(&self) -> Vec<Coordination> {
         let coordination = |(shard, state): (&ShardId, &Shard)| Coordination {
             shard: *shard,
@@ -106,70 +106,76 @@
         self.shards.iter().map(coordination).collect()
     }
 
-    /// Returns what it knows of a shard, if it coordinates it.
+    /// Returns what it knows of a shard, or `None` if it doesn't coordinate it.
     pub fn knowledge(&self, shard: ShardId) -> Option<Knowledge> {
         self.shards.get(&shard).map(Shard::knowledge)
     }
 
-    /// Begins to coordinate a shard that nobody is heard to coordinate.
+    /// Starts to coordinate a shard that no live member announces, unless another instance took it over recently.
     pub fn claim(&mut self, shard: ShardId, now: Time) {
         if self
-            .taken
+            .taken_over
             .get(&shard)
-            .is_some_and(|at| now.since(*at) < TAKEN)
+            .is_some_and(|at| now.since(*at) < RECLAIM_DELAY)
         {
             return;
         }
         self.shards.entry(shard).or_insert_with(|| Shard::new(now));
     }
 
-    /// Gives a shard up; its jobs are stopped here, and run on at its next coordinator.
-    pub fn release(&mut self, shard: ShardId, why: &str, out: &mut Effects) -> Vec<Action> {
+    /// Releases a shard. Its jobs are stopped here and continue at its next coordinator.
+    pub fn release(&mut self, shard: ShardId, reason: &str, out: &mut Effects) -> Vec<Action> {
         let Some(state) = self.shards.remove(&shard) else {
             return Vec::new();
         };
-        if state.phase != Phase::Empty && state.phase != Phase::Reading {
+        if state.phase != Phase::Empty && state.phase != Phase::FindingLock {
             let entry = Record::new("shard_released").with("shard", shard.to_string());
-            out.outputs.push(Output::Log(entry.with("reason", why)));
+            out.outputs.push(Output::Log(entry.with("reason", reason)));
         }
         self.calls.retain(|_, of| *of != shard);
         state.jobs.keys().copied().map(Action::Release).collect()
     }
 
-    /// Gives all shards up, after the process stood still.
+    /// Releases all shards. Called after the process was suspended for so long that others may have taken them over.
     pub fn release_all(&mut self, out: &mut Effects) -> Vec<Action> {
         let shards: Vec<ShardId> = self.shards.keys().copied().collect();
         let release = |shard| self.release(shard, "the process stood still", out);
         shards.into_iter().flat_map(release).collect()
     }
 
-    /// Takes note that a member was lost, or coordinates the same shard: it may live, and take shards over.
+    /// Requires locks to be confirmed for [`LOCK_CHECK_PERIOD`].
+    ///
+    /// Called when a member was lost or coordinates the same shard: it may be alive and take shards over.
     pub fn require_lock_checks(&mut self, now: Time) {
-        let already = self.suspicious(now);
-        self.lost = Some(now);
+        let active = self.requires_lock_checks(now);
+        self.member_lost_at = Some(now);
         for shard in self.shards.values_mut() {
-            if !already {
-                // Before, nothing had to be confirmed.
-                shard.confirmed = now;
+            if !active {
+                // Locks weren't checked until now, so the last confirmation may be old.
+                shard.lock_confirmed = now;
             }
         }
     }
 
-    /// Looks again at shards that it found empty: a member that is heard again may have stored the first job meanwhile, and
-    /// have given the shard up. It would be run by nobody.
+    /// Checks shards again that were found empty.
+    ///
+    /// Called when a member is heard again. It may have stored the shard's first job meanwhile and released the shard, and
+    /// without the check nobody would run that job.
     pub fn recheck_empty(&mut self) {
         for shard in self.shards.values_mut() {
             if shard.phase == Phase::Empty {
-                shard.phase = Phase::Reading;
+                shard.phase = Phase::FindingLock;
             }
         }
     }
 
-    fn suspicious(&self, now: Time) -> bool {
-        self.lost.is_some_and(|at| now.since(at) < SUSPICION)
+    /// Returns whether locks must be confirmed, since a member was lost recently.
+    fn requires_lock_checks(&self, now: Time) -> bool {
+        self.member_lost_at
+            .is_some_and(|at| now.since(at) < LOCK_CHECK_PERIOD)
     }
 
-    /// Answers a caller's request, or takes it up.
+    /// Answers a request about a stored job, or starts to carry it out and answers later.
     pub fn on_request(
         &mut self,
         from: &Contact,
@@ -180,38 +186,39 @@
         out: &mut Effects,
     ) -> Option<Action> {
         let Some(shard) = self.shards.get_mut(&job.shard()) else {
-            answer(from, serial, Verdict::Unready, out);
+            send_verdict(from, serial, Verdict::Unready, out);
             return None;
         };
         match question {
             Question::Accept(record) => shard.accept(from, serial, job, record, now, out),
             Question::Cancel => return shard.cancel(from, serial, job, out),
-            Question::State => shard.state(from, serial, job, out),
+            Question::State => shard.send_state(from, serial, job, out),
         }
         None
     }
 
-    /// Returns the stored state of a job, unless it has changed and that isn't stored yet.
+    /// Returns the stored state of a job, or `None` if a change of it isn't stored yet.
     pub fn stored_state(&self, job: JobId) -> Option<State> {
         let job = self.shards.get(&job.shard())?.jobs.get(&job)?;
-        job.shown.filter(|state| *state == job.progress.state)
+        job.stored_state
+            .filter(|state| *state == job.progress.state)
     }
 
-    /// Tells whether it knows a job, stored or about to be.
+    /// Returns whether a job is stored in one of its shards, or is about to be.
     pub fn contains(&self, job: JobId) -> bool {
         let shard = self.shards.get(&job.shard());
         shard.is_some_and(|shard| shard.jobs.contains_key(&job))
     }
 
-    /// Returns what was asked for, and how far it has come, of a job that has not ended.
+    /// Returns the request and the progress of a job that hasn't ended.
     pub fn open_job(&self, job: JobId) -> Option<(&Accepted, &Progress)> {
         let job = self.shards.get(&job.shard())?.jobs.get(&job)?;
         Some((job.record.as_deref()?, &job.progress))
     }
 
-    /// Takes note of the end of a run, and tells what follows; its endpoint forgets it when that is stored.
+    /// Records the end of a run and returns the action that follows. The endpoint is answered after the end is stored.
     ///
-    /// `batch` is the run's, if this instance has it out.
+    /// `batch` is the batch of the run, if it's outstanding at this instance.
     pub fn on_run_end(
         &mut self,
         from: &Contact,
@@ -220,43 +227,43 @@
         out: &mut Effects,
     ) -> Option<Action> {
         let shard = self.shards.get_mut(&end.task.job.shard())?;
-        shard.ended(from, end, batch, out)
+        shard.on_run_end(from, end, batch, out)
     }
 
-    /// Takes note that endpoints crash under a task of a job, so that it has failed.
+    /// Marks a job as failed because one of its tasks crashes endpoints.
     pub fn fail_job(&mut self, job: JobId) -> Option<Action> {
         self.shards.get_mut(&job.shard())?.fail(job)
     }
 
-    /// Does what is due: calls the store, forgets jobs that ended long ago, gives shards up that may be another's.
+    /// Calls the store, drops jobs that ended long ago, and releases shards whose locks can't be confirmed.
     pub fn run_due(&mut self, now: Time, out: &mut Effects) -> Vec<Action> {
-        let suspicious = self.suspicious(now);
-        let mut acts = Vec::new();
-        let doubtful = |(shard, state): (&ShardId, &Shard)| {
-            (state.loaded && now.since(state.confirmed) > CONFIDENCE).then_some(*shard)
+        let check_locks = self.requires_lock_checks(now);
+        let mut actions = Vec::new();
+        let unconfirmed = |(shard, state): (&ShardId, &Shard)| {
+            (state.loaded && now.since(state.lock_confirmed) > LOCK_VALIDITY).then_some(*shard)
         };
-        if suspicious {
-            let doubtful: Vec<ShardId> = self.shards.iter().filter_map(doubtful).collect();
-            for shard in doubtful {
-                acts.extend(self.release(shard, "its lock can't be confirmed", out));
+        if check_locks {
+            let unconfirmed: Vec<ShardId> = self.shards.iter().filter_map(unconfirmed).collect();
+            for shard in unconfirmed {
+                actions.extend(self.release(shard, "its lock can't be confirmed", out));
             }
         }
         for (id, shard) in &mut self.shards {
-            shard.expire(now);
-            shard.refuse(now, out);
-            let Some(request) = shard.due(*id, &self.own, suspicious, now) else {
+            shard.expire_jobs(now);
+            shard.refuse_expired(now, out);
+            let Some(request) = shard.next_request(*id, &self.lock_owner, check_locks, now) else {
                 continue;
             };
             self.serial += 1;
             let call = StoreCall(self.serial);
-            shard.sent = Some(now);
+            shard.call_sent = Some(now);
             self.calls.insert(call, *id);
             out.outputs.push(Output::Store { call, request });
         }
-        acts
+        actions
     }
 
-    /// Takes an answer of the store.
+    /// Handles a reply of the store.
     pub fn on_store_reply(
         &mut self,
         call: StoreCall,
@@ -270,22 +277,22 @@
         let Some(shard) = self.shards.get_mut(&id) else {
             return Vec::new();
         };
-        let Some(sent) = shard.sent.take() else {
+        let Some(sent) = shard.call_sent.take() else {
             return Vec::new();
         };
-        let mut acts = Vec::new();
-        let kept = match shard.phase {
-            Phase::Reading | Phase::Checking | Phase::Empty => {
-                shard.found(reply, &self.own, now, out)
+        let mut actions = Vec::new();
+        let keeps = match shard.phase {
+            Phase::FindingLock | Phase::CheckingLock | Phase::Empty => {
+                shard.on_lock_row(reply, &self.lock_owner, now, out)
             }
-            Phase::Locking => shard.locked(reply, sent, now, out),
-            Phase::Loading => shard.loaded(id, reply, now, &mut acts, out),
-            Phase::Held => shard.written(reply, sent, now, &mut acts, out),
+            Phase::Locking => shard.on_lock_write(reply, sent, now, out),
+            Phase::Loading => shard.on_rows(id, reply, now, &mut actions, out),
+            Phase::Held => shard.on_held_reply(reply, sent, now, &mut actions, out),
         };
-        if !kept {
-            self.taken.insert(id, now);
-            acts.extend(self.release(id, "another coordinates it", out));
+        if !keeps {
+            self.taken_over.insert(id, now);
+            actions.extend(self.release(id, "another coordinates it", out));
         }
-        acts
+        actions
     }
 }
--- a/src/dispatch/durable/record.rs
+++ b/src/dispatch/durable/record.rs
@@ -1,4 +1,4 @@
-//! What the store keeps of a job: what was asked for, and how far it has come.
+//! The rows that the store keeps of a job: its record, which is the accepted request, and its progress.
 
 use std::collections::{
     BTreeMap,
@@ -23,21 +23,21 @@
 };
 use crate::prelude::*;
 
-/// The key of the row whose version fences a shard's writers, beside keys that begin with a job's digits.
-pub(super) const LOCK: &str = "lock";
+/// The key of a shard's lock row, whose version is the fencing token for writes. All other keys start with the digits of a job.
+pub(super) const LOCK_KEY: &str = "lock";
 
-/// StepProgress the key of a job's progress.
-const PROGRESS: &str = ".progress";
+/// The suffix of the key of a job's progress.
+const PROGRESS_SUFFIX: &str = ".progress";
 
-/// Where a job stands.
+/// The state of a job.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// Not all of its tasks have ended.
+    /// Some of its tasks haven't ended.
     #[default]
     Open,
-    /// Every task ended as done.
+    /// All of its tasks are done.
     Completed,
-    /// A task failed as often as it may.
+    /// A task used up its attempts or crashed endpoints.
     Failed,
     /// Its caller cancelled it.
     Cancelled,
@@ -46,7 +46,7 @@
 impl From<State> for JobState {
     fn from(state: State) -> Self {
         match state {
-            // Only who runs it knows whether some of it has started.
+            // Only the instance that runs the job knows whether a task of it has started.
             State::Open => Self::Running,
             State::Completed => Self::Completed,
             State::Failed => Self::Failed,
@@ -55,39 +55,39 @@
     }
 }
 
-/// How far a job has come.
+/// The progress of a job.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
-    /// Where it stands.
+    /// Its state.
     pub state: State,
-    /// Its steps.
+    /// The progress of each step.
     pub steps: Vec<StepProgress>,
 }
 
-/// The ends of a step's tasks.
+/// The tasks of a step that have ended.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct StepProgress {
     /// Tasks that are done.
     pub done: BTreeSet<u32>,
-    /// The ends of runs that failed, by task. Each is named: an end whose endpoint hasn't forgotten it is heard again by the
-    /// next coordinator, and counted twice its job would have failed too soon.
+    /// The failed runs of each task. Their IDs are kept because endpoints report an end again to the next coordinator:
+    /// counted twice, it would use up an attempt.
     pub failures: BTreeMap<u32, BTreeSet<RunEndId>>,
 }
 
-/// Names the end of a run.
+/// Identifies the end of a run.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RunEndId {
-    /// The endpoint.
+    /// The endpoint that ran it.
     pub endpoint: Endpoint,
-    /// The life of it that listed the end.
+    /// The life of the endpoint in which it reported the end.
     #[serde(default)]
     pub life: Life,
-    /// Counts the ends of that life.
+    /// The serial number of the end within that life.
     pub serial: u64,
 }
 
 impl Progress {
-    /// Begins with a job of which nothing has run.
+    /// Returns the progress of a job of which nothing has run.
     pub fn new(job: &Accepted) -> Self {
         Self {
             state: State::Open,
@@ -95,29 +95,29 @@
         }
     }
 
-    /// Takes note of the end of a run; returns whether it changed anything.
+    /// Records the end of a run and updates the state. Returns whether anything changed.
     pub fn record_end(&mut self, job: &Accepted, end: &RunEnd) -> bool {
         if self.state != State::Open {
             return false;
         }
         let task = end.task;
-        let wanted = job.submission.steps.get(task.step as usize);
-        let (Some(wanted), Some(ends)) = (wanted, self.steps.get_mut(task.step as usize)) else {
+        let step = job.submission.steps.get(task.step as usize);
+        let (Some(step), Some(ends)) = (step, self.steps.get_mut(task.step as usize)) else {
             return false;
         };
-        if task.index >= wanted.count || ends.done.contains(&task.index) {
+        if task.index >= step.count || ends.done.contains(&task.index) {
             return false;
         }
         if end.done {
             ends.done.insert(task.index);
         } else {
             let failures = ends.failures.entry(task.index).or_default();
-            let source = RunEndId {
+            let id = RunEndId {
                 endpoint: end.endpoint.clone(),
                 life: end.life,
                 serial: end.serial,
             };
-            if !failures.insert(source) {
+            if !failures.insert(id) {
                 return false;
             }
             if failures.len() >= job.attempts as usize {
@@ -125,8 +125,8 @@
             }
         }
         let steps = job.submission.steps.iter().zip(&self.steps);
-        let mut steps = steps.map(|(wanted, ends)| ends.done.len() == wanted.count as usize);
-        if self.state == State::Open && steps.all(|whole| whole) {
+        let mut steps = steps.map(|(step, ends)| ends.done.len() == step.count as usize);
+        if self.state == State::Open && steps.all(|complete| complete) {
             self.state = State::Completed;
         }
         true
@@ -140,7 +140,7 @@
 
 /// Returns the key of a job's progress.
 pub(super) fn progress_key(job: JobId) -> String {
-    format!("{job}{PROGRESS}")
+    format!("{job}{PROGRESS_SUFFIX}")
 }
 
 /// A row of a shard.
@@ -150,27 +150,31 @@
     Progress(JobId, Progress),
 }
 
-/// Reads a row of a shard by its key.
-pub(super) fn read(key: &str, value: &[u8]) -> Result<Row, String> {
-    if key == LOCK {
+/// Parses a row of a shard. The key tells the kind of row.
+///
+/// # Errors
+///
+/// Returns the reason if the key or the value is malformed.
+pub(super) fn parse_row(key: &str, value: &[u8]) -> Result<Row, String> {
+    if key == LOCK_KEY {
         return Ok(Row::Lock);
     }
-    let wrong = |error: serde_json::Error| error.to_string();
-    let named = |digits: &str| digits.parse::<JobId>().map_err(|error| error.to_string());
-    match key.strip_suffix(PROGRESS) {
+    let malformed = |error: serde_json::Error| error.to_string();
+    let parse_id = |digits: &str| digits.parse::<JobId>().map_err(|error| error.to_string());
+    match key.strip_suffix(PROGRESS_SUFFIX) {
         Some(job) => {
-            let progress = serde_json::from_slice(value).map_err(wrong)?;
-            Ok(Row::Progress(named(job)?, progress))
+            let progress = serde_json::from_slice(value).map_err(malformed)?;
+            Ok(Row::Progress(parse_id(job)?, progress))
         }
         None => {
-            let record = serde_json::from_slice(value).map_err(wrong)?;
-            Ok(Row::Record(named(key)?, record))
+            let record = serde_json::from_slice(value).map_err(malformed)?;
+            Ok(Row::Record(parse_id(key)?, record))
         }
     }
 }
 
-/// Writes the value of a row.
-pub(super) fn write(value: &impl Serialize) -> Vec<u8> {
-    // Plain data with text for keys always has a form in JSON.
+/// Encodes the value of a row.
+pub(super) fn encode(value: &impl Serialize) -> Vec<u8> {
+    // Serialization can't fail: the data is plain, and all map keys are written as text.
     serde_json::to_vec(value).unwrap_or_default()
 }
--- a/src/dispatch/durable/shard.rs
+++ b/src/dispatch/durable/shard.rs
@@ -1,4 +1,4 @@
-//! One shard of the stored jobs, at the instance that coordinates it.
+//! The state of one shard of stored jobs at its coordinator.
 
 use std::collections::{
     BTreeMap,
@@ -34,96 +34,98 @@
         Progress,
         Row,
         State,
-        LOCK, //
+        LOCK_KEY, //
     },
     Action, //
 };
 use crate::prelude::*;
 
-/// Between writes of one shard: with all shards busy, 530 calls a second of the 600 that the smallest platform allows.
-const WRITES: Span = Span::millis(30);
+/// The interval between writes of one shard. With all shards busy it keeps the calls below the store's rate limit.
+const WRITE_INTERVAL: Span = Span::millis(30);
 
-/// Writes of one shard that may follow each other at once after a pause: at a low load nobody waits for the next turn.
-const BURST: u64 = 4;
+/// Writes of one shard that may follow each other without [`WRITE_INTERVAL`] after a pause, so that nobody waits at low load.
+const WRITE_BURST: u64 = 4;
 
-/// How long a job that a caller hands in may wait for its shard to be held: a takeover takes a tenth of that, and a store
-/// that is away is told to the caller at once.
-const HELD: Span = Span::millis(300);
+/// How long a submitted job may wait until its shard is held. It covers a takeover and bounds how long a caller waits for an
+/// unavailable store.
+const ACCEPT_TIMEOUT: Span = Span::millis(300);
 
-/// Jobs in one write: two rows each, of the hundred entries that a call may hold.
-const ROWS: usize = 45;
+/// Jobs in one write. Each has up to two rows, and the store accepts a hundred entries in a call.
+const MAX_JOBS_PER_WRITE: usize = 45;
 
-/// Between calls to the store that failed.
-const AGAIN: Span = Span::millis(100);
+/// The delay before a failed call to the store is retried.
+const STORE_RETRY_DELAY: Span = Span::millis(100);
 
-/// How long what the former coordinator of a shard had running may go on: owners stop it 600 ms after they heard it
-/// last, or when it gives its jobs up after [`super::CONFIDENCE`]; the rest is for stops and endpoints' clocks.
-const DOUBT: Span = Span::millis(1_700);
+/// How long a new coordinator waits before it runs the open jobs of a shard. By then runs of the former coordinator have ended:
+/// owners stop them after the heartbeat timeout, or when it releases the shard after [`super::LOCK_VALIDITY`]. The rest is a
+/// margin for stop orders and for clocks of endpoints. Without the wait a task could run twice.
+const TAKEOVER_DELAY: Span = Span::millis(1_700);
 
-/// Between looks at the lock in that time.
-const CONFIRM: Span = Span::millis(300);
+/// The interval between checks of the lock while they're required and nothing is written.
+const LOCK_CHECK_INTERVAL: Span = Span::millis(300);
 
-/// How long the state of a job that has ended can be asked for: half as long again as the platform wants.
-const KEPT: Span = Span::seconds(180);
+/// How long the state of an ended job is kept for queries.
+const ENDED_JOB_RETENTION: Span = Span::seconds(180);
 
-/// Jobs in progress in one shard; with more of them its coordinator's memory would not last.
-const MOST: usize = 5_000;
+/// Open jobs in one shard. More are rejected, which bounds the coordinator's memory.
+const MAX_OPEN_JOBS: usize = 5_000;
 
-/// A shard that this instance coordinates.
+/// A shard of stored jobs that this instance coordinates.
 #[derive(Debug)]
 pub(super) struct Shard {
     pub(super) phase: Phase,
-    /// When the call to the store left that is out; there is one at a time.
-    pub(super) sent: Option<Time>,
-    /// When the next one may leave.
-    pub(super) next: Time,
-    /// The version of the lock row, zero where there is none.
-    pub(super) lock: u64,
-    /// When the lock was found unchanged last.
-    pub(super) confirmed: Time,
+    /// When the outstanding call to the store was sent. There is one at a time.
+    pub(super) call_sent: Option<Time>,
+    /// When the next call may be sent.
+    pub(super) next_call: Time,
+    /// The version of the lock row, or zero if there is none.
+    pub(super) lock_version: u64,
+    /// When the call was sent that last found the lock unchanged.
+    pub(super) lock_confirmed: Time,
     /// Whether all rows have been read.
     pub(super) loaded: bool,
-    /// The last key that was read.
-    pub(super) after: Option<String>,
+    /// The key of the last row that was read, after which the next page starts.
+    pub(super) last_key: Option<String>,
     pub(super) jobs: BTreeMap<JobId, Job>,
-    /// Jobs that have ended, with the time of that.
-    pub(super) ended: VecDeque<(Time, JobId)>,
-    /// What is to be written, and what is being written.
-    pub(super) changed: BTreeMap<JobId, Change>,
-    pub(super) flight: BTreeMap<JobId, Change>,
-    /// Answers that hold if nobody else has taken the shard over meanwhile.
-    pub(super) unsure: Vec<(Contact, Message)>,
-    /// Of these, those that the call which is out decides.
+    /// Jobs that have ended, and when.
+    pub(super) ended_jobs: VecDeque<(Time, JobId)>,
+    /// Changes that aren't written yet.
+    pub(super) changes: BTreeMap<JobId, Change>,
+    /// Changes that the outstanding call writes.
+    pub(super) in_flight: BTreeMap<JobId, Change>,
+    /// Replies that are sent once the lock is confirmed: they're wrong if another instance has taken the shard over.
+    pub(super) unconfirmed: Vec<(Contact, Message)>,
+    /// Replies that the outstanding call confirms.
     pub(super) confirming: Vec<(Contact, Message)>,
-    /// Jobs that callers handed in before it could take any.
+    /// Jobs that were submitted before the shard was held.
     pub(super) waiting: Vec<Waiting>,
 }
 
-/// A job that a caller handed in before its shard could take any.
+/// A job that was submitted before its shard was held.
 #[derive(Debug)]
 pub(super) struct Waiting {
     pub(super) from: Contact,
     pub(super) serial: u64,
     pub(super) job: JobId,
     pub(super) record: Box<Accepted>,
-    /// When it came.
+    /// When it was submitted.
     pub(super) at: Time,
 }
 
-/// What a shard's coordinator is at.
+/// What a shard's coordinator is doing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// It looks for the lock row.
-    Reading,
-    /// There is none, and no job.
+    /// Reads the lock row.
+    FindingLock,
+    /// The shard has neither a lock row nor jobs.
     Empty,
-    /// It writes the lock row, which fences any writer before it.
+    /// Writes the lock row, which fences off earlier writers.
     Locking,
-    /// A write of the lock row went wrong: it looks whose it is.
-    Checking,
-    /// It reads the jobs.
+    /// Reads the lock row after a write of it failed or got no answer, to see who owns it.
+    CheckingLock,
+    /// Reads the jobs.
     Loading,
-    /// It knows all and is the only writer.
+    /// All jobs are read, and this instance is the only writer.
     Held,
 }
 
@@ -132,28 +134,29 @@
 pub(super) struct Job {
     pub(super) record: Option<Box<Accepted>>,
     pub(super) progress: Progress,
-    /// The state that is stored, none before the job is.
-    pub(super) shown: Option<State>,
-    /// StepProgress that were heard, and whether each came late: told otherwise the second time, its endpoint would forget it
-    /// too soon.
-    pub(super) counted: HashMap<(Endpoint, Life, u64), bool>,
+    /// The state in the store, or `None` before the job is stored.
+    pub(super) stored_state: Option<State>,
+    /// The ends of runs that were reported, and whether the reply called each late. A repeated report gets the same reply:
+    /// otherwise its endpoint would forget the end too soon.
+    pub(super) reported_ends: HashMap<(Endpoint, Life, u64), bool>,
     pub(super) ended: bool,
 }
 
-/// What is to be written of a job, and who waits for that.
+/// A change of a job that is to be written, and the replies that wait for it.
 #[derive(Debug, Default)]
 pub(super) struct Change {
-    /// Its state as it is being written.
+    /// The state of the job that is written.
     pub(super) state: State,
-    pub(super) accepted: Vec<(Contact, u64)>,
-    pub(super) cancelled: Vec<(Contact, u64)>,
-    pub(super) asked: Vec<(Contact, u64)>,
-    pub(super) ends: Vec<(Contact, Message)>,
-    /// Whether its last row goes.
-    pub(super) forget: bool,
+    pub(super) accept_requests: Vec<(Contact, u64)>,
+    pub(super) cancel_requests: Vec<(Contact, u64)>,
+    pub(super) state_requests: Vec<(Contact, u64)>,
+    pub(super) end_replies: Vec<(Contact, Message)>,
+    /// Whether the job's last row is removed.
+    pub(super) delete: bool,
 }
 
-pub(super) fn answer(to: &Contact, serial: u64, verdict: Verdict, out: &mut Effects) {
+/// Sends a verdict as the answer to a request.
+pub(super) fn send_verdict(to: &Contact, serial: u64, verdict: Verdict, out: &mut Effects) {
     let message = Message::Verdict { serial, verdict };
     out.messages.push((to.clone(), message));
 }
@@ -161,23 +164,24 @@
 impl Shard {
     pub(super) fn new(now: Time) -> Self {
         Self {
-            phase: Phase::Reading,
-            sent: None,
-            next: now,
-            lock: 0,
-            confirmed: now,
+            phase: Phase::FindingLock,
+            call_sent: None,
+            next_call: now,
+            lock_version: 0,
+            lock_confirmed: now,
             loaded: false,
-            after: None,
+            last_key: None,
             jobs: BTreeMap::new(),
-            ended: VecDeque::new(),
-            changed: BTreeMap::new(),
-            flight: BTreeMap::new(),
-            unsure: Vec::new(),
+            ended_jobs: VecDeque::new(),
+            changes: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
+            unconfirmed: Vec::new(),
             confirming: Vec::new(),
             waiting: Vec::new(),
         }
     }
 
+    /// Returns what is known of the shard, as announced to other instances.
     pub(super) fn knowledge(&self) -> Knowledge {
         match self.phase {
             Phase::Empty => Knowledge::Empty,
@@ -188,6 +192,7 @@
         }
     }
 
+    /// Accepts a job: answers when it's stored, or queues it until the shard is held.
     pub(super) fn accept(
         &mut self,
         from: &Contact,
@@ -197,10 +202,10 @@
         now: Time,
         out: &mut Effects,
     ) {
-        // One that is being written is waited for: to say that it was not taken could be untrue.
+        // A job that is being written isn't queued here: a queued job may be refused, and this one may be stored already.
         if self.phase != Phase::Held && !self.jobs.contains_key(&job) {
             self.waiting
-                .retain(|w| (&w.from, w.serial) != (from, serial));
+                .retain(|waiting| (&waiting.from, waiting.serial) != (from, serial));
             self.waiting.push(Waiting {
                 from: from.clone(),
                 serial,
@@ -211,32 +216,35 @@
             return;
         }
         match self.jobs.get(&job) {
-            Some(known) if known.shown.is_some() => answer(from, serial, Verdict::Accepted, out),
+            Some(known) if known.stored_state.is_some() => {
+                send_verdict(from, serial, Verdict::Accepted, out)
+            }
             Some(_) => {
-                let change = self.changed.get_mut(&job).or(self.flight.get_mut(&job));
+                let change = self.changes.get_mut(&job).or(self.in_flight.get_mut(&job));
                 if let Some(change) = change {
-                    change.accepted.push((from.clone(), serial));
+                    change.accept_requests.push((from.clone(), serial));
                 }
             }
-            None if self.jobs.len() - self.ended.len() >= MOST => {
-                let again = Span::seconds(2);
-                answer(from, serial, Verdict::Rejected { again }, out);
+            None if self.jobs.len() - self.ended_jobs.len() >= MAX_OPEN_JOBS => {
+                let retry_after = Span::seconds(2);
+                send_verdict(from, serial, Verdict::Rejected { again: retry_after }, out);
             }
             None => {
-                let fresh = Job {
+                let new = Job {
                     progress: Progress::new(&record),
                     record: Some(record),
-                    shown: None,
-                    counted: HashMap::new(),
+                    stored_state: None,
+                    reported_ends: HashMap::new(),
                     ended: false,
                 };
-                self.jobs.insert(job, fresh);
-                let change = self.changed.entry(job).or_default();
-                change.accepted.push((from.clone(), serial));
+                self.jobs.insert(job, new);
+                let change = self.changes.entry(job).or_default();
+                change.accept_requests.push((from.clone(), serial));
             }
         }
     }
 
+    /// Cancels a job. Answers when the cancellation is stored, and returns the action that follows.
     pub(super) fn cancel(
         &mut self,
         from: &Contact,
@@ -245,131 +253,131 @@
         out: &mut Effects,
     ) -> Option<Action> {
         let Some(job) = self.jobs.get_mut(&id) else {
-            self.unknown(from, serial, out);
+            self.send_unknown(from, serial, out);
             return None;
         };
-        if let Some(state) = job.shown.filter(|state| *state != State::Open) {
-            answer(from, serial, Verdict::Standing(state.into()), out);
+        if let Some(state) = job.stored_state.filter(|state| *state != State::Open) {
+            send_verdict(from, serial, Verdict::Standing(state.into()), out);
             return None;
         }
         let open = job.progress.state == State::Open;
         if open {
             job.progress.state = State::Cancelled;
         }
-        let change = self.changed.entry(id).or_default();
-        change.cancelled.push((from.clone(), serial));
+        let change = self.changes.entry(id).or_default();
+        change.cancel_requests.push((from.clone(), serial));
         open.then_some(Action::Release(id))
     }
 
-    /// Takes note that a job has failed otherwise than by the ends of its runs.
+    /// Marks a job as failed for another reason than failed runs.
     pub(super) fn fail(&mut self, id: JobId) -> Option<Action> {
         let job = self.jobs.get_mut(&id)?;
         if job.progress.state != State::Open {
             return None;
         }
         job.progress.state = State::Failed;
-        self.changed.entry(id).or_default();
+        self.changes.entry(id).or_default();
         Some(Action::Release(id))
     }
 
-    /// Answers how a job stands that the dispatcher doesn't find among those whose end is stored.
-    pub(super) fn state(&mut self, from: &Contact, serial: u64, id: JobId, out: &mut Effects) {
+    /// Answers a query for the state of a job whose current state isn't stored yet.
+    pub(super) fn send_state(&mut self, from: &Contact, serial: u64, id: JobId, out: &mut Effects) {
         match self.jobs.get(&id) {
-            // Its end is being stored: whoever asks hears of it in a moment, and needn't ask again.
+            // Its end is being stored. The answer follows when that's done.
             Some(job) if job.progress.state != State::Open => {
-                let change = self.changed.get_mut(&id).or(self.flight.get_mut(&id));
+                let change = self.changes.get_mut(&id).or(self.in_flight.get_mut(&id));
                 if let Some(change) = change {
-                    change.asked.push((from.clone(), serial));
+                    change.state_requests.push((from.clone(), serial));
                 }
             }
-            Some(_) => answer(from, serial, Verdict::Unready, out),
-            None => self.unknown(from, serial, out),
+            Some(_) => send_verdict(from, serial, Verdict::Unready, out),
+            None => self.send_unknown(from, serial, out),
         }
     }
 
-    /// Answers a question about a job that isn't known here.
-    pub(super) fn unknown(&mut self, from: &Contact, serial: u64, out: &mut Effects) {
+    /// Answers a request about a job that isn't in this shard.
+    pub(super) fn send_unknown(&mut self, from: &Contact, serial: u64, out: &mut Effects) {
         let verdict = Verdict::Unknown;
         match self.phase {
-            Phase::Held | Phase::Empty | Phase::Reading => {
-                self.ask((from.clone(), Message::Verdict { serial, verdict }));
+            Phase::Held | Phase::Empty | Phase::FindingLock => {
+                self.defer_until_lock_checked((from.clone(), Message::Verdict { serial, verdict }));
             }
-            _ => answer(from, serial, Verdict::Unready, out),
+            _ => send_verdict(from, serial, Verdict::Unready, out),
         }
     }
 
-    /// Keeps an answer that says that a job isn't stored, until the lock row was looked at: an instance that isn't heard may
-    /// have taken the shard over, and the job in.
-    pub(super) fn ask(&mut self, answer: (Contact, Message)) {
+    /// Holds a reply that says that a job isn't stored until the lock is confirmed. An instance that isn't heard may have taken
+    /// the shard over and stored the job.
+    pub(super) fn defer_until_lock_checked(&mut self, reply: (Contact, Message)) {
         if self.phase == Phase::Empty {
-            self.phase = Phase::Reading;
+            self.phase = Phase::FindingLock;
         }
-        // An end that isn't noted is reported again and again.
-        if !self.unsure.contains(&answer) {
-            self.unsure.push(answer);
+        // An unconfirmed end is reported repeatedly.
+        if !self.unconfirmed.contains(&reply) {
+            self.unconfirmed.push(reply);
         }
     }
 
-    /// Tells callers whose jobs have waited too long for the shard that nothing was done.
-    pub(super) fn refuse(&mut self, now: Time, out: &mut Effects) {
-        let (late, waiting) = std::mem::take(&mut self.waiting)
+    /// Refuses submitted jobs that have waited for the shard longer than [`ACCEPT_TIMEOUT`].
+    pub(super) fn refuse_expired(&mut self, now: Time, out: &mut Effects) {
+        let (expired, waiting) = std::mem::take(&mut self.waiting)
             .into_iter()
-            .partition(|w| now.since(w.at) >= HELD);
+            .partition(|waiting| now.since(waiting.at) >= ACCEPT_TIMEOUT);
         self.waiting = waiting;
-        let late: Vec<Waiting> = late;
-        for w in late {
-            answer(&w.from, w.serial, Verdict::Unready, out);
+        let expired: Vec<Waiting> = expired;
+        for waiting in expired {
+            send_verdict(&waiting.from, waiting.serial, Verdict::Unready, out);
         }
     }
 
-    /// Takes note of the end of a run, and tells what follows.
-    pub(super) fn ended(
+    /// Records the end of a run and returns the action that follows.
+    pub(super) fn on_run_end(
         &mut self,
         from: &Contact,
         end: &RunEnd,
         batch: Option<u64>,
         out: &mut Effects,
     ) -> Option<Action> {
-        let noted = |late| Message::Noted {
+        let noted_reply = |late| Message::Noted {
             endpoint: end.endpoint.clone(),
             life: end.life,
             serial: end.serial,
             late,
         };
         match self.phase {
-            Phase::Empty | Phase::Reading => {
-                self.ask((from.clone(), noted(false)));
+            Phase::Empty | Phase::FindingLock => {
+                self.defer_until_lock_checked((from.clone(), noted_reply(false)));
                 return None;
             }
-            // Also while the store is away: a task whose end isn't counted would be run again.
+            // Also while the store is unavailable: a task whose end isn't recorded would run again.
             _ if self.loaded => {}
             _ => return None,
         }
         let Some(job) = self.jobs.get_mut(&end.task.job) else {
-            self.ask((from.clone(), noted(false)));
+            self.defer_until_lock_checked((from.clone(), noted_reply(false)));
             return None;
         };
-        // One that has ended, but isn't stored as such, still needs the ends that it counted.
-        if let Some(state) = job.shown.filter(|state| *state != State::Open) {
-            // Of a completed job this end wasn't counted, so another run of the task was.
+        // If the job has ended but that isn't stored yet, the end is still needed.
+        if let Some(state) = job.stored_state.filter(|state| *state != State::Open) {
+            // The job completed without this end, so another run of the task was recorded.
             let late = state == State::Completed;
-            out.messages.push((from.clone(), noted(late)));
+            out.messages.push((from.clone(), noted_reply(late)));
             return None;
         }
         let key = (end.endpoint.clone(), end.life, end.serial);
-        let known = job.counted.get(&key).copied();
+        let known = job.reported_ends.get(&key).copied();
         let first = known.is_none();
         let record = job.record.as_ref();
         let counts = first && record.is_some_and(|r| job.progress.record_end(r, end));
-        // Of a task that is done already: another run of it was started, unless its job ends for another reason.
-        let other = matches!(job.progress.state, State::Open | State::Completed);
-        let again = first && !counts && end.done && other;
-        // Of a run that isn't out, its task may have been given out again, and not by this instance alone: what former
-        // coordinators gave out stands nowhere. Its endpoint keeps it until its lease has passed, after which it means nothing.
-        let late = known.unwrap_or(batch.is_none() || again);
-        job.counted.insert(key, late);
-        let change = self.changed.entry(end.task.job).or_default();
-        change.ends.push((from.clone(), noted(late)));
+        // The task was done already, so another run of it was started, unless the job failed or was cancelled.
+        let run_elsewhere = matches!(job.progress.state, State::Open | State::Completed);
+        let duplicate = first && !counts && end.done && run_elsewhere;
+        // If the batch isn't outstanding here, the task may have been started again, also by a former coordinator, whose
+        // batches aren't stored. The endpoint then keeps the end until its lease has expired: after that no other run can go on.
+        let late = known.unwrap_or(batch.is_none() || duplicate);
+        job.reported_ends.insert(key, late);
+        let change = self.changes.entry(end.task.job).or_default();
+        change.end_replies.push((from.clone(), noted_reply(late)));
         match (counts, job.progress.state, end.done) {
             (false, ..) => None,
             (_, State::Failed | State::Cancelled, _) => Some(Action::Release(end.task.job)),
@@ -378,132 +386,135 @@
         }
     }
 
-    /// Lets the last rows of jobs go that ended long ago.
-    pub(super) fn expire(&mut self, now: Time) {
+    /// Schedules the removal of jobs that ended more than [`ENDED_JOB_RETENTION`] ago.
+    pub(super) fn expire_jobs(&mut self, now: Time) {
         if self.phase != Phase::Held {
             return;
         }
-        while let Some((at, id)) = self.ended.front().copied() {
-            if now.since(at) <= KEPT {
+        while let Some((at, id)) = self.ended_jobs.front().copied() {
+            if now.since(at) <= ENDED_JOB_RETENTION {
                 return;
             }
-            self.ended.pop_front();
-            self.changed.entry(id).or_default().forget = true;
+            self.ended_jobs.pop_front();
+            self.changes.entry(id).or_default().delete = true;
         }
     }
 
-    /// Returns the call to the store that is due.
-    pub(super) fn due(
+    /// Returns the next request to the store, if one is due and none is outstanding.
+    pub(super) fn next_request(
         &mut self,
         shard: ShardId,
-        own: &str,
-        suspicious: bool,
+        lock_owner: &str,
+        check_lock: bool,
         now: Time,
     ) -> Option<StoreRequest> {
-        if self.sent.is_some() || now < self.next {
+        if self.call_sent.is_some() || now < self.next_call {
             return None;
         }
         let find = StoreRequest::Find {
             shard,
-            key: LOCK.to_owned(),
+            key: LOCK_KEY.to_owned(),
         };
-        let after = self.after.clone();
+        let after = self.last_key.clone();
         if self.phase == Phase::Held {
-            self.confirming.append(&mut self.unsure);
+            self.confirming.append(&mut self.unconfirmed);
         }
         match self.phase {
-            Phase::Reading | Phase::Checking => Some(find),
+            Phase::FindingLock | Phase::CheckingLock => Some(find),
             Phase::Empty if self.waiting.is_empty() => None,
             Phase::Empty | Phase::Locking => {
                 self.phase = Phase::Locking;
                 Some(StoreRequest::Write {
                     shard,
-                    guard: (LOCK.to_owned(), self.lock),
-                    set: vec![(LOCK.to_owned(), own.as_bytes().to_vec())],
+                    guard: (LOCK_KEY.to_owned(), self.lock_version),
+                    set: vec![(LOCK_KEY.to_owned(), lock_owner.as_bytes().to_vec())],
                     remove: Vec::new(),
                 })
             }
             Phase::Loading => Some(StoreRequest::Read { shard, after }),
-            Phase::Held if !self.changed.is_empty() => Some(self.write(shard)),
+            Phase::Held if !self.changes.is_empty() => Some(self.build_write(shard)),
             Phase::Held if !self.confirming.is_empty() => Some(find),
-            Phase::Held if suspicious && now.since(self.confirmed) >= CONFIRM => Some(find),
+            Phase::Held if check_lock && now.since(self.lock_confirmed) >= LOCK_CHECK_INTERVAL => {
+                Some(find)
+            }
             Phase::Held => None,
         }
     }
 
-    pub(super) fn write(&mut self, shard: ShardId) -> StoreRequest {
+    /// Returns a write of as many changes as fit, and moves these to `in_flight`.
+    pub(super) fn build_write(&mut self, shard: ShardId) -> StoreRequest {
         let (mut set, mut remove) = (Vec::new(), Vec::new());
-        while self.flight.len() < ROWS {
-            let Some((id, mut change)) = self.changed.pop_first() else {
+        while self.in_flight.len() < MAX_JOBS_PER_WRITE {
+            let Some((id, mut change)) = self.changes.pop_first() else {
                 break;
             };
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
             change.state = job.progress.state;
-            if change.forget {
+            if change.delete {
                 remove.push(progress_key(id));
             } else {
-                set.push((progress_key(id), record::write(&job.progress)));
+                set.push((progress_key(id), record::encode(&job.progress)));
             }
             match (&job.record, job.progress.state) {
-                (Some(record), State::Open) if job.shown.is_none() => {
-                    set.push((record_key(id), record::write(record)));
+                (Some(record), State::Open) if job.stored_state.is_none() => {
+                    set.push((record_key(id), record::encode(record)));
                 }
-                (Some(_), state) if state != State::Open && job.shown.is_some() => {
+                (Some(_), state) if state != State::Open && job.stored_state.is_some() => {
                     remove.push(record_key(id));
                 }
                 _ => {}
             }
-            self.flight.insert(id, change);
+            self.in_flight.insert(id, change);
         }
         StoreRequest::Write {
             shard,
-            guard: (LOCK.to_owned(), self.lock),
+            guard: (LOCK_KEY.to_owned(), self.lock_version),
             set,
             remove,
         }
     }
 
-    /// Takes what the store says of the lock row; returns whether the shard is kept.
-    pub(super) fn found(
+    /// Handles a read of the lock row. Returns whether the shard is kept.
+    pub(super) fn on_lock_row(
         &mut self,
         reply: StoreReply,
-        own: &str,
+        lock_owner: &str,
         now: Time,
         out: &mut Effects,
     ) -> bool {
         let StoreReply::Rows(rows, _) = reply else {
-            self.next = now + AGAIN;
+            self.next_call = now + STORE_RETRY_DELAY;
             return true;
         };
         let Some((_, value, version)) = rows.into_iter().next() else {
-            // Without the row there is no job; one that wanted to write it tries again.
+            // Without a lock row there are no jobs. If submitted jobs wait, the lock is written next.
             self.phase = match self.waiting.is_empty() {
                 true => Phase::Empty,
                 false => Phase::Locking,
             };
-            self.lock = 0;
+            self.lock_version = 0;
             if !self.loaded {
-                out.messages.append(&mut self.unsure);
+                out.messages.append(&mut self.unconfirmed);
             }
             return !self.loaded;
         };
-        // Those who wait for these ask again.
-        self.unsure.clear();
-        let mine = value == own.as_bytes();
-        let contested = self.phase == Phase::Checking && version != self.lock;
-        if contested && !mine {
+        // The senders of these requests repeat them.
+        self.unconfirmed.clear();
+        let is_own = value == lock_owner.as_bytes();
+        let contested = self.phase == Phase::CheckingLock && version != self.lock_version;
+        if contested && !is_own {
             return false;
         }
-        self.lock = version;
-        // Also where it is this life's own: a write under the former version may still be on its way.
+        self.lock_version = version;
+        // The lock is written again even if it's this process's own: a write under the earlier version may still arrive.
         self.phase = Phase::Locking;
         true
     }
 
-    /// Takes what came of the write of the lock row.
-    pub(super) fn locked(
+    /// Handles the reply to a write of the lock row. Returns whether the shard is kept.
+    pub(super) fn on_lock_write(
         &mut self,
         reply: StoreReply,
         sent: Time,
@@ -512,46 +523,46 @@
     ) -> bool {
         match reply {
             StoreReply::Written(version) => {
-                self.lock = version;
-                self.confirmed = sent;
+                self.lock_version = version;
+                self.lock_confirmed = sent;
                 self.phase = match self.loaded {
                     true => Phase::Held,
                     false => Phase::Loading,
                 };
                 if self.loaded {
-                    self.take_waiting(out);
+                    self.accept_waiting(out);
                 }
             }
-            StoreReply::Refused => self.next = now + AGAIN,
+            StoreReply::Refused => self.next_call = now + STORE_RETRY_DELAY,
             _ => {
-                self.phase = Phase::Checking;
-                self.next = now + AGAIN;
+                self.phase = Phase::CheckingLock;
+                self.next_call = now + STORE_RETRY_DELAY;
             }
         }
         true
     }
 
-    /// Takes rows of jobs; with the last of them the shard is held.
-    pub(super) fn loaded(
+    /// Handles a page of rows. After the last page the shard is held and its open jobs are run. Returns whether the shard is kept.
+    pub(super) fn on_rows(
         &mut self,
         id: ShardId,
         reply: StoreReply,
         now: Time,
-        acts: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
         out: &mut Effects,
     ) -> bool {
         let StoreReply::Rows(rows, more) = reply else {
-            self.next = now + AGAIN;
+            self.next_call = now + STORE_RETRY_DELAY;
             return true;
         };
-        self.after = rows.last().map(|(key, ..)| key.clone());
+        self.last_key = rows.last().map(|(key, ..)| key.clone());
         for (key, value, _) in rows {
-            match record::read(&key, &value) {
+            match record::parse_row(&key, &value) {
                 Ok(Row::Lock) => {}
-                Ok(Row::Record(id, record)) => self.read(id).record = Some(Box::new(record)),
+                Ok(Row::Record(id, record)) => self.job_entry(id).record = Some(Box::new(record)),
                 Ok(Row::Progress(id, progress)) => {
-                    let job = self.read(id);
-                    job.shown = Some(progress.state);
+                    let job = self.job_entry(id);
+                    job.stored_state = Some(progress.state);
                     job.progress = progress;
                 }
                 Err(fault) => {
@@ -567,132 +578,148 @@
         self.phase = Phase::Held;
         for (id, job) in &mut self.jobs {
             if job.progress.state == State::Open && job.record.is_some() {
-                acts.push(Action::Run(*id, now + DOUBT));
+                actions.push(Action::Run(*id, now + TAKEOVER_DELAY));
             } else {
                 job.ended = true;
-                self.ended.push_back((now, *id));
+                self.ended_jobs.push_back((now, *id));
             }
         }
         let entry = Record::new("shard_held").with("shard", id.to_string());
         let entry = entry.with("jobs", self.jobs.len());
         out.outputs
-            .push(Output::Log(entry.with("open", acts.len())));
-        self.take_waiting(out);
+            .push(Output::Log(entry.with("open", actions.len())));
+        self.accept_waiting(out);
         true
     }
 
-    pub(super) fn read(&mut self, id: JobId) -> &mut Job {
+    /// Returns the job with this ID, and adds it if it's missing.
+    pub(super) fn job_entry(&mut self, id: JobId) -> &mut Job {
         self.jobs.entry(id).or_insert_with(|| Job {
             record: None,
             progress: Progress::default(),
-            shown: None,
-            counted: HashMap::new(),
+            stored_state: None,
+            reported_ends: HashMap::new(),
             ended: false,
         })
     }
 
-    pub(super) fn take_waiting(&mut self, out: &mut Effects) {
-        for w in std::mem::take(&mut self.waiting) {
-            self.accept(&w.from, w.serial, w.job, w.record, w.at, out);
+    /// Accepts the jobs that waited for the shard to be held.
+    pub(super) fn accept_waiting(&mut self, out: &mut Effects) {
+        for waiting in std::mem::take(&mut self.waiting) {
+            self.accept(
+                &waiting.from,
+                waiting.serial,
+                waiting.job,
+                waiting.record,
+                waiting.at,
+                out,
+            );
         }
     }
 
-    /// Takes what came of a write of jobs, or of a look at the lock.
-    pub(super) fn written(
+    /// Handles the reply to a write of jobs or to a lock check while the shard is held. Returns whether the shard is kept.
+    pub(super) fn on_held_reply(
         &mut self,
         reply: StoreReply,
         sent: Time,
         now: Time,
-        acts: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
         out: &mut Effects,
     ) -> bool {
         match reply {
             StoreReply::Written(_) => {
-                self.confirmed = sent;
+                self.lock_confirmed = sent;
                 out.messages.append(&mut self.confirming);
-                let earliest = Time(now.0.saturating_sub(WRITES.times(BURST).0));
-                self.next = self.next.max(earliest) + WRITES;
-                for (id, change) in std::mem::take(&mut self.flight) {
-                    self.settle(id, change, now, acts, out);
+                let earliest = Time(now.0.saturating_sub(WRITE_INTERVAL.times(WRITE_BURST).0));
+                self.next_call = self.next_call.max(earliest) + WRITE_INTERVAL;
+                for (id, change) in std::mem::take(&mut self.in_flight) {
+                    self.apply_change(id, change, now, actions, out);
                 }
                 true
             }
             StoreReply::Rows(rows, _) => {
-                let unchanged = rows.first().is_some_and(|(_, _, v)| *v == self.lock);
+                let unchanged = rows
+                    .first()
+                    .is_some_and(|(_, _, v)| *v == self.lock_version);
                 if unchanged {
-                    self.confirmed = sent;
+                    self.lock_confirmed = sent;
                     out.messages.append(&mut self.confirming);
                 }
                 unchanged
             }
             StoreReply::Conflict => false,
             reply => {
-                self.unsure.append(&mut self.confirming);
-                let writing = !self.flight.is_empty();
-                for (id, change) in std::mem::take(&mut self.flight) {
-                    self.changed.entry(id).or_default().join(change);
+                self.unconfirmed.append(&mut self.confirming);
+                let was_writing = !self.in_flight.is_empty();
+                for (id, change) in std::mem::take(&mut self.in_flight) {
+                    self.changes.entry(id).or_default().merge(change);
                 }
-                if writing && reply == StoreReply::Silent {
-                    // The write may be made later, over a newer one. A new lock bars it.
+                if was_writing && reply == StoreReply::Silent {
+                    // The write may be carried out late and overwrite a newer one. A new lock version prevents that.
                     self.phase = Phase::Locking;
                 }
-                self.next = now + AGAIN;
+                self.next_call = now + STORE_RETRY_DELAY;
                 true
             }
         }
     }
 
-    /// Tells those who waited that what they waited for is stored.
-    pub(super) fn settle(
+    /// Applies a change that was stored, and sends the replies that waited for it.
+    pub(super) fn apply_change(
         &mut self,
         id: JobId,
         change: Change,
         now: Time,
-        acts: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
         out: &mut Effects,
     ) {
-        if change.forget {
+        if change.delete {
             self.jobs.remove(&id);
             return;
         }
-        out.messages.extend(change.ends);
+        out.messages.extend(change.end_replies);
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        let first = job.shown.is_none();
+        let first = job.stored_state.is_none();
         let ended = change.state != State::Open;
-        job.shown = Some(change.state);
+        job.stored_state = Some(change.state);
         if first {
             let entry = Record::routine("job_stored").job(id);
             out.outputs.push(Output::Log(entry));
             if !ended {
-                acts.push(Action::Run(id, now));
+                actions.push(Action::Run(id, now));
             }
         }
-        for (to, serial) in change.accepted {
-            answer(&to, serial, Verdict::Accepted, out);
+        for (to, serial) in change.accept_requests {
+            send_verdict(&to, serial, Verdict::Accepted, out);
         }
         if ended && !job.ended {
             job.ended = true;
             job.record = None;
-            job.counted = HashMap::new();
-            self.ended.push_back((now, id));
+            job.reported_ends = HashMap::new();
+            self.ended_jobs.push_back((now, id));
             let entry = Record::routine("job_ended").job(id);
             let entry = entry.with("state", format!("{:?}", change.state));
             out.outputs.push(Output::Log(entry));
         }
-        for (to, serial) in change.cancelled.into_iter().chain(change.asked) {
-            answer(&to, serial, Verdict::Standing(change.state.into()), out);
+        for (to, serial) in change
+            .cancel_requests
+            .into_iter()
+            .chain(change.state_requests)
+        {
+            send_verdict(&to, serial, Verdict::Standing(change.state.into()), out);
         }
     }
 }
 
 impl Change {
-    pub(super) fn join(&mut self, other: Self) {
-        self.accepted.extend(other.accepted);
-        self.cancelled.extend(other.cancelled);
-        self.asked.extend(other.asked);
-        self.ends.extend(other.ends);
-        self.forget |= other.forget;
+    /// Adds the replies and the removal of a later change of the same job.
+    pub(super) fn merge(&mut self, other: Self) {
+        self.accept_requests.extend(other.accept_requests);
+        self.cancel_requests.extend(other.cancel_requests);
+        self.state_requests.extend(other.state_requests);
+        self.end_replies.extend(other.end_replies);
+        self.delete |= other.delete;
     }
 }
