--- a/src/dispatch/announcement.rs
+++ b/src/dispatch/announcement.rs
@@ -1,4 +1,4 @@
-//! What the instance tells its peers: that it lives, what and what room it has.
+//! Heartbeats to other instances: status, free room of racks, and requests for waiting tasks.
 
 use std::slice;
 
@@ -24,25 +24,25 @@
 };
 use crate::prelude::*;
 
-/// Between heartbeats about room: three times shorter than the shortest tasks, so that most of what ends is
-/// known before the next job is placed; a tenth of the interval would cost ten times the messages.
-const ROOMS: Span = Span::millis(20);
+/// The shortest interval between heartbeats that announce changed room. It's shorter than short tasks, so that freed room is
+/// known before the next job is placed.
+const ROOM_INTERVAL: Span = Span::millis(20);
 
-/// Between heartbeats that tell the room of all racks: one that told a change may have been lost.
-const REFRESH: Span = Span::millis(500);
+/// The interval between heartbeats with the room of all racks, since one with a change may have been lost.
+const FULL_ROOM_INTERVAL: Span = Span::millis(500);
 
-/// Members watched closely that are told of room every [`ROOMS`]; with more of them the interval grows, so that they are
-/// sent 400 heartbeats a second at the most.
-const AUDIENCE: u64 = 8;
+/// The most closely watched members that can be sent room every [`ROOM_INTERVAL`]. With more of them the interval grows, which
+/// bounds the rate of heartbeats.
+const MAX_FULL_RATE_MEMBERS: u64 = 8;
 
-/// Members that aren't watched closely and are told in one tick: 200 a second, twice what is due.
-const SPREAD: usize = 2;
+/// Members that aren't watched closely to which heartbeats are sent in one tick.
+const MAX_DISTANT_PER_TICK: usize = 2;
 
 /// Racks in one heartbeat, so that it fits in one packet.
-const RACKS: usize = 6;
+const MAX_RACKS_PER_HEARTBEAT: usize = 6;
 
 impl Dispatcher {
-    /// Tells a member that has just come all that it must know to place tasks.
+    /// Sends a member that has become alive what it needs to place tasks: the other members, and the room of all racks.
     pub(super) fn introduce(&mut self, to: &Contact, now: Time, out: &mut Effects) {
         let record = Record::new("member_heard").with("member", to.name.as_str());
         out.outputs.push(Output::Log(record));
@@ -54,7 +54,7 @@
         self.send_heartbeats(slice::from_ref(&to.name), &rooms, now, out);
     }
 
-    /// Sends heartbeats with `rooms` to members.
+    /// Sends heartbeats with `rooms` to members. They say whether this instance needs to watch the receiver closely.
     pub(super) fn send_heartbeats(
         &mut self,
         to: &[Instance],
@@ -62,21 +62,22 @@
         now: Time,
         out: &mut Effects,
     ) {
-        let needed = |name: &Instance| {
+        let is_needed = |name: &Instance| {
             let member = self.members.get(name);
             member.is_some_and(|member| member.watch.is_needed_here(now))
         };
         let (watched, others): (Vec<Instance>, Vec<Instance>) =
-            to.iter().cloned().partition(needed);
+            to.iter().cloned().partition(is_needed);
         for (names, watching) in [(watched, true), (others, false)] {
-            let tell = |name| self.members.mark_heartbeat_sent(name, now);
-            let to: Vec<Contact> = names.iter().filter_map(tell).collect();
+            let mark_sent = |name| self.members.mark_heartbeat_sent(name, now);
+            let to: Vec<Contact> = names.iter().filter_map(mark_sent).collect();
             if !to.is_empty() {
                 self.push_heartbeats(&to, watching, rooms, now, out);
             }
         }
     }
 
+    /// Adds a heartbeat to the outputs, in several parts if there are many rooms.
     fn push_heartbeats(
         &self,
         to: &[Contact],
@@ -85,7 +86,10 @@
         now: Time,
         out: &mut Effects,
     ) {
-        let mut parts: Vec<Vec<Vacancy>> = rooms.chunks(RACKS).map(<[Vacancy]>::to_vec).collect();
+        let mut parts: Vec<Vec<Vacancy>> = rooms
+            .chunks(MAX_RACKS_PER_HEARTBEAT)
+            .map(<[Vacancy]>::to_vec)
+            .collect();
         if parts.is_empty() {
             parts.push(Vec::new());
         }
@@ -100,6 +104,7 @@
         }
     }
 
+    /// Returns the status that heartbeats announce.
     fn own_status(&self, now: Time) -> Status {
         let claim = |(rack, token)| Claim { rack, token };
         let ceded = self.ceded.iter().map(|(claim, _)| *claim);
@@ -118,26 +123,27 @@
         }
     }
 
+    /// Sends a message to all live members.
     pub(super) fn broadcast(&self, message: Message, out: &mut Effects) {
         for member in self.members.live() {
             out.messages.push((member.contact.clone(), message.clone()));
         }
     }
 
-    /// Tells peers that it lives, and of room that has changed: those that it watches closely often, the others at their
-    /// interval, and all of them where something changed that they must know.
+    /// Sends the heartbeats that are due: frequent ones to closely watched members, also when room has changed, and others at the
+    /// interval for distant members. After an urgent change all members get one.
     pub(super) fn send_due_heartbeats(&mut self, now: Time, out: &mut Effects) {
         self.watch_work_peers(now);
-        let some = self.due_members(now);
-        if !some.is_empty() {
+        let due = self.due_members(now);
+        if !due.is_empty() {
             let rooms = self.owner.vacancies(now);
-            self.send_heartbeats(&some, &rooms, now, out);
+            self.send_heartbeats(&due, &rooms, now, out);
         }
         self.send_frequent_heartbeats(now, out);
     }
 
-    /// Returns the members that are to be told by themselves: those that are watched closely since just now, and of the others
-    /// those whose turn it is.
+    /// Returns the members to which heartbeats are due apart from the frequent ones: members that have just become closely
+    /// watched, and distant members whose interval is over.
     fn due_members(&self, now: Time) -> Vec<Instance> {
         let urgent = self.announced == Time::default();
         let distant = self
@@ -145,13 +151,13 @@
             .all()
             .filter(|m| !m.has_frequent_heartbeats(now));
         let interval = watch::heartbeat_interval(distant.count());
-        let due = |m: &&Member| match m.has_frequent_heartbeats(now) {
+        let is_due = |m: &&Member| match m.has_frequent_heartbeats(now) {
             true => m.watch.needs_first_heartbeat(),
             false => urgent || now.since(m.watch.heartbeat_sent) >= interval,
         };
-        let mut due: Vec<&Member> = self.members.all().filter(due).collect();
-        if !urgent && due.len() > SPREAD {
-            // Those that became due together are spread out: a burst of datagrams holds up what else is on the link.
+        let mut due: Vec<&Member> = self.members.all().filter(is_due).collect();
+        if !urgent && due.len() > MAX_DISTANT_PER_TICK {
+            // Spreads out members that became due together: a burst of datagrams would delay other traffic.
             due.sort_by_key(|member| {
                 (
                     !member.has_frequent_heartbeats(now),
@@ -162,25 +168,29 @@
                 .iter()
                 .filter(|m| m.has_frequent_heartbeats(now))
                 .count();
-            due.truncate(SPREAD.max(close));
+            due.truncate(MAX_DISTANT_PER_TICK.max(close));
         }
         due.into_iter().map(|m| m.contact.name.clone()).collect()
     }
 
+    /// Sends heartbeats to closely watched members if the interval is over or room has changed, and requests waiting tasks.
     fn send_frequent_heartbeats(&mut self, now: Time, out: &mut Effects) {
         let close = self
             .members
             .all()
             .filter(|m| m.has_frequent_heartbeats(now));
-        let interval = Span(ROOMS.0 * (close.count() as u64).max(AUDIENCE) / AUDIENCE);
+        let interval = Span(
+            ROOM_INTERVAL.0 * (close.count() as u64).max(MAX_FULL_RATE_MEMBERS)
+                / MAX_FULL_RATE_MEMBERS,
+        );
         let due = now.since(self.announced) >= HEARTBEAT_INTERVAL;
         let since = now.since(self.rooms);
-        let turned = since >= ROOMS && self.owner.turned(now);
+        let turned = since >= ROOM_INTERVAL && self.owner.turned(now);
         let changed = turned || since >= interval && self.owner.changed(now);
         if !due && !changed {
             return;
         }
-        let all = now.since(self.refresh) >= REFRESH;
+        let all = now.since(self.refresh) >= FULL_ROOM_INTERVAL;
         if all {
             self.refresh = now;
         }
@@ -197,8 +207,8 @@
         self.request_waiting_tasks(now, out);
     }
 
-    /// Watches those closely with which it shares work: their death must be found before their callers, or its own, come
-    /// again, and their room decides where the next tasks go.
+    /// Watches the members closely with which this instance shares work. Their failure must be detected before callers retry, and
+    /// their room decides where the next tasks go.
     fn watch_work_peers(&mut self, now: Time) {
         self.members.choose_neighbours(now);
         for name in self.entry.owners() {
@@ -209,7 +219,7 @@
         }
     }
 
-    /// Asks owners whose racks have tasks waiting for some, where an own rack has room and nothing waits.
+    /// Requests waiting tasks from the owner of the busiest rack, for each own rack with room and nothing waiting.
     pub(super) fn request_waiting_tasks(&mut self, now: Time, out: &mut Effects) {
         if self.draining() {
             return;
--- a/src/dispatch/coordination.rs
+++ b/src/dispatch/coordination.rs
@@ -1,4 +1,4 @@
-//! Which shards of the stored jobs the instance coordinates, and what follows from that.
+//! Which shards of stored jobs this instance coordinates, and the actions that follow from their rows.
 
 use std::collections::HashMap;
 
@@ -20,16 +20,16 @@
 use crate::prelude::*;
 
 impl Dispatcher {
-    /// Lets the shards do what is due, with the calls to the store that it takes.
+    /// Lets the shards do what is due, and sends their calls to the store.
     pub(super) fn call_store(&mut self, now: Time, out: &mut Effects) {
-        let acts = self.durable.run_due(now, out);
-        self.apply_actions(acts, now, out);
+        let actions = self.durable.run_due(now, out);
+        self.apply_actions(actions, now, out);
     }
 
-    /// Does what a shard's rows ask for.
-    pub(super) fn apply_actions(&mut self, acts: Vec<Action>, now: Time, out: &mut Effects) {
-        for act in acts {
-            match act {
+    /// Carries out actions on stored jobs, and starts what's ready to run.
+    pub(super) fn apply_actions(&mut self, actions: Vec<Action>, now: Time, out: &mut Effects) {
+        for action in actions {
+            match action {
                 Action::Run(job, at) => {
                     if let Some((record, progress)) = self.durable.open_job(job) {
                         self.entry.run(job, record, progress, at, now);
@@ -43,7 +43,7 @@
         self.entry.begin(now, out);
     }
 
-    /// Returns who coordinates each shard, as far as that is known.
+    /// Returns the known coordinator of each shard. One that holds the shard takes precedence over one that only claims it.
     pub(super) fn coordinators(&self) -> HashMap<ShardId, Contact> {
         let mut found: HashMap<ShardId, (bool, Contact)> = HashMap::new();
         let own = (self.durable.coordinations(), &self.identity.contact);
@@ -53,10 +53,10 @@
         });
         for (shards, contact) in others.chain([own]) {
             for coordination in shards {
-                let held = coordination.knowledge == Knowledge::Held;
+                let holds = coordination.knowledge == Knowledge::Held;
                 let known = found.get(&coordination.shard);
-                if known.is_none_or(|(known, _)| held && !known) {
-                    found.insert(coordination.shard, (held, contact.clone()));
+                if known.is_none_or(|(known_holds, _)| holds && !known_holds) {
+                    found.insert(coordination.shard, (holds, contact.clone()));
                 }
             }
         }
@@ -64,14 +64,15 @@
         found.into_iter().map(contact).collect()
     }
 
-    /// Decides which shards it coordinates: those of nobody else, by their weight, until it ends.
+    /// Claims and releases shards: a shard without a coordinator falls to the available instance with the highest rendezvous
+    /// weight. A draining instance releases all.
     pub(super) fn update_coordination(&mut self, now: Time, out: &mut Effects) {
         if now.since(self.began) < STARTUP_DELAY {
             return;
         }
         let own = self.identity.contact.name.clone();
         let coordinators = self.coordinators();
-        let mut acts = Vec::new();
+        let mut actions = Vec::new();
         let candidates: Vec<Instance> = self
             .members
             .available()
@@ -79,50 +80,51 @@
             .collect();
         for shard in ShardId::all() {
             let known = coordinators.get(&shard).map(|contact| &contact.name);
-            let mine = self.durable.knowledge(shard).is_some();
-            if mine && self.draining() {
-                acts.extend(self.durable.release(shard, "the instance ends", out));
-            } else if mine && known.is_some_and(|name| *name != own) {
-                acts.extend(self.durable.release(shard, "another holds it", out));
-            } else if mine && self.contested(shard) {
+            let own_shard = self.durable.knowledge(shard).is_some();
+            if own_shard && self.draining() {
+                actions.extend(self.durable.release(shard, "the instance ends", out));
+            } else if own_shard && known.is_some_and(|name| *name != own) {
+                actions.extend(self.durable.release(shard, "another holds it", out));
+            } else if own_shard && self.has_claimants(shard) {
                 self.durable.require_lock_checks(now);
-                let heavier =
+                let outweighs =
                     |name: &Instance| shard.weight(name.as_str()) > shard.weight(own.as_str());
                 let held = self.durable.knowledge(shard) == Some(Knowledge::Held);
-                if !held && self.claimants(shard).any(|name| heavier(&name)) {
-                    acts.extend(self.durable.release(shard, "another claims it", out));
+                if !held && self.claimants(shard).any(|name| outweighs(&name)) {
+                    actions.extend(self.durable.release(shard, "another claims it", out));
                 }
             } else if known.is_none() && !self.draining() {
                 let best = candidates
                     .iter()
                     .max_by_key(|name| shard.weight(name.as_str()));
-                let beaten = best
+                let outweighed = best
                     .is_some_and(|name| shard.weight(name.as_str()) > shard.weight(own.as_str()));
-                if !beaten {
+                if !outweighed {
                     self.durable.claim(shard, now);
                 }
             }
         }
-        self.apply_actions(acts, now, out);
+        self.apply_actions(actions, now, out);
     }
 
-    /// Returns the live members that claim a shard.
+    /// Returns the live members that announce a shard as theirs.
     fn claimants(&self, shard: ShardId) -> impl Iterator<Item = Instance> + '_ {
-        let claims = move |member: &&Member| {
+        let claims_shard = move |member: &&Member| {
             let status = member.status.as_ref();
             status.is_some_and(|status| status.shards.iter().any(|c| c.shard == shard))
         };
         self.members
             .live()
-            .filter(claims)
+            .filter(claims_shard)
             .map(|m| m.contact.name.clone())
     }
 
-    fn contested(&self, shard: ShardId) -> bool {
+    /// Returns whether a live member announces a shard as its own.
+    fn has_claimants(&self, shard: ShardId) -> bool {
         self.claimants(shard).next().is_some()
     }
 
-    /// Reports ends that must be stored to the coordinators of their shards.
+    /// Reports ends of runs that must be stored to the coordinators of their shards.
     pub(super) fn report_run_ends(&mut self, now: Time, out: &mut Effects) {
         let ends = self.owner.unstored(now);
         if ends.is_empty() {
--- a/src/dispatch/evacuation.rs
+++ b/src/dispatch/evacuation.rs
@@ -1,4 +1,4 @@
-//! Data centres that the operator has evacuated: nothing is started on their endpoints until they are taken back.
+//! Data centres that the operator has evacuated. No tasks are started on their endpoints until the evacuation is lifted.
 
 use std::collections::BTreeSet;
 
@@ -7,38 +7,38 @@
     Serialize, //
 };
 
-/// The evacuated data centres, as of a version of the platform's store.
+/// The evacuated data centres, at a version of the platform's store.
 ///
-/// Each instance follows them in the store, and every heartbeat carries them: an instance that the store turns away goes on
-/// starting tasks, and would start them in a data centre that everybody else has left.
+/// Each instance reads them from the store, and every heartbeat carries them. Without the heartbeats, an instance that can't reach
+/// the store would go on starting tasks in an evacuated data centre.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuation {
-    /// A higher one replaces a lower one.
+    /// The version of the store. A higher version replaces a lower one.
     pub version: u64,
-    /// Their names.
+    /// The names of the evacuated data centres.
     pub centres: BTreeSet<String>,
 }
 
-/// A data centre that the operator evacuates, or takes back.
+/// A change to the evacuation of one data centre.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
-    /// Its name.
+    /// The name of the data centre.
     pub centre: String,
-    /// Whether it is evacuated from now on.
+    /// Whether the data centre is evacuated after the change.
     pub evacuated: bool,
     /// The version of the store with this change.
     pub version: u64,
 }
 
 impl Evacuation {
-    /// Tells whether a data centre is evacuated.
+    /// Returns whether a data centre is evacuated.
     pub fn covers(&self, centre: &str) -> bool {
         self.centres.contains(centre)
     }
 
-    /// Returns what holds after a change; none where the change is known already.
+    /// Returns the evacuation with a change applied, or `None` if the change isn't newer.
     ///
-    /// A feed may tell late what a peer has told of before, and must not bring it back.
+    /// The store may deliver a change after a heartbeat has brought a newer one, which must not be undone.
     pub fn with_change(&self, change: &Change) -> Option<Self> {
         if change.version <= self.version {
             return None;
--- a/src/dispatch/member.rs
+++ b/src/dispatch/member.rs
@@ -1,4 +1,4 @@
-//! Who else is there, and which member owns a rack.
+//! Membership: the other instances, whether they are alive, and which of them own racks.
 
 use std::collections::{
     BTreeMap,
@@ -25,122 +25,122 @@
 };
 use crate::prelude::*;
 
-/// Between heartbeats: six of them fit in [`HEARTBEAT_TIMEOUT`], so that lost or late ones are no death.
+/// The interval between heartbeats to closely watched members. Several fit in [`HEARTBEAT_TIMEOUT`], so that lost or late ones
+/// don't count as a failure.
 pub const HEARTBEAT_INTERVAL: Span = Span::millis(100);
 
-/// After which a silent member counts as gone. A caller comes again 1.3 s after its connection broke; what the
-/// dead instance had running must have been stopped by then, which takes another 100 ms.
+/// How long a member may be silent before it counts as failed. Callers retry 1.3 s after their connection broke. By then the
+/// runs of the failed instance must have been stopped, or tasks would run twice.
 pub const HEARTBEAT_TIMEOUT: Span = Span::millis(600);
 
-/// How long a member that starts listens before it claims racks that nobody seems to own: members start
-/// within 0.3 s of each other, and a heartbeat of each must have come. Claims that collide cost a moment, not more, and
-/// after a loss of all instances callers wait for this.
+/// How long an instance listens after its start before it claims racks that nobody seems to own. It must have heard a heartbeat
+/// of each owner by then, or claims would collide.
 pub const STARTUP_DELAY: Span = Span::millis(450);
 
-/// How long no further member must have been heard before a fleet that starts as a whole claims its racks, ahead of
-/// [`STARTUP_DELAY`]: as long as a heartbeat takes to come again.
+/// How long no further member must have been heard before instances that all start together claim racks, earlier than
+/// [`STARTUP_DELAY`].
 pub const STARTUP_QUIET: Span = HEARTBEAT_INTERVAL;
 
-/// How long a member that was found, or has just been lost, is called as often as one that is watched closely: it may be
-/// starting, and after a loss of all instances callers wait until they hear each other.
-const AWAITED: Span = Span::seconds(3);
+/// How long a member that was found or lost gets frequent heartbeats. It may be starting, and after a loss of all instances
+/// callers wait until the instances hear each other.
+const CONTACT_PERIOD: Span = Span::seconds(3);
 
-/// How much the clocks of two machines may run apart, as a share: ten times what crystals do.
-const DRIFT: f64 = 0.001;
+/// The largest drift between the clocks of two machines, as a fraction.
+const MAX_CLOCK_DRIFT: f64 = 0.001;
 
-/// After which a member that is gone is no longer called: it has left for good, or its row in the store will
-/// show it again.
-const FORGOTTEN: Span = Span::seconds(30);
+/// How long after its loss a member is removed and gets no more heartbeats. If it starts again, its row in the store brings it
+/// back.
+const FORGET_AFTER: Span = Span::seconds(30);
 
 /// Another instance.
 #[derive(Debug, Clone)]
 pub struct Member {
     /// Its name and address.
     pub contact: Contact,
-    /// Its data centre, empty until it was heard.
+    /// Its data centre, or empty before it was heard.
     pub centre: String,
-    /// Its life, zero until it was heard.
+    /// Its incarnation, or zero before it was heard.
     pub incarnation: u64,
-    /// The session with it.
+    /// The number of the session with it. A loss of the member starts a new one.
     pub session: u32,
-    /// When the last that came of it left, on this instance's clock; never, if it only was listed.
+    /// When its latest message or heartbeat was sent, on this instance's clock. `None` if it was only listed.
     pub last_heard: Option<Time>,
-    /// When the heartbeat with its status left, on its own clock.
-    told: Time,
-    /// The least that its clock was seen behind this one, in microseconds: the difference of the clocks and the
-    /// shortest time on the way.
-    offset: Option<i64>,
-    /// Whether it counts as alive.
+    /// When the heartbeat with its status was sent, on its own clock.
+    status_sent: Time,
+    /// The smallest difference between the arrival of a message on this clock and its sending on the member's clock, in
+    /// microseconds: the offset of the clocks plus the shortest transit time.
+    clock_offset: Option<i64>,
+    /// Whether it's alive.
     pub live: bool,
-    /// Since when it is alive, or gone, or known.
+    /// When it became alive, was lost, or was found.
     pub state_since: Time,
-    /// What it said last.
+    /// The status in its latest heartbeat.
     pub status: Option<Status>,
     /// How closely it is watched.
     pub watch: Watch,
 }
 
 impl Member {
-    /// Tells whether it is told of this instance at the short interval.
+    /// Returns whether it gets heartbeats every [`HEARTBEAT_INTERVAL`].
     pub fn has_frequent_heartbeats(&self, now: Time) -> bool {
-        let awaited = !self.live && now.since(self.state_since) < AWAITED;
-        awaited || self.watch.is_close(now)
+        let may_start = !self.live && now.since(self.state_since) < CONTACT_PERIOD;
+        may_start || self.watch.is_close(now)
     }
 
-    /// Tells whether nothing has come of it for so long that it is gone.
-    fn is_gone(&self, now: Time) -> bool {
-        let silent = |at| now.since(at) > HEARTBEAT_TIMEOUT && self.watch.is_conclusive(now);
-        self.last_heard.is_none_or(silent)
+    /// Returns whether it hasn't been heard, or was silent for longer than [`HEARTBEAT_TIMEOUT`] while it was watched closely.
+    fn is_silent(&self, now: Time) -> bool {
+        let timed_out = |at| now.since(at) > HEARTBEAT_TIMEOUT && self.watch.is_conclusive(now);
+        self.last_heard.is_none_or(timed_out)
     }
 }
 
-/// What became of messages that arrived.
+/// The result of checking the incarnation and session of a sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SenderCheck {
-    /// They count.
+    /// The sender is in its current session.
     Current,
-    /// They count, and all that was agreed with the sender before is void.
+    /// The sender has started a new session, and all state shared with it before is void.
     NewSession,
-    /// They are from a life or a session that has ended.
+    /// The message is from an incarnation or a session that has ended, and is dropped.
     Stale,
 }
 
-/// All other instances that this one knows.
+/// The other instances that this one knows.
 #[derive(Debug)]
 pub struct Members {
     /// This instance.
     own: Instance,
     /// Its data centre.
     centre: String,
-    known: BTreeMap<Instance, Member>,
-    claims: u64,
-    /// How many were known, and the count of claims, when the neighbours were chosen.
-    arranged: Option<(usize, u64)>,
-    /// Members that this instance found to be gone, and when.
+    members: BTreeMap<Instance, Member>,
+    claim_changes: u64,
+    /// The number of members and the count of claim changes for which neighbours were chosen last.
+    neighbours_key: Option<(usize, u64)>,
+    /// Members that this instance lost recently, and when.
     absences: Vec<(Absence, Time)>,
 }
 
 impl Members {
-    /// Makes a fleet of one.
+    /// Returns a membership without other instances.
     pub fn new(own: &Instance, centre: impl Into<String>) -> Self {
         Self {
             own: own.clone(),
             centre: centre.into(),
-            known: BTreeMap::new(),
-            claims: 0,
-            arranged: None,
+            members: BTreeMap::new(),
+            claim_changes: 0,
+            neighbours_key: None,
             absences: Vec::new(),
         }
     }
 
-    /// Takes note of a member; returns whether it is new or has moved.
+    /// Adds a member, or updates the address of one that isn't alive. Returns whether it's new or has moved.
     pub fn add(&mut self, contact: &Contact, now: Time) -> bool {
-        // A seed is named by its address until it says its name.
+        // A seed has its address as its name until it's heard.
         let seed = contact.name.as_str() == contact.address;
         if seed && self.live().any(|m| m.contact.address == contact.address) {
             return false;
         }
-        if let Some(member) = self.known.get_mut(&contact.name) {
+        if let Some(member) = self.members.get_mut(&contact.name) {
             if member.contact.address == contact.address || member.live {
                 return false;
             }
@@ -154,117 +154,117 @@
             incarnation: 0,
             session: 0,
             last_heard: None,
-            told: Time::default(),
-            offset: None,
+            status_sent: Time::default(),
+            clock_offset: None,
             live: false,
             state_since: now,
             status: None,
             watch: Watch::default(),
         };
-        self.known.insert(contact.name.clone(), member);
+        self.members.insert(contact.name.clone(), member);
         true
     }
 
-    /// Judges messages by the life and session that they are from.
+    /// Checks the incarnation and session of a message's sender, and updates the member. `own` is this instance's incarnation.
     ///
-    /// A frozen sender's messages may leave long after their time. They carry a session that the receiver gave
-    /// up, so they start nothing.
+    /// A suspended process may send messages long after they were written. These carry a session that the receiver has ended,
+    /// so they must be dropped.
     pub fn check_sender(&mut self, from: &Sender, own: u64, now: Time) -> SenderCheck {
         self.add(&from.contact, now);
-        let met = self.known.get(&from.contact.name);
-        if met.is_some_and(|member| member.incarnation < from.incarnation) {
-            // It may have been known by its address only, as a seed.
-            self.known.retain(|name, member| {
+        let known = self.members.get(&from.contact.name);
+        if known.is_some_and(|member| member.incarnation < from.incarnation) {
+            // Removes the seed under which it was known by its address only.
+            self.members.retain(|name, member| {
                 *name == from.contact.name
                     || member.live
                     || member.contact.address != from.contact.address
             });
         }
-        let Some(member) = self.known.get_mut(&from.contact.name) else {
+        let Some(member) = self.members.get_mut(&from.contact.name) else {
             return SenderCheck::Stale;
         };
         let older = from.incarnation < member.incarnation;
-        let misled = from.to != 0 && from.to != own;
-        if older || misled {
+        let for_earlier_life = from.to != 0 && from.to != own;
+        if older || for_earlier_life {
             return SenderCheck::Stale;
         }
-        let reborn = from.incarnation > member.incarnation;
-        if !reborn && from.session < member.session {
+        let restarted = from.incarnation > member.incarnation;
+        if !restarted && from.session < member.session {
             return SenderCheck::Stale;
         }
-        if reborn || member.contact != from.contact {
-            self.claims += 1;
+        if restarted || member.contact != from.contact {
+            self.claim_changes += 1;
         }
-        let anew = reborn || from.session > member.session;
+        let new_session = restarted || from.session > member.session;
         member.session = member.session.max(from.session);
         member.incarnation = from.incarnation;
         if member.contact != from.contact {
             member.contact = from.contact.clone();
         }
         member.centre.clone_from(&from.centre);
-        if reborn {
+        if restarted {
             member.status = None;
-            member.offset = None;
+            member.clock_offset = None;
             member.last_heard = None;
-            member.told = Time::default();
+            member.status_sent = Time::default();
             member.live = false;
             member.state_since = now;
         }
-        match anew {
+        match new_session {
             true => SenderCheck::NewSession,
             false => SenderCheck::Current,
         }
     }
 
-    /// Takes note that something left a member at `sent` on its clock: a heartbeat, or messages.
+    /// Updates when a member was last heard, from a message or heartbeat that it sent at `sent` on its clock.
     ///
-    /// Either side may be so slow that heartbeats lie in its buffers. What comes counts from when it left: otherwise a
-    /// slow owner would start tasks for an entry that gave it up long ago and has placed them elsewhere.
+    /// The sending time counts, not the arrival: heartbeats may wait in buffers of a slow instance. Otherwise a slow owner would
+    /// start tasks for an entry that has given it up and placed them elsewhere.
     pub fn update_last_heard(&mut self, name: &Instance, sent: Time, now: Time) {
-        let Some(member) = self.known.get_mut(name) else {
+        let Some(member) = self.members.get_mut(name) else {
             return;
         };
-        let behind = now.0 as i64 - sent.0 as i64;
-        let offset = member.offset.map_or(behind, |offset| {
+        let difference = now.0 as i64 - sent.0 as i64;
+        let offset = member.clock_offset.map_or(difference, |offset| {
             let since = member.last_heard.map_or(0, |heard| now.since(heard).0);
-            behind.min(offset + (since as f64 * DRIFT) as i64)
+            difference.min(offset + (since as f64 * MAX_CLOCK_DRIFT) as i64)
         });
-        member.offset = Some(offset);
+        member.clock_offset = Some(offset);
         let left = Time((sent.0 as i64 + offset).max(1) as u64);
         member.last_heard = member.last_heard.max(Some(left));
     }
 
-    /// Takes note of a heartbeat that left at `sent` on its sender's clock.
+    /// Handles a heartbeat that was sent at `sent` on its sender's clock.
     pub fn on_heartbeat(&mut self, name: &Instance, status: Status, sent: Time, now: Time) {
         self.update_last_heard(name, sent, now);
         for absence in &status.absences {
-            self.suspect(absence, now);
+            self.on_absence(absence, now);
         }
-        let Some(member) = self.known.get_mut(name) else {
+        let Some(member) = self.members.get_mut(name) else {
             return;
         };
-        if member.told > sent {
+        if member.status_sent > sent {
             return;
         }
-        member.told = sent;
+        member.status_sent = sent;
         let claimed = member.status.as_ref().map(|known| &known.racks);
         if claimed != Some(&status.racks) {
-            self.claims += 1;
+            self.claim_changes += 1;
         }
         member.status = Some(status);
-        let lately = member
+        let recent = member
             .last_heard
             .is_some_and(|at| now.since(at) <= HEARTBEAT_TIMEOUT);
-        if !member.live && lately {
+        if !member.live && recent {
             member.live = true;
             member.state_since = now;
-            self.claims += 1;
+            self.claim_changes += 1;
         }
     }
 
-    /// Watches a member closely that another found to be gone.
-    fn suspect(&mut self, absence: &Absence, now: Time) {
-        let Some(member) = self.known.get_mut(&absence.name) else {
+    /// Watches a member closely that another instance has lost.
+    fn on_absence(&mut self, absence: &Absence, now: Time) {
+        let Some(member) = self.members.get_mut(&absence.name) else {
             return;
         };
         if member.live && member.incarnation == absence.incarnation {
@@ -272,54 +272,54 @@
         }
     }
 
-    /// Watches a member closely for as long as work is shared with it.
+    /// Watches a member closely for [`watch::WATCH_TIME`]. Called while work is shared with it.
     pub fn watch_closely(&mut self, name: &Instance, now: Time) {
-        if let Some(member) = self.known.get_mut(name) {
+        if let Some(member) = self.members.get_mut(name) {
             member.watch.extend(now);
         }
     }
 
-    /// Takes note that a member watches this one closely, and waits for its heartbeats.
+    /// Handles a heartbeat which says that its sender watches this instance closely, and so needs frequent heartbeats.
     pub fn on_watched_by(&mut self, name: &Instance, now: Time) {
-        if let Some(member) = self.known.get_mut(name) {
+        if let Some(member) = self.members.get_mut(name) {
             member.watch.extend_for_peer(now);
         }
     }
 
-    /// Chooses the members that are always watched closely, where the fleet has changed.
+    /// Chooses the neighbours, which are always watched closely, if the membership has changed.
     pub fn choose_neighbours(&mut self, now: Time) {
-        let key = Some((self.known.len(), self.claims));
-        if self.arranged == key {
+        let key = Some((self.members.len(), self.claim_changes));
+        if self.neighbours_key == key {
             return;
         }
-        self.arranged = key;
-        let near = neighbours(&self.own, &self.centre, self.known.values());
-        for (name, member) in &mut self.known {
+        self.neighbours_key = key;
+        let near = neighbours(&self.own, &self.centre, self.members.values());
+        for (name, member) in &mut self.members {
             member.watch.set_neighbour(near.contains(name), now);
         }
     }
 
-    /// Takes note that a member is told of this one, and returns where it is reached.
+    /// Marks that a member is sent a heartbeat now, and returns its contact.
     pub fn mark_heartbeat_sent(&mut self, name: &Instance, now: Time) -> Option<Contact> {
-        let member = self.known.get_mut(name)?;
+        let member = self.members.get_mut(name)?;
         member.watch.heartbeat_sent = now;
         Some(member.contact.clone())
     }
 
-    /// Gives up those that have been silent too long, each with a new session; returns them. One that isn't watched closely
-    /// is, from when it should have been heard.
+    /// Marks members as lost that have been silent too long, starts a new session with each, and returns them. A member that
+    /// isn't watched closely and misses its heartbeats is watched closely first.
     pub fn expire(&mut self, now: Time) -> Vec<Member> {
-        let patience = self.patience();
+        let timeout = self.distant_timeout();
         let mut lost = Vec::new();
-        for member in self.known.values_mut().filter(|member| member.live) {
-            if member.is_gone(now) {
+        for member in self.members.values_mut().filter(|member| member.live) {
+            if member.is_silent(now) {
                 member.live = false;
                 member.session += 1;
                 member.state_since = now;
                 lost.push(member.clone());
                 member.status = None;
-                self.claims += 1;
-            } else if member.last_heard.is_some_and(|at| now.since(at) > patience) {
+                self.claim_changes += 1;
+            } else if member.last_heard.is_some_and(|at| now.since(at) > timeout) {
                 member.watch.extend(now);
             }
         }
@@ -331,60 +331,63 @@
             .retain(|(_, at)| now.since(*at) < watch::WATCH_TIME);
         self.absences
             .extend(lost.iter().map(|member| (absence(member), now)));
-        self.known
-            .retain(|_, member| member.live || now.since(member.state_since) < FORGOTTEN);
+        self.members
+            .retain(|_, member| member.live || now.since(member.state_since) < FORGET_AFTER);
         lost
     }
 
-    /// Returns how long a member that isn't watched closely may be silent: one of its heartbeats may get lost.
-    fn patience(&self) -> Span {
-        watch::heartbeat_interval(self.known.len()).times(2) + HEARTBEAT_TIMEOUT
+    /// Returns how long a member that isn't watched closely may be silent before it is. One lost heartbeat doesn't matter.
+    fn distant_timeout(&self) -> Span {
+        watch::heartbeat_interval(self.members.len()).times(2) + HEARTBEAT_TIMEOUT
     }
 
-    /// Returns the members that this instance found to be gone of late.
+    /// Returns the members that this instance has lost recently, as announced in heartbeats.
     pub fn absences(&self) -> Vec<Absence> {
         let absences = self.absences.iter();
         absences.map(|(absence, _)| absence.clone()).collect()
     }
 
-    /// Gives up all of them.
+    /// Marks all live members as lost, and returns them. Called after this process was suspended.
     pub fn expire_all(&mut self, now: Time) -> Vec<Member> {
-        for member in self.known.values_mut() {
+        for member in self.members.values_mut() {
             member.last_heard = None;
         }
         let lost = self.expire(now);
-        // This instance stood still, not they.
+        // This process was suspended; the members didn't fail, so their loss isn't announced.
         self.absences.clear();
         lost
     }
 
-    /// Returns a member.
+    /// Returns the member with this name.
     pub fn get(&self, name: &Instance) -> Option<&Member> {
-        self.known.get(name)
+        self.members.get(name)
     }
 
-    /// Returns all that are known.
+    /// Returns all members, whether or not they're alive.
     pub fn all(&self) -> impl Iterator<Item = &Member> {
-        self.known.values()
+        self.members.values()
     }
 
-    /// Returns those that are alive.
+    /// Returns the members that are alive.
     pub fn live(&self) -> impl Iterator<Item = &Member> {
-        self.known.values().filter(|member| member.live)
+        self.members.values().filter(|member| member.live)
     }
 
-    /// Counts the changes of what live members claim, and where they are.
+    /// Returns a count of changes to the claims, contacts and liveness of members.
     pub fn claim_changes(&self) -> u64 {
-        self.claims
+        self.claim_changes
     }
 
-    /// Returns the highest epoch that any member told.
+    /// Returns the highest epoch that a member has announced.
     pub fn highest_epoch(&self) -> Epoch {
-        let told = self.known.values().filter_map(|m| m.status.as_ref());
-        told.map(|status| status.epoch).max().unwrap_or_default()
+        let statuses = self.members.values().filter_map(|m| m.status.as_ref());
+        statuses
+            .map(|status| status.epoch)
+            .max()
+            .unwrap_or_default()
     }
 
-    /// Returns the owner of each rack that a live member says it owns, the higher token first.
+    /// Returns the owner of each rack that a live member claims. Of several claims the one with the highest token counts.
     pub fn rack_owners(&self) -> HashMap<RackId, (Instance, Token)> {
         let mut owners: HashMap<RackId, (Instance, Token)> = HashMap::new();
         for member in self.live() {
@@ -399,10 +402,10 @@
         owners
     }
 
-    /// Returns the live members that may take racks: those that have been heard whole, and stay.
+    /// Returns the live members that can take over work: their status is known, and they aren't draining.
     pub fn available(&self) -> impl Iterator<Item = &Member> {
-        let stays = |m: &&Member| m.status.as_ref().is_some_and(|status| !status.draining);
-        self.live().filter(stays)
+        let is_available = |m: &&Member| m.status.as_ref().is_some_and(|status| !status.draining);
+        self.live().filter(is_available)
     }
 }
 
@@ -415,34 +418,33 @@
     pub centre: String,
     /// Its processor share, in thousandths of a core.
     pub share: u32,
-    /// How many racks it has.
+    /// The number of racks that it owns.
     pub racks: usize,
 }
 
-/// Picks the owner of each rack that has none, in the order of the racks: of the candidates in its data
-/// centre, else of all, one with the fewest racks for its processor share, by the weight of rendezvous hashing.
+/// Picks an owner for each orphaned rack, in the order of the racks.
 ///
-/// Owners do most of the work, and instances differ four times in their share. Dealt out evenly, the racks of the
-/// weak ones were served late.
+/// Candidates in the rack's data centre are preferred. Of these the one with the fewest racks for its processor share is
+/// picked, since owners do most of the work; ties are broken by rendezvous hashing.
 pub fn assign_racks(
     orphans: &[(RackId, String)],
     candidates: &mut [Candidate],
 ) -> Vec<(RackId, Instance)> {
-    let mut dealt = Vec::new();
+    let mut assigned = Vec::new();
     for (rack, centre) in orphans {
         let near = candidates.iter().any(|c| c.centre == *centre);
-        let fit = candidates
+        let eligible = candidates
             .iter_mut()
             .filter(|c| !near || c.centre == *centre);
         let key = |c: &&mut Candidate| {
-            let burden = (c.racks as u64 + 1) * 1_000_000 / u64::from(c.share.max(1));
-            (burden, u64::MAX - rack.weight(c.name.as_str()))
+            let load = (c.racks as u64 + 1) * 1_000_000 / u64::from(c.share.max(1));
+            (load, u64::MAX - rack.weight(c.name.as_str()))
         };
-        let Some(owner) = fit.min_by_key(key) else {
+        let Some(owner) = eligible.min_by_key(key) else {
             continue;
         };
         owner.racks += 1;
-        dealt.push((*rack, owner.name.clone()));
+        assigned.push((*rack, owner.name.clone()));
     }
-    dealt
+    assigned
 }
--- a/src/dispatch/ownership.rs
+++ b/src/dispatch/ownership.rs
@@ -1,4 +1,4 @@
-//! Which racks the instance claims, gives up, hands over and takes over.
+//! Rack ownership: the racks that this instance claims, gives up, hands over and takes over.
 
 use std::{
     collections::HashMap,
@@ -33,75 +33,78 @@
 };
 use crate::prelude::*;
 
-/// How long an instance that was fenced off a rack leaves it alone while nobody is heard to own it: the two sides of
-/// a cut between instances must not take racks from each other by turns.
-const FENCED: Span = Span::seconds(3);
+/// How long an instance that was fenced off a rack doesn't claim it while no owner is heard. Without the delay, the two sides
+/// of a network partition would take racks from each other by turns.
+const FENCED_DELAY: Span = Span::seconds(3);
 
-/// Between racks that an instance gives away to even the burden out. Each move costs a claim at every endpoint of the
-/// rack, so they follow each other slowly.
-const REBALANCE: Span = Span::millis(1_000);
+/// The interval between racks that an instance hands over to balance load. Each handover costs a claim at every endpoint of
+/// the rack.
+const REBALANCE_INTERVAL: Span = Span::millis(1_000);
 
-/// How long a member must have been heard before it gets a rack that has an owner: one that comes and goes would
-/// take racks along each time.
-const STEADY: Span = Span::seconds(2);
+/// How long a member must have been alive before it gets a rack that has an owner. It keeps racks from moving back and forth
+/// with an unstable member.
+const MIN_UPTIME: Span = Span::seconds(2);
 
-/// How far the epoch leaps when a token was too low: clocks of two lives may disagree by some seconds, which are as many
-/// epochs.
-const LEAP: u64 = 16;
+/// How many epochs are skipped when a fencing token was too low. Epochs start at the clock's seconds, and the clocks of two
+/// incarnations may differ by some seconds.
+const EPOCH_STEP: u64 = 16;
 
-/// A rack whose owner has fallen silent, or has fenced this instance off.
+/// The last owner of a rack that nobody is heard to own: it was lost, or it has fenced this instance off.
 #[derive(Debug, Clone)]
 pub(super) struct FormerOwner {
-    /// Who owned it, as far as is known.
+    /// The owner, if known.
     pub(super) owner: Option<Instance>,
-    /// The highest token known there.
+    /// The highest fencing token known for the rack.
     token: Token,
     since: Time,
-    /// Whether the token was too low already.
+    /// Whether this instance was fenced off, which shows that its token was too low.
     fenced: bool,
 }
 
-/// Which members an instance has heard since it began.
+/// Counts the members that an instance has heard since it started.
 #[derive(Debug, Default)]
 pub(super) struct Startup {
-    /// When it heard the last one for the first time.
-    last: Option<Time>,
-    /// How many owned no racks when they were heard first.
-    fresh: usize,
-    /// How many did.
-    established: usize,
+    /// When a member was last heard for the first time.
+    last_heard: Option<Time>,
+    /// Members that owned no racks when they were heard first.
+    without_racks: usize,
+    /// Members that owned racks when they were heard first.
+    with_racks: usize,
 }
 
 impl Startup {
-    /// Takes note of a member that is heard for the first time, or again.
+    /// Counts a member that has become alive.
     pub(super) fn on_member_heard(&mut self, member: Option<&Member>, now: Time) {
-        self.last = Some(now);
+        self.last_heard = Some(now);
         let status = member.and_then(|member| member.status.as_ref());
         match status.is_some_and(|status| !status.racks.is_empty()) {
-            true => self.established += 1,
-            false => self.fresh += 1,
+            true => self.with_racks += 1,
+            false => self.without_racks += 1,
         }
     }
 
-    /// Tells whether all members seem to have started together: most of those that are known are heard, none of them owned
-    /// anything, and no further one has come for a while.
+    /// Returns whether all members seem to have started together: at least half of the `known` ones are heard, none of them
+    /// owned a rack, and none was heard for the first time within [`STARTUP_QUIET`].
     ///
-    /// After a loss of all instances callers wait for the first claims: 0.35 s less of that is as much work of all endpoints. One
-    /// that starts among others waits longer: a rack whose owner it hasn't heard yet is none of its business.
-    fn is_common(&self, known: usize, now: Time) -> bool {
-        let quiet = self.last.is_some_and(|at| now.since(at) >= STARTUP_QUIET);
-        quiet && self.established == 0 && self.fresh * 2 >= known
+    /// After a loss of all instances callers wait for the first claims, so these needn't wait for [`STARTUP_DELAY`]. An instance
+    /// that joins running ones waits that long, so that it doesn't claim racks whose owners it hasn't heard yet.
+    fn is_joint_start(&self, known: usize, now: Time) -> bool {
+        let quiet = self
+            .last_heard
+            .is_some_and(|at| now.since(at) >= STARTUP_QUIET);
+        quiet && self.with_racks == 0 && self.without_racks * 2 >= known
     }
 }
 
 impl Dispatcher {
-    /// Tells whether it has listened long enough to claim racks that nobody seems to own.
-    fn settled(&self, now: Time) -> bool {
+    /// Returns whether this instance has listened long enough after its start to claim racks that nobody seems to own.
+    fn is_startup_over(&self, now: Time) -> bool {
         let known = self.members.all().count();
-        now.since(self.began) >= STARTUP_DELAY || self.startup.is_common(known, now)
+        now.since(self.began) >= STARTUP_DELAY || self.startup.is_joint_start(known, now)
     }
 
-    /// Decides who owns what: gives up what another owns with a higher token, claims what nobody owns.
+    /// Gives up racks that another member owns with a higher token, and claims racks without an owner. A draining instance
+    /// hands its racks over instead.
     pub(super) fn update_ownership(&mut self, now: Time, out: &mut Effects) {
         self.update_owners();
         let owners = self.owners.clone();
@@ -115,7 +118,7 @@
             self.owner.yield_rack(rack, "another owns it", out);
         }
         for (rack, token) in self.owner.take_fenced() {
-            self.epoch = Epoch(self.epoch.0 + LEAP);
+            self.epoch = Epoch(self.epoch.0 + EPOCH_STEP);
             let former = FormerOwner {
                 owner: None,
                 token,
@@ -127,13 +130,14 @@
         self.former.retain(|rack, _| !owners.contains_key(rack));
         if self.draining() {
             self.hand_over_all(now, out);
-        } else if self.settled(now) {
+        } else if self.is_startup_over(now) {
             self.update_owners();
             self.claim_orphans(now, out);
         }
         self.update_owners();
     }
 
+    /// Claims the racks without an owner that fall to this instance.
     fn claim_orphans(&mut self, now: Time, out: &mut Effects) {
         let orphans = self.entry.orphans();
         if orphans.is_empty() {
@@ -147,34 +151,34 @@
             share: self.identity.share,
             racks: self.owner.racks().count(),
         });
-        let mine: Vec<RackId> = assign_racks(&orphans, &mut candidates)
+        let to_claim: Vec<RackId> = assign_racks(&orphans, &mut candidates)
             .into_iter()
             .filter(|(_, owner)| owner == own)
             .map(|(rack, _)| rack)
             .collect();
-        let mine: Vec<RackId> = mine
+        let to_claim: Vec<RackId> = to_claim
             .into_iter()
             .filter(|rack| self.is_claimable(*rack, now, out))
             .collect();
-        if mine.is_empty() {
+        if to_claim.is_empty() {
             return;
         }
         let token = self.next_token();
-        for rack in mine {
+        for rack in to_claim {
             self.owner.claim(rack, token, out);
         }
         self.owner.list(&self.roster.endpoints, now, out);
-        // The others must not place tasks by what the former owner said.
+        // Announces the claim at once, so that the others don't place tasks by the former owner's free room.
         self.announced = Time::default();
     }
 
-    /// Tells whether a rack that nobody is heard to own can be claimed.
+    /// Returns whether a rack that nobody is heard to own can be claimed. Probes its endpoints if it had an owner.
     pub(super) fn is_claimable(&mut self, rack: RackId, now: Time, out: &mut Effects) -> bool {
         let Some(former) = self.former.get(&rack).cloned() else {
             return true;
         };
         let free = match former.fenced {
-            true => now.since(former.since) >= FENCED,
+            true => now.since(former.since) >= FENCED_DELAY,
             false => {
                 let endpoints = &self.roster.endpoints;
                 let verdict = self.owner.probe(rack, former.token, endpoints, now, out);
@@ -187,7 +191,7 @@
         free
     }
 
-    /// Takes note of racks whose owner isn't heard any more.
+    /// Remembers the claims of an owner that was lost.
     pub(super) fn add_former_owner(&mut self, owner: &Instance, claims: &[Claim], now: Time) {
         for claim in claims {
             let former = FormerOwner {
@@ -200,6 +204,7 @@
         }
     }
 
+    /// Returns the other members that can own racks.
     pub(super) fn rack_candidates(&self) -> Vec<Candidate> {
         let members = self.members.available();
         let candidate = |m: &Member| {
@@ -214,15 +219,14 @@
         members.filter_map(candidate).collect()
     }
 
+    /// Returns a fencing token above all that are known.
     pub(super) fn next_token(&mut self) -> Token {
         self.epoch = Epoch(self.epoch.max(self.members.highest_epoch()).0 + 1);
         let name = self.identity.contact.name.as_str().as_bytes();
         Token::new(self.epoch, fnv(self.identity.incarnation, name))
     }
 
-    /// Finds the owner of each rack anew if claims have changed since it did so last.
-    ///
-    /// Done for each message, this took nine tenths of the processor time of 42 instances with 44 racks.
+    /// Updates the owner of each rack, unless no claim has changed since the last update: this is called for each message.
     pub(super) fn update_owners(&mut self) {
         let claims = (self.members.claim_changes(), self.owner.claims());
         if self.claims == Some(claims) {
@@ -243,42 +247,46 @@
         self.owners = Rc::new(owners);
     }
 
-    /// Gives a rack away that another member should have: one in its own data centre, or one with less to do.
+    /// Hands over at most one rack to a stable member in the rack's data centre, if this instance is in another data centre or
+    /// has more racks for its share.
     ///
-    /// Racks of an instance that was restarted stay with those that took them over. Without a way back, a data
-    /// centre whose only instance had been restarted owned none of its racks, and when it was cut off they could be
-    /// used by neither side.
+    /// After a restart an instance's racks are with others. If they stayed there, neither side could use them when its data
+    /// centre is cut off.
     pub(super) fn rebalance_racks(&mut self, now: Time, out: &mut Effects) {
-        if self.draining() || now.since(self.rebalanced) < REBALANCE {
+        if self.draining() || now.since(self.rebalanced) < REBALANCE_INTERVAL {
             return;
         }
         self.rebalanced = now;
-        let steady = |c: &Candidate| {
+        let is_stable = |c: &Candidate| {
             let member = self.members.get(&c.name);
-            member.is_some_and(|m| m.live && now.since(m.state_since) >= STEADY)
+            member.is_some_and(|m| m.live && now.since(m.state_since) >= MIN_UPTIME)
         };
-        let candidates: Vec<Candidate> =
-            self.rack_candidates().into_iter().filter(steady).collect();
+        let candidates: Vec<Candidate> = self
+            .rack_candidates()
+            .into_iter()
+            .filter(is_stable)
+            .collect();
         let centres: HashMap<RackId, String> = self.entry.racks().into_iter().collect();
         let own: Vec<RackId> = self.owner.racks().map(|(rack, _)| rack).collect();
-        let burden = |racks: usize, share: u32| racks as u64 * 1_000_000 / u64::from(share.max(1));
-        let mine = burden(own.len(), self.identity.share);
-        let home = &self.identity.centre;
+        let load = |racks: usize, share: u32| racks as u64 * 1_000_000 / u64::from(share.max(1));
+        let own_load = load(own.len(), self.identity.share);
+        let own_centre = &self.identity.centre;
         for rack in own {
             let Some(centre) = centres.get(&rack) else {
                 continue;
             };
-            let near = candidates.iter().filter(|c| c.centre == *centre);
-            let Some(next) = near.min_by_key(|c| burden(c.racks + 1, c.share)) else {
+            let local = candidates.iter().filter(|c| c.centre == *centre);
+            let Some(next) = local.min_by_key(|c| load(c.racks + 1, c.share)) else {
                 continue;
             };
-            if centre != home || burden(next.racks + 1, next.share) < mine {
+            if centre != own_centre || load(next.racks + 1, next.share) < own_load {
                 let next = next.name.clone();
                 return self.hand_over_rack(rack, &next, now, out);
             }
         }
     }
 
+    /// Hands a rack over to a member, with the runs and waiting tasks there.
     fn hand_over_rack(&mut self, rack: RackId, to: &Instance, now: Time, out: &mut Effects) {
         let Some(member) = self.members.get(to) else {
             return;
@@ -293,7 +301,7 @@
         self.announced = Time::default();
     }
 
-    /// Gives all racks to members that stay.
+    /// Hands all racks over to members that aren't draining.
     pub(super) fn hand_over_all(&mut self, now: Time, out: &mut Effects) {
         let racks: Vec<RackId> = self.owner.racks().map(|(rack, _)| rack).collect();
         if racks.is_empty() {
@@ -307,6 +315,7 @@
         }
     }
 
+    /// Takes a rack over from its former owner. A draining instance passes it on.
     pub(super) fn accept_handover(&mut self, handover: Handover, now: Time, out: &mut Effects) {
         self.epoch = self.epoch.max(handover.token.epoch());
         let token = self.next_token();
--- a/src/dispatch/reader.rs
+++ b/src/dispatch/reader.rs
@@ -1,8 +1,7 @@
-//! Who reads the list of endpoints from the store, and how its changes reach the others.
+//! Which instances read the list of endpoints from the store, and how changes reach the others.
 //!
-//! Every endpoint writes its row anew each second or two, and a read brings all that were written since the last one. Read by each of
-//! 147 instances, the rows of 1,100 endpoints were 29 MB a second in all, of which next to nothing had a meaning. In a data
-//! centre two instances read them, and tell the others what has changed.
+//! Endpoints renew their rows every second or two, so each read carries many rows without a change. In a large fleet it would cost
+//! too much traffic if every instance read them. In each data centre a few instances read, and send changes to the others.
 
 use std::{
     cmp::Reverse,
@@ -25,61 +24,61 @@
 };
 use crate::prelude::*;
 
-/// Instances of a data centre that read: while one of them finds the store, or itself, cut off, the others lose nothing.
+/// The number of instances in a data centre that read. With more than one, the others get changes while one is cut off.
 const READERS: usize = 2;
 
-/// How long after its last read an instance counts as one that reads: somewhat longer than from one read to the next. An
-/// endpoint that leaves may get tasks for two seconds after it said so, and another instance must have begun to read by then.
-const FRESH: Span = Span::millis(1_200);
+/// How long after its last read an instance counts as a reader. It's longer than the interval between reads, and short enough
+/// for another instance to start reading before tasks may no longer go to a leaving endpoint.
+const FRESH_FOR: Span = Span::millis(1_200);
 
-/// By how much later each further instance begins to read where too few do: those ahead of it have begun by then, and
-/// said so.
-const TURN: Span = Span::millis(100);
+/// The extra delay of each further instance before it starts to read when there are too few readers. Instances that are preferred
+/// to it have announced by then that they read.
+const TURN_DELAY: Span = Span::millis(100);
 
-/// After which it begins, however many are ahead of it.
-const LAST_TURN: Span = Span::millis(400);
+/// The longest delay before an instance starts to read, however many are preferred to it.
+const MAX_TURN_DELAY: Span = Span::millis(400);
 
-/// Endpoints in one change at the most, some 100 bytes each: who lacks more asks for the whole list in pieces, so that the others
-/// aren't sent it all at once.
-const LARGEST: usize = 200;
+/// The most endpoints in a change that is sent to others. After a larger change these fetch the whole list in pieces, so that the
+/// reader doesn't send it to all of them at once.
+const MAX_CHANGE: usize = 200;
 
-/// Whether this instance reads the list of endpoints from the store.
+/// Decides whether this instance reads the list of endpoints from the store.
 #[derive(Debug, Default)]
 pub(super) struct Reader {
-    /// When it has read last, unless a later call failed.
-    read: Option<Time>,
-    /// Whether it is to read.
-    due: bool,
-    /// Since when too few of those ahead of it read.
-    lacking: Option<Time>,
+    /// When it last read the list, or `None` if the last call failed.
+    last_read: Option<Time>,
+    /// Whether it reads.
+    reads: bool,
+    /// Since when there are too few readers among the instances that are preferred to it.
+    too_few_since: Option<Time>,
 }
 
 impl Reader {
-    /// Takes note of how a call to the store ended.
-    pub(super) fn on_read(&mut self, done: bool, now: Time) {
-        self.read = done.then_some(now);
+    /// Records the result of a read.
+    pub(super) fn on_read(&mut self, succeeded: bool, now: Time) {
+        self.last_read = succeeded.then_some(now);
     }
 
-    /// Tells whether it has read lately.
+    /// Returns whether it has read recently, which makes it count as a reader.
     pub(super) fn is_fresh(&self, now: Time) -> bool {
-        self.read.is_some_and(|at| now.since(at) < FRESH)
+        self.last_read.is_some_and(|at| now.since(at) < FRESH_FOR)
     }
 
-    /// Decides whether to read, where `ahead` others would sooner and `reading` of them do.
+    /// Decides whether to read, when `ahead` other instances are preferred to this one and `reading` of them read.
     fn decide(&mut self, ahead: usize, reading: usize, now: Time) {
         if reading >= READERS {
-            self.lacking = None;
-            self.due = false;
+            self.too_few_since = None;
+            self.reads = false;
             return;
         }
-        let since = *self.lacking.get_or_insert(now);
-        let turn = Span(TURN.0 * (ahead + 1).saturating_sub(READERS) as u64);
-        self.due |= now.since(since) >= turn.min(LAST_TURN);
+        let since = *self.too_few_since.get_or_insert(now);
+        let delay = Span(TURN_DELAY.0 * (ahead + 1).saturating_sub(READERS) as u64);
+        self.reads |= now.since(since) >= delay.min(MAX_TURN_DELAY);
     }
 }
 
 impl Roster {
-    /// Tells what has changed since an earlier version of the list.
+    /// Returns the changes since an earlier version of the list.
     pub fn changes_since(&self, earlier: &Self) -> RosterChange {
         let known: HashMap<&Endpoint, &Listing> =
             earlier.endpoints.iter().map(|l| (&l.id, l)).collect();
@@ -87,19 +86,19 @@
         let changed = changed.filter(|listing| known.get(&listing.id) != Some(listing));
         let listed: HashMap<&Endpoint, &Listing> =
             self.endpoints.iter().map(|l| (&l.id, l)).collect();
-        let gone = earlier.endpoints.iter().map(|listing| &listing.id);
+        let earlier_ids = earlier.endpoints.iter().map(|listing| &listing.id);
         RosterChange {
             after: earlier.version,
             version: self.version,
             changed: changed.cloned().collect(),
-            gone: gone
+            gone: earlier_ids
                 .filter(|id| !listed.contains_key(id))
                 .cloned()
                 .collect(),
         }
     }
 
-    /// Returns the list with a change, unless it lacks what came before the change, or has newer ones.
+    /// Returns the list with a change applied, or `None` if earlier changes are missing or the list is newer than the change.
     pub fn with_change(&self, change: &RosterChange) -> Option<Self> {
         if self.version < change.after || self.version > change.version {
             return None;
@@ -115,51 +114,55 @@
 }
 
 impl Dispatcher {
-    /// Tells whether this instance is to read the list of endpoints from the store.
+    /// Returns whether this instance reads the list of endpoints from the store. It does until it has a list.
     pub fn reads_roster(&self) -> bool {
-        !self.listed || self.reading.due
+        !self.listed || self.reading.reads
     }
 
-    /// Decides whether to read the list of endpoints.
+    /// Decides whether to read the list of endpoints, by the readers that members of the data centre announce.
     pub(super) fn decide_reading(&mut self, now: Time, out: &mut Effects) {
-        let near = self.members.available();
-        let near = near.filter(|member| member.centre == self.identity.centre);
+        let local = self.members.available();
+        let local = local.filter(|member| member.centre == self.identity.centre);
         let own = preference(self.identity.share, &self.identity.contact.name);
         let is_ahead = |member: &&Member| {
             let status = member.status.as_ref();
             status.is_some_and(|s| preference(s.share, &member.contact.name) < own)
         };
-        let ahead: Vec<&Member> = near.filter(is_ahead).collect();
-        let reads = |m: &&&Member| m.status.as_ref().is_some_and(|status| status.reading);
-        let reading = ahead.iter().filter(reads).count();
-        let (ahead, due) = (ahead.len(), self.reading.due);
+        let ahead: Vec<&Member> = local.filter(is_ahead).collect();
+        let is_reading = |m: &&&Member| m.status.as_ref().is_some_and(|status| status.reading);
+        let reading = ahead.iter().filter(is_reading).count();
+        let (ahead, was_reading) = (ahead.len(), self.reading.reads);
         self.reading.decide(ahead, reading, now);
-        if self.reading.due != due {
-            let event = if due { "reading_left" } else { "reading_begun" };
+        if self.reading.reads != was_reading {
+            let event = if was_reading {
+                "reading_left"
+            } else {
+                "reading_begun"
+            };
             let record = Record::new(event).with("ahead", ahead);
             out.outputs
                 .push(Output::Log(record.with("reading", reading)));
         }
     }
 
-    /// Tells the members of the data centre that don't read what has changed on the list of endpoints.
+    /// Sends the changes of the list of endpoints to the members of the data centre that don't read it.
     pub(super) fn send_roster_change(&self, earlier: &Roster, out: &mut Effects) {
         let change = self.roster.changes_since(earlier);
-        if change.changed.len() + change.gone.len() > LARGEST {
+        if change.changed.len() + change.gone.len() > MAX_CHANGE {
             return;
         }
-        let follows = |member: &&Member| {
+        let needs_changes = |member: &&Member| {
             let status = member.status.as_ref();
             member.centre == self.identity.centre && status.is_some_and(|s| !s.reading)
         };
-        for member in self.members.live().filter(follows) {
+        for member in self.members.live().filter(needs_changes) {
             let message = Message::RosterChange(Box::new(change.clone()));
             out.messages.push((member.contact.clone(), message));
         }
     }
 }
 
-/// Orders the instances of a data centre: the strongest read first, since the rows fill a weak machine's link.
+/// Returns the rank of an instance as a reader, the lowest first. Instances with a larger processor share are preferred.
 fn preference(share: u32, name: &Instance) -> (Reverse<u32>, u64) {
     (Reverse(share), weight(0, name.as_str()))
 }
--- a/src/dispatch/roster.rs
+++ b/src/dispatch/roster.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints, kept over outages of the store.
+//! The cached list of endpoints, which keeps entries over outages of the store.
 
 use std::collections::BTreeMap;
 
@@ -8,63 +8,67 @@
 };
 use crate::prelude::*;
 
-/// How long after the store has returned an entry may still be missing although its endpoint lives: endpoints
-/// write their entries anew within about two seconds.
-const RETURN: Span = Span::millis(2_300);
+/// How long after an outage of the store an entry may be missing while its endpoint is alive. Endpoints write their entries
+/// again within that time.
+const GRACE_PERIOD: Span = Span::millis(2_300);
 
-/// An endpoint as listed.
+/// An entry of the list of endpoints.
 #[derive(Debug, Clone, PartialEq)]
 struct Entry {
     listing: Listing,
-    /// When its row vanished, in or just after an outage.
-    lapsed: Option<Time>,
+    /// When its row went missing during an outage or just after one.
+    missing_since: Option<Time>,
 }
 
-/// What an instance has read of the list of endpoints.
+/// A cache of the list of endpoints.
 ///
-/// Entries lapse while the store is away, although their endpoints live. Taken for dead, all endpoints would get no
-/// task for two seconds after each outage. So an entry that vanishes in an outage, or shortly after one, is
-/// kept until its endpoint has had the time to come back.
+/// Rows expire during an outage of the store, since endpoints can't renew them. If these endpoints were dropped, they'd get no
+/// tasks until they have written their rows again. So an entry that goes missing during an outage or shortly after one is kept
+/// until its endpoint has had time to write it.
 #[derive(Debug, Default)]
 pub struct Cache {
     entries: BTreeMap<Endpoint, Entry>,
     version: u64,
     store: Store,
-    dirty: bool,
+    changed: bool,
 }
 
-/// How the store does.
+/// The availability of the store.
 #[derive(Debug, Default)]
 enum Store {
-    /// It has answered since long.
+    /// It answers, and endpoints have had time to write their rows since the last outage.
     #[default]
-    Well,
-    /// Its last answer was none.
-    Away,
-    /// It has answered again since then.
-    Back(Time),
+    Stable,
+    /// The last call failed.
+    Unavailable,
+    /// It has answered again since the given time.
+    Recovering(Time),
 }
 
 impl Cache {
-    /// Takes note that the store failed.
+    /// Records that a call to the store failed.
     pub fn on_store_failure(&mut self) {
-        self.store = Store::Away;
+        self.store = Store::Unavailable;
     }
 
-    /// Takes note that the store answered.
+    /// Records that the store answered.
     ///
-    /// Endpoints have their time from its return on, not from the last call that failed: that may have been a second before, and
-    /// a quarter of all endpoints were taken for gone that were just about to write their entries anew.
+    /// The grace period starts with the first answer after an outage, not with the last failed call: that may be a second
+    /// earlier, and endpoints would be dropped just before they write their rows again.
     pub fn on_store_answer(&mut self, now: Time) {
         match self.store {
-            Store::Away => self.store = Store::Back(now),
-            Store::Back(since) if now.since(since) >= RETURN => self.store = Store::Well,
+            Store::Unavailable => self.store = Store::Recovering(now),
+            Store::Recovering(since) if now.since(since) >= GRACE_PERIOD => {
+                self.store = Store::Stable
+            }
             _ => {}
         }
     }
 
-    /// Takes over what peers told of endpoints that this instance hasn't read itself. One that starts while the store is away
-    /// knows them from its peers alone; those that are missing when the store returns are no more gone for it than for them.
+    /// Replaces the entries by a list that peers sent, unless that's older.
+    ///
+    /// An instance that starts during an outage of the store has the list only from its peers. Entries that are missing when the
+    /// store is back get the grace period here too.
     pub fn merge_peer_roster(&mut self, roster: &Roster) {
         if roster.version < self.version {
             return;
@@ -72,58 +76,60 @@
         self.version = roster.version;
         let mut known = std::mem::take(&mut self.entries);
         for listing in &roster.endpoints {
-            let lapsed = known.remove(&listing.id).and_then(|entry| entry.lapsed);
+            let missing_since = known
+                .remove(&listing.id)
+                .and_then(|entry| entry.missing_since);
             let entry = Entry {
                 listing: listing.clone(),
-                lapsed,
+                missing_since,
             };
             self.entries.insert(listing.id.clone(), entry);
         }
     }
 
-    /// Takes a row that has changed.
+    /// Adds or replaces an entry whose row has changed.
     pub fn set(&mut self, listing: Listing, version: u64) {
         let id = listing.id.clone();
         let entry = Entry {
             listing,
-            lapsed: None,
+            missing_since: None,
         };
         if self.entries.get(&id) != Some(&entry) {
-            self.change(version);
+            self.mark_changed(version);
             self.entries.insert(id, entry);
         }
     }
 
-    /// Takes note that a row has vanished.
+    /// Removes an entry whose row is missing. During an outage of the store and [`GRACE_PERIOD`] after it, it's only marked.
     pub fn remove(&mut self, id: &Endpoint, version: u64, now: Time) {
-        let lapses = self.may_lapse(now);
+        let tolerated = self.tolerates_missing(now);
         let Some(entry) = self.entries.get_mut(id) else {
             return;
         };
-        if lapses {
-            entry.lapsed.get_or_insert(now);
+        if tolerated {
+            entry.missing_since.get_or_insert(now);
             return;
         }
         self.entries.remove(id);
-        self.change(version);
+        self.mark_changed(version);
     }
 
-    /// Takes note that a row doesn't name an endpoint any more, outage or not: its endpoint may be anything now, and gets no
-    /// task.
+    /// Removes an entry whose row has become malformed, also during an outage: nothing is known about the endpoint any more, so it
+    /// must get no tasks.
     pub fn remove_at_once(&mut self, id: &Endpoint, version: u64) {
         if self.entries.remove(id).is_some() {
-            self.change(version);
+            self.mark_changed(version);
         }
     }
 
-    /// Takes the whole list anew: what is not in it has vanished.
+    /// Replaces the whole list. Entries that aren't in it are handled as missing.
     pub fn replace_all(&mut self, listings: Vec<(Listing, u64)>, now: Time) {
         let version = listings.iter().map(|(_, v)| *v).max();
         let version = version.unwrap_or(self.version).max(self.version);
-        let listed = |id: &Endpoint| listings.iter().any(|(listing, _)| listing.id == *id);
+        let is_listed = |id: &Endpoint| listings.iter().any(|(listing, _)| listing.id == *id);
         let known = self.entries.keys();
-        let gone: Vec<Endpoint> = known.filter(|id| !listed(id)).cloned().collect();
-        for id in gone {
+        let missing: Vec<Endpoint> = known.filter(|id| !is_listed(id)).cloned().collect();
+        for id in missing {
             self.remove(&id, version, now);
         }
         for (listing, version) in listings {
@@ -131,31 +137,33 @@
         }
     }
 
-    fn change(&mut self, version: u64) {
+    /// Marks the list as changed at a version of the store.
+    fn mark_changed(&mut self, version: u64) {
         self.version = self.version.max(version);
-        self.dirty = true;
+        self.changed = true;
     }
 
-    /// Tells whether an entry may be missing although its endpoint lives.
-    fn may_lapse(&self, now: Time) -> bool {
+    /// Returns whether an entry may be missing while its endpoint is alive.
+    fn tolerates_missing(&self, now: Time) -> bool {
         match self.store {
-            Store::Well => false,
-            Store::Away => true,
-            Store::Back(since) => now.since(since) < RETURN,
+            Store::Stable => false,
+            Store::Unavailable => true,
+            Store::Recovering(since) => now.since(since) < GRACE_PERIOD,
         }
     }
 
-    /// Returns the list if it has changed since it was taken last.
+    /// Drops missing entries once the grace period is over, and returns the list if it has changed since the last call.
     pub fn take_changed(&mut self, now: Time) -> Option<Roster> {
-        if !self.may_lapse(now) {
+        if !self.tolerates_missing(now) {
             let before = self.entries.len();
-            self.entries.retain(|_, entry| entry.lapsed.is_none());
-            self.dirty |= self.entries.len() != before;
+            self.entries
+                .retain(|_, entry| entry.missing_since.is_none());
+            self.changed |= self.entries.len() != before;
         }
-        if !self.dirty {
+        if !self.changed {
             return None;
         }
-        self.dirty = false;
+        self.changed = false;
         let listings = self.entries.values().map(|entry| entry.listing.clone());
         Some(Roster {
             version: self.version,
--- a/src/dispatch/watch.rs
+++ b/src/dispatch/watch.rs
@@ -1,10 +1,11 @@
-//! How closely an instance watches another, and how often it tells it of itself.
+//! How closely members are watched, and how often they get heartbeats.
 //!
-//! All instances of a small fleet watch each other closely: ten heartbeats a second each way, and a death is found within
-//! [`HEARTBEAT_TIMEOUT`](super::member::HEARTBEAT_TIMEOUT). In a large one these took half of a weak machine's processor share: with 147 instances
-//! each sent and received 1,460 a second. There, an instance watches those closely with which it shares work, and its neighbours in
-//! its data centre, whose racks it takes over; all others are told of it at a bounded rate. Nobody is taken for gone without
-//! having been watched closely for a while, and who finds a member gone says so in its heartbeats.
+//! In a small fleet all instances watch each other closely: heartbeats go both ways every
+//! [`HEARTBEAT_INTERVAL`](super::member::HEARTBEAT_INTERVAL), and a failure is detected within
+//! [`HEARTBEAT_TIMEOUT`](super::member::HEARTBEAT_TIMEOUT). In a large fleet that would take too much processor time. There, an
+//! instance closely watches its neighbours in its data centre, whose racks it takes over, and the members with which it shares
+//! work. All others get heartbeats at a bounded total rate. A member counts as failed only after it was watched closely for
+//! [`MIN_WATCH`], and its loss is announced in heartbeats.
 
 use std::collections::HashSet;
 
@@ -14,121 +15,121 @@
 };
 use crate::prelude::*;
 
-/// The largest fleet in which everyone watches everyone closely: 470 heartbeats a second each way, a twentieth of a core.
-const SMALL: usize = 48;
+/// The largest fleet, this instance included, in which all instances watch each other closely.
+const MAX_FULL_MESH: usize = 48;
 
-/// Members of its data centre that an instance of a larger fleet always watches closely: 320 heartbeats a second each way.
+/// Members of its data centre that an instance of a large fleet always watches closely.
 const NEIGHBOURS: usize = 32;
 
-/// How long a member must have been watched closely before its silence counts: it hears within some milliseconds that it is, and
-/// four of its heartbeats fit. What a dead entry's batch runs, on a rack that was handed over just then, is stopped a second
-/// after its death, which is before its caller comes again.
+/// How long a member must have been watched closely before its silence counts as a failure. Several heartbeats fit, so that a
+/// member isn't lost just because it was told late to send them more often.
 pub const MIN_WATCH: Span = Span::millis(400);
 
-/// How long a member is watched closely after work was shared with it last, which mostly comes again.
+/// How long a member is watched closely after a reason for it was last seen.
 pub const WATCH_TIME: Span = Span::seconds(1);
 
-/// Heartbeats a second to members that aren't watched closely, all together, as long as [`LONGEST`] allows it.
-const RATE: u64 = 80;
+/// The total rate of heartbeats to members that aren't watched closely, per second, while [`MAX_INTERVAL`] allows it.
+const DISTANT_RATE: u64 = 80;
 
-/// The longest time between two heartbeats to a member: counts of waiting jobs are told with them, which may be two seconds old.
-const LONGEST: Span = Span::millis(1_500);
+/// The longest interval between heartbeats to a member. It bounds the age of the counts of waiting jobs that they carry.
+const MAX_INTERVAL: Span = Span::millis(1_500);
 
 /// How closely a member is watched.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Watch {
-    /// Whether it is a neighbour.
-    near: bool,
-    /// Until when this side needs to watch it.
-    needed: Time,
-    /// Until when the member watches this side.
-    asked: Time,
-    /// Since when it is watched closely.
+    /// Whether it's a neighbour, which is always watched closely.
+    neighbour: bool,
+    /// Until when this instance needs to watch it closely.
+    needed_until: Time,
+    /// Until when the member watches this instance closely.
+    peer_until: Time,
+    /// When the close watch started.
     since: Time,
-    /// When it was told of this instance last.
+    /// When it was last sent a heartbeat.
     pub heartbeat_sent: Time,
 }
 
 impl Watch {
-    /// Tells whether heartbeats go both ways at the short interval.
+    /// Returns whether the watch is close, for either side: heartbeats then go both ways at the short interval.
     pub fn is_close(&self, now: Time) -> bool {
-        self.is_needed_here(now) || now < self.asked
+        self.is_needed_here(now) || now < self.peer_until
     }
 
-    /// Tells whether this side has a reason of its own to watch it.
+    /// Returns whether this instance has a reason of its own to watch the member closely.
     pub fn is_needed_here(&self, now: Time) -> bool {
-        self.near || now < self.needed
+        self.neighbour || now < self.needed_until
     }
 
-    /// Tells whether its silence counts.
+    /// Returns whether the member has been watched closely for so long that its silence counts as a failure.
     pub fn is_conclusive(&self, now: Time) -> bool {
         self.is_close(now) && now.since(self.since) > MIN_WATCH
     }
 
-    /// Tells whether it hasn't been told of this instance since it is watched closely.
+    /// Returns whether it hasn't been sent a heartbeat since the close watch started.
     pub fn needs_first_heartbeat(&self) -> bool {
         self.heartbeat_sent < self.since
     }
 
-    /// Tells whether it is a neighbour.
+    /// Returns whether it's a neighbour.
     pub fn is_neighbour(&self) -> bool {
-        self.near
+        self.neighbour
     }
 
-    /// Watches it for a while.
+    /// Watches the member closely for [`WATCH_TIME`] from now on, for this instance's reasons.
     pub fn extend(&mut self, now: Time) {
-        self.begin(now);
-        self.needed = now + WATCH_TIME;
+        self.start(now);
+        self.needed_until = now + WATCH_TIME;
     }
 
-    /// Takes note that the member watches this side.
+    /// Watches the member closely for [`WATCH_TIME`] from now on, since it watches this instance.
     pub fn extend_for_peer(&mut self, now: Time) {
-        self.begin(now);
-        self.asked = now + WATCH_TIME;
+        self.start(now);
+        self.peer_until = now + WATCH_TIME;
     }
 
-    /// Takes note of whether it is a neighbour.
-    pub fn set_neighbour(&mut self, near: bool, now: Time) {
-        if near {
-            self.begin(now);
+    /// Sets whether it's a neighbour.
+    pub fn set_neighbour(&mut self, neighbour: bool, now: Time) {
+        if neighbour {
+            self.start(now);
         }
-        self.near = near;
+        self.neighbour = neighbour;
     }
 
-    fn begin(&mut self, now: Time) {
+    /// Records the start of the close watch, unless it's close already.
+    fn start(&mut self, now: Time) {
         if !self.is_close(now) {
             self.since = now;
         }
     }
 }
 
-/// Returns the time between two heartbeats to a member that isn't watched closely, in a fleet of `members`.
+/// Returns the interval between heartbeats to a member that isn't watched closely, when there are `members` of these.
 pub fn heartbeat_interval(members: usize) -> Span {
-    let even = Span(members as u64 * 1_000_000 / RATE);
-    even.min(LONGEST)
+    let interval = Span(members as u64 * 1_000_000 / DISTANT_RATE);
+    interval.min(MAX_INTERVAL)
 }
 
-/// Chooses the members that an instance always watches closely: all, where they are few; else those of its data centre, and where
-/// these are many, some, so that each has as many that watch it.
+/// Chooses the members that an instance always watches closely: in a small fleet all of them, else up to [`NEIGHBOURS`] of its
+/// data centre. The choice weighs pairs of instances the same from both sides, so that the watchers spread evenly.
 pub fn neighbours<'a>(
     own: &Instance,
     centre: &str,
     members: impl Iterator<Item = &'a Member>,
 ) -> HashSet<Instance> {
     let members: Vec<&Member> = members.collect();
-    if members.len() < SMALL {
+    if members.len() < MAX_FULL_MESH {
         let names = members.iter().map(|member| member.contact.name.clone());
         return names.collect();
     }
     let near = |member: &&&Member| member.live && member.centre == centre;
     let mut near: Vec<&Member> = members.iter().filter(near).copied().collect();
-    near.sort_by_cached_key(|member| pair(own, &member.contact.name));
+    near.sort_by_cached_key(|member| pair_weight(own, &member.contact.name));
     let names = near.iter().map(|member| member.contact.name.clone());
     names.take(NEIGHBOURS).collect()
 }
 
-/// Draws the weight of a pair, the same for both.
-fn pair(one: &Instance, other: &Instance) -> u64 {
+/// Returns the weight of a pair of instances, the same in either order.
+fn pair_weight(one: &Instance, other: &Instance) -> u64 {
     let (first, second) = (one.min(other), one.max(other));
     weight(0, &format!("{first} {second}"))
 }
