--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -1,7 +1,7 @@
-//! The dispatcher of leased tasks, over orders of events: dispatchers, endpoints and callers in one simulated world.
+//! Simulation tests of the dispatcher with endpoints, callers and faults.
 //!
-//! At every moment no task runs twice; at the end a job that was always told "not run" was never started, and one
-//! that was told complete has every task done.
+//! In all of them no task may run twice at the same time, a job whose every answer was a refusal may never have started, and all
+//! tasks of a job that was answered as completed must be done.
 
 #[path = "dispatch/crashes.rs"]
 mod crashes;
@@ -56,7 +56,7 @@
     *answer == Answer::Completed
 }
 
-/// Callers hand in jobs at three instances while nothing fails. Every job is complete, and nothing is stopped.
+/// Without faults every job completes, and no run is stopped.
 #[test]
 fn calm_jobs_complete() {
     let mut world = World::new(1, 3, 2, CALM);
@@ -67,9 +67,8 @@
     assert_eq!(world.stopped, 0);
 }
 
-/// An instance dies with racks, runs and callers. Its callers come again elsewhere after 1.3 s; until then the
-/// other owners have stopped what it had with them, and a new owner has cleared its endpoints. Nothing runs twice,
-/// and work goes on.
+/// An instance crashes that owns racks and has callers. Its runs must be stopped before its callers retry elsewhere, or their
+/// tasks would run twice.
 #[test]
 fn owner_dies() {
     for seed in 0..10 {
@@ -82,8 +81,8 @@
     }
 }
 
-/// An instance stands still for 3.5 s and wakes. Others have taken its racks over; it must neither start, nor
-/// extend, nor answer by what it believed before.
+/// An instance is suspended while others take its racks over. After it resumes it must not start, extend or answer anything by its
+/// old state.
 #[test]
 fn frozen_owner_wakes() {
     for seed in 0..10 {
@@ -95,9 +94,8 @@
     }
 }
 
-/// Instances are cut from each other while all reach the endpoints, so that both sides take the other for dead. If each
-/// claimed the other's racks, they would fence each other off by turns and stop all that runs. They leave them alone
-/// while something runs there, and each side goes on with its own.
+/// A network partition between instances that all reach the endpoints. If each side claimed the other's racks, they would fence
+/// each other off by turns and stop all runs.
 #[test]
 fn instances_cut_apart() {
     for seed in 0..10 {
@@ -111,8 +109,8 @@
     }
 }
 
-/// Orders get no answer and are carried out seconds later. A start is sent again, which an endpoint that has it
-/// confirms; one that comes late finds its lease passed or its run barred.
+/// Orders get no answer and are carried out seconds later. A late start must find its lease expired or its run barred, or the task
+/// would run twice.
 #[test]
 fn orders_applied_late() {
     let faults = Faults { late: 0.1, ..CALM };
@@ -125,8 +123,8 @@
     }
 }
 
-/// Endpoints carry orders out and answer none for 3 s. Their runs count as gone only when every lease that they may
-/// have been given has passed on clocks that are up to 2 % slow; then the tasks run elsewhere.
+/// Endpoints carry orders out but don't answer for 3 s. Their tasks may be retried elsewhere only after all leases have expired,
+/// also on clocks that are up to 2 % slow.
 #[test]
 fn endpoints_fall_silent() {
     for seed in 0..10 {
@@ -140,7 +138,7 @@
     }
 }
 
-/// An endpoint crashes. Its runs are gone at once, and its tasks run elsewhere without waiting for leases.
+/// An endpoint crashes. Its tasks must be retried elsewhere without waiting for leases.
 #[test]
 fn endpoint_crashes() {
     let mut world = World::new(3, 3, 2, CALM);
@@ -151,7 +149,7 @@
     assert_eq!(world.count(completed), 60);
 }
 
-/// An endpoint says that it leaves. Nothing new starts there from the moment that the instances have read it.
+/// An endpoint announces that it leaves. Nothing may be started there once the instances have read that.
 #[test]
 fn leaving_endpoint_gets_nothing_new() {
     let mut world = World::new(4, 3, 2, CALM);
@@ -165,14 +163,13 @@
     assert_eq!(world.count(completed), 60);
 }
 
-/// An instance gets SIGTERM. Its racks go to others with all that runs there: nothing is stopped, every caller gets
-/// its complete answer, and the instance ends.
+/// An instance drains. It must hand its racks over with their runs, answer its callers and end, without stopping a run.
 #[test]
 fn drain_cuts_nothing_off() {
     for seed in 0..10 {
         let mut world = World::new(seed, 3, 2, CALM);
         world.submit_jobs(60, Span::millis(150));
-        // The two that own a rack, by turns.
+        // Alternates between the two instances that own a rack.
         world.drain_at(Span::millis(1_000), 1 + seed as usize % 2);
         world.run(Span::seconds(12));
         world.finish_and_check();
@@ -187,8 +184,8 @@
     }
 }
 
-/// The only instance of a data centre is restarted, and another takes its rack over. When it has been back for a while it
-/// gets the rack again, with all that runs there: otherwise, cut off with its data centre, it would own nothing.
+/// The only instance of a data centre is restarted. It must get its rack back without stopping a run: otherwise the rack is
+/// unusable when that data centre is cut off.
 #[test]
 fn racks_return_home() {
     for seed in 0..5 {
@@ -206,8 +203,8 @@
     }
 }
 
-/// All instances lose power at once and start again, knowing nothing. Endpoints remember the highest token of the lives
-/// before; the new claims must be above it, or each is refused and the service stays away for seconds.
+/// All instances crash and restart without state. Their new fencing tokens must be above those that endpoints remember, or claims
+/// would be refused and nothing would run for seconds.
 #[test]
 fn all_die_and_come_back() {
     let mut world = World::new(8, 3, 2, CALM);
@@ -224,7 +221,7 @@
     assert!(world.count(completed) - before >= 20);
 }
 
-/// Runs fail at random. A task is run again up to its attempts, and the job is told failed only after that.
+/// Runs fail at random. A job may fail only after a task has used up its attempts.
 #[test]
 fn runs_fail() {
     let faults = Faults {
@@ -238,22 +235,16 @@
     assert!(world.count(completed) > 50, "{}", world.count(completed));
 }
 
-/// More work comes than there is room for, so that tasks that wait are sent back to their entries and placed elsewhere,
-/// and instances that end hand their racks over with what is left of each batch. A connection breaks now and then: what
-/// the next owner says of a batch then comes before what the former one said, and an entry gives batches up that have
-/// moved meanwhile. A report must count for no more than its sender knows.
-///
-/// Where a report stood for the whole batch, a caller was told complete while a task that had been sent back had never run:
-/// at 3,360 ms three tasks went to instance-1, which sent task 1 back; at 3,531 ms `rack_handed_over` to instance-3, which
-/// ended task 3; at 3,727 ms `job_answered` `Completed`. Where a former owner's word was taken for the batch, a caller
-/// was told that nothing was run: `task_done` at 4,547 ms, the rack handed over at 4,883 ms, `Refused` at 5,215 ms.
+/// Racks are handed over under overload while connections break, so reports of a former and a new owner of a batch arrive out of
+/// order. A report must count only for the tasks that its sender had: otherwise a job is answered as completed before all of its
+/// tasks ran, or as refused after some ran.
 #[test]
 fn racks_move_while_links_break() {
     let faults = Faults {
         broken_links: 0.05,
         ..CALM
     };
-    // With them callers were told what is untrue: with 133 "complete" (1 of 400 seeds), with the others "not run" (7 of 400).
+    // Seeds at which reports arrive in an order that can lead to a wrong answer: "completed" at 133, "refused" at the others.
     for seed in [19, 33, 82, 133, 204, 228, 274, 348] {
         let mut world = World::new(seed, 6, 4, faults);
         world.submit_jobs(120, Span::millis(20));
@@ -266,11 +257,10 @@
     }
 }
 
-/// Everything at once, at random moments, over many seeds: deaths, freezes, cuts, silence, crashes, drains, late orders,
-/// lost heartbeats, broken links and failing runs. What must hold does.
+/// All faults together at random times: no task runs twice, and no caller gets a wrong answer.
 #[test]
 fn faults_together() {
-    fn holds(seed: u64, kinds: Vec<u8>) -> bool {
+    fn check_faults(seed: u64, kinds: Vec<u8>) -> bool {
         let faults = Faults {
             late: 0.03,
             lost_heartbeats: 0.05,
@@ -301,12 +291,11 @@
     QuickCheck::new()
         .tests(40)
         .rng(Gen::from_size_and_seed(20, 17))
-        .quickcheck(holds as fn(u64, Vec<u8>) -> bool);
+        .quickcheck(check_faults as fn(u64, Vec<u8>) -> bool);
 }
 
-/// A caller connects just before an instance that was asked to end stops taking connections, and its request comes just
-/// after. The instance has nothing else to do; if it ended at once the caller would see its connection break. It
-/// goes on answering for a while, and says that the job was not run.
+/// A caller connects just before a draining instance stops accepting connections. The instance must stay up until the request can
+/// have arrived and been answered, or the caller would see its connection break.
 #[test]
 fn leaving_instance_answers_the_last_connections() {
     let identity = Identity {
@@ -319,13 +308,13 @@
         share: 250,
         epoch: Epoch(1),
     };
-    let begun = Time(1_000_000);
-    let mut dispatcher = Dispatcher::new(identity, begun);
-    dispatcher.step(begun, Input::Drain);
+    let start = Time(1_000_000);
+    let mut dispatcher = Dispatcher::new(identity, start);
+    dispatcher.step(start, Input::Drain);
     let mut closed = None;
     let mut drained = None;
     for tick in 1..600 {
-        let now = begun + Span::millis(tick * 10);
+        let now = start + Span::millis(tick * 10);
         for output in dispatcher.step(now, Input::Tick) {
             match output {
                 Output::Closed => closed = Some(now),
@@ -337,6 +326,6 @@
     let (closed, drained) = (closed.unwrap(), drained.unwrap());
     assert!(
         drained >= closed + PARTING + PARTING,
-        "idle connections are closed before it"
+        "the instance ended too soon after it closed"
     );
 }
--- a/tests/dispatch/evacuation.rs
+++ b/tests/dispatch/evacuation.rs
@@ -1,4 +1,4 @@
-//! The operator evacuates a data centre: nothing is started there while that stands, whatever else happens.
+//! Evacuation of data centres: no task may be started in one while it's evacuated, whatever else fails.
 
 use poplarknot::{
     dispatch::message::Answer,
@@ -14,26 +14,25 @@
     CALM, //
 };
 
-/// How long heartbeats may take to tell an instance what the store doesn't: three of them, and what is on its way.
-const TOLD: Span = Span::millis(350);
+/// How long it may take until heartbeats bring an evacuation to an instance that the store doesn't: three intervals and the transit.
+const HEARTBEAT_LAG: Span = Span::millis(350);
 
-/// How long a start that has left may be on its way.
-const WAY: Span = Span::millis(1);
+/// The longest transit time of a start.
+const TRANSIT: Span = Span::millis(1);
 
 fn refused(answer: &Answer) -> bool {
     matches!(answer, Answer::Refused { .. })
 }
 
-/// Checks that nothing was started in a data centre in a span that begins `after` from now, while time passes until its end.
+/// Runs for `span` and checks that nothing is started in a data centre later than `after` from now.
 fn run_without_starts(world: &mut World, centre: &str, after: Span, span: Span) {
     let from = world.now + after;
     world.run(span);
     assert_eq!(world.starts_in(centre, from, world.now), 0);
 }
 
-/// Callers hand in what the other data centre can carry while one of two is evacuated for 4 s. Its instances go on taking jobs; what runs there ends
-/// by itself, what waits there is started elsewhere at once, and no caller gets less than a complete answer. Taken back, it works
-/// again.
+/// One of two data centres is evacuated for 4 s. Its runs must end by themselves, waiting tasks must start elsewhere, and all jobs
+/// must complete. After that the data centre must get tasks again.
 #[test]
 fn evacuated_centre_gets_nothing_new() {
     for seed in 0..10 {
@@ -42,7 +41,7 @@
         world.evacuate_at(Span::millis(1_000), "ulemiste", Span::seconds(4));
         world.run(Span::millis(1_000));
         assert!(world.starts_in("ulemiste", Time(0), world.now) > 0);
-        run_without_starts(&mut world, "ulemiste", WAY, Span::millis(3_990));
+        run_without_starts(&mut world, "ulemiste", TRANSIT, Span::millis(3_990));
         let returned = world.now + Span::millis(10);
         world.run(Span::seconds(6));
         assert!(world.starts_in("ulemiste", returned, world.now) > 0);
@@ -52,8 +51,8 @@
     }
 }
 
-/// The store turns the only instance of the evacuated data centre away, which owns its endpoints. It hears of the evacuation from
-/// its peers, and of its end.
+/// The owner of the evacuated data centre's endpoints can't read the store. It must learn of the evacuation and of its end from
+/// heartbeats.
 #[test]
 fn evacuation_reaches_whom_the_store_turns_away() {
     for seed in 0..10 {
@@ -62,7 +61,7 @@
         world.deny_store_at(Span::millis(500), 1, Span::seconds(20));
         world.evacuate_at(Span::millis(1_000), "maardu", Span::seconds(4));
         world.run(Span::millis(1_000));
-        run_without_starts(&mut world, "maardu", TOLD, Span::millis(3_990));
+        run_without_starts(&mut world, "maardu", HEARTBEAT_LAG, Span::millis(3_990));
         let returned = world.now + Span::millis(10);
         world.run(Span::seconds(6));
         assert!(world.starts_in("maardu", returned, world.now) > 0);
@@ -71,8 +70,8 @@
     }
 }
 
-/// All instances lose power while a data centre is evacuated. They start again knowing nothing; one of them is turned away by the
-/// store, and hears of the evacuation with the first heartbeat of a peer, before it owns anything.
+/// All instances crash during an evacuation and restart without state, and one of them can't read the store. It must learn of the
+/// evacuation from a heartbeat before it owns a rack.
 #[test]
 fn evacuation_outlives_all_instances() {
     for seed in 0..5 {
@@ -84,15 +83,14 @@
         for i in 0..3 {
             world.kill_at(Span::millis(1), i, Span::millis(1_000 + 40 * i as u64));
         }
-        run_without_starts(&mut world, "maardu", WAY, Span::millis(6_400));
+        run_without_starts(&mut world, "maardu", TRANSIT, Span::millis(6_400));
         world.run(Span::seconds(8));
         world.finish_and_check();
         assert!(world.count(completed) > 60, "{}", world.count(completed));
     }
 }
 
-/// An instance dies while its data centre is evacuated, and starts again; later it is asked to end. Racks change their owners
-/// three times, and no owner starts anything there.
+/// During an evacuation racks change owners by a crash, a restart and a drain. No owner may start a task there.
 #[test]
 fn evacuation_goes_along_with_racks() {
     for seed in 0..5 {
@@ -102,15 +100,15 @@
         world.kill_at(Span::millis(1_500), 1, Span::seconds(1));
         world.drain_at(Span::millis(6_000), 3);
         world.run(Span::millis(500));
-        run_without_starts(&mut world, "maardu", WAY, Span::millis(8_990));
+        run_without_starts(&mut world, "maardu", TRANSIT, Span::millis(8_990));
         world.run(Span::seconds(6));
         world.finish_and_check();
         assert!(world.count(completed) > 70, "{}", world.count(completed));
     }
 }
 
-/// One data centre is taken back as the other is evacuated, while callers hand in what one can carry. At no moment is the wrong one left
-/// out, and every caller gets a complete answer.
+/// One data centre is evacuated as soon as the evacuation of the other ends. Tasks must start only in the one that isn't evacuated,
+/// and all jobs must complete.
 #[test]
 fn evacuations_follow_each_other() {
     for seed in 0..6 {
@@ -119,17 +117,16 @@
         world.evacuate_at(Span::millis(500), "maardu", Span::seconds(3));
         world.evacuate_at(Span::millis(3_500), "ulemiste", Span::seconds(3));
         world.run(Span::millis(500));
-        run_without_starts(&mut world, "maardu", WAY, Span::millis(2_990));
+        run_without_starts(&mut world, "maardu", TRANSIT, Span::millis(2_990));
         world.run(Span::millis(10));
-        run_without_starts(&mut world, "ulemiste", WAY, Span::millis(2_990));
+        run_without_starts(&mut world, "ulemiste", TRANSIT, Span::millis(2_990));
         world.run(Span::seconds(6));
         world.finish_and_check();
         assert_eq!(world.count(completed), 60, "seed {seed}");
     }
 }
 
-/// Every data centre is evacuated. A caller's job can run nowhere: it is refused at once, with a time to come back, and so is what
-/// waited and had not begun. Nothing of what is refused ever runs.
+/// All data centres are evacuated. New jobs and those that haven't started must be refused at once, and must never run.
 #[test]
 fn jobs_that_can_run_nowhere_are_refused_at_once() {
     let mut world = World::new(5, 3, 4, CALM);
@@ -137,7 +134,7 @@
     world.evacuate_at(Span::millis(1_000), "maardu", Span::seconds(6));
     world.evacuate_at(Span::millis(1_000), "ulemiste", Span::seconds(6));
     world.run(Span::millis(1_000));
-    let from = world.now + WAY;
+    let from = world.now + TRANSIT;
     world.run(Span::seconds(4));
     assert_eq!(world.starts_in("maardu", from, world.now), 0);
     assert_eq!(world.starts_in("ulemiste", from, world.now), 0);
@@ -145,8 +142,8 @@
         let at_once = seen.at.since(seen.since) <= Span::millis(20);
         assert!(seen.answer.as_ref().is_some_and(refused) && at_once);
     }
-    let waited = |seen: &&CallerView| seen.since <= from && seen.at > from && seen.refused;
-    for seen in world.jobs.values().filter(waited) {
+    let was_waiting = |seen: &&CallerView| seen.since <= from && seen.at > from && seen.refused;
+    for seen in world.jobs.values().filter(was_waiting) {
         assert!(seen.at.since(from) <= Span::millis(50), "{seen:?}");
     }
     world.finish_and_check();
--- a/tests/dispatch/placement.rs
+++ b/tests/dispatch/placement.rs
@@ -1,4 +1,4 @@
-//! Where tasks go: away from endpoints that fail them, and to where there is space now.
+//! Placement of tasks away from endpoints that fail them.
 
 use poplarknot::{
     dispatch::message::Answer,
@@ -11,8 +11,8 @@
     CALM, //
 };
 
-/// One endpoint in eight fails whatever it starts, and is done with it at once, so that it always has room. A task that failed there went
-/// there again, until its attempts were used up: the caller was told that its job had failed, though all other endpoints were sound.
+/// One endpoint in eight fails all runs at once, so it always has room. A task that failed there must be retried elsewhere:
+/// otherwise it would use up its attempts there and its job would fail, though all other endpoints are healthy.
 #[test]
 fn failed_task_goes_elsewhere() {
     for seed in 0..8 {
--- a/tests/dispatch/rows.rs
+++ b/tests/dispatch/rows.rs
@@ -1,4 +1,4 @@
-//! The platform's store as the dispatcher sees it: rows in shards, changed under a condition.
+//! A stand-in for the platform's store: rows in shards, with conditional writes.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,10 @@
     },
 };
 
-/// Rows in a page.
-const PAGE: usize = 20;
+/// The number of rows in a page.
+const PAGE_SIZE: usize = 20;
 
-/// The store.
+/// The rows of the store.
 #[derive(Debug, Default)]
 pub(crate) struct Rows {
     rows: BTreeMap<(ShardId, String), (Vec<u8>, u64)>,
@@ -21,7 +21,7 @@
 }
 
 impl Rows {
-    /// Carries a request out.
+    /// Executes a request.
     pub(crate) fn execute(&mut self, request: &StoreRequest) -> StoreReply {
         match request {
             StoreRequest::Read { shard, after } => {
@@ -29,12 +29,12 @@
                 let row = |((_, key), (value, version)): (&(ShardId, String), &(Vec<u8>, u64))| {
                     (key.clone(), value.clone(), *version)
                 };
-                let later = |(key, ..): &(String, Vec<u8>, u64)| {
+                let is_after = |(key, ..): &(String, Vec<u8>, u64)| {
                     after.as_ref().is_none_or(|after| key > after)
                 };
-                let mut rows: Vec<_> = all.map(row).filter(later).collect();
-                let more = rows.len() > PAGE;
-                rows.truncate(PAGE);
+                let mut rows: Vec<_> = all.map(row).filter(is_after).collect();
+                let more = rows.len() > PAGE_SIZE;
+                rows.truncate(PAGE_SIZE);
                 StoreReply::Rows(rows, more)
             }
             StoreRequest::Find { shard, key } => {
--- a/tests/dispatch/stored.rs
+++ b/tests/dispatch/stored.rs
@@ -1,4 +1,4 @@
-//! Stored jobs: what was accepted runs whole and no task of it twice, whatever is lost but the store.
+//! Stored jobs: an accepted job completes, and none of its tasks runs twice, while the store survives.
 
 use poplarknot::prelude::*;
 use quickcheck::{
@@ -20,7 +20,7 @@
     world
 }
 
-/// Callers hand in jobs of two steps while nothing fails. Each is accepted at once, and every task of it runs once.
+/// Without faults every job of two steps is accepted, and each of its tasks runs once.
 #[test]
 fn calm_jobs_run_once() {
     let mut world = world(1, 3, CALM);
@@ -32,8 +32,8 @@
     assert_eq!(runs, tasks, "no task was started twice");
 }
 
-/// The instance that coordinates some of the jobs dies with its memory. Another one reads what was accepted and which
-/// runs have ended from the store, waits until what the dead one started has ended, and runs the rest.
+/// A coordinator crashes. The next one must read the jobs and ended runs from the store, wait until the runs of the former one
+/// have ended, and run the rest.
 #[test]
 fn coordinator_dies() {
     for seed in 0..10 {
@@ -46,7 +46,7 @@
     }
 }
 
-/// All instances die at once: nothing but the store is left.
+/// All instances crash at once, and only the store survives.
 #[test]
 fn all_instances_die() {
     for seed in 0..5 {
@@ -60,7 +60,7 @@
     }
 }
 
-/// A coordinator stands still while another takes its jobs over, and wakes: what it writes then must change nothing.
+/// A coordinator is suspended while another one takes its jobs over. Its writes after it resumes must change nothing.
 #[test]
 fn coordinator_wakes() {
     for seed in 0..10 {
@@ -72,13 +72,13 @@
     }
 }
 
-/// Plays faults of the kinds given, one every 900 ms, while links break, heartbeats and calls get lost, and runs fail.
-fn holds(seed: u64, kinds: Vec<u8>) -> bool {
-    play(seed, kinds, 0.02)
+/// Injects faults of the given kinds, one every 900 ms, besides broken links, lost heartbeats and calls, and failing runs.
+fn check_faults(seed: u64, kinds: Vec<u8>) -> bool {
+    check_faults_with(seed, kinds, 0.02)
 }
 
-/// Plays them with this share of messages that find their link broken.
-fn play(seed: u64, kinds: Vec<u8>, broken_links: f64) -> bool {
+/// Does the same with another share of broken links.
+fn check_faults_with(seed: u64, kinds: Vec<u8>, broken_links: f64) -> bool {
     let faults = Faults {
         lost_heartbeats: 0.03,
         failures: 0.02,
@@ -106,38 +106,34 @@
     true
 }
 
-/// Everything at once, at random moments: deaths, freezes, cuts, silence, crashes, broken links, an absent store, lost and
-/// late calls of it, and failing runs. What was accepted runs whole, and nothing is started after a noted end.
+/// All faults together at random times: an accepted job completes, and no task is started after its end was confirmed.
 #[test]
 fn faults_together() {
-    // A failed end came while its task waited to be placed again, and the task was forgotten.
-    play(45, vec![43, 131, 201, 0], 0.0);
-    // A cut-off instance took a shard for empty in which another had stored the first job since.
-    play(0, vec![107, 0], 0.0);
-    // A shard that was found empty before a cut was held, filled and given up on the other side of it.
-    play(0, vec![0, 0, 135, 10, 166], 0.0);
-    // An end came from a batch of another entry, which had the number of one of this instance's own.
-    play(25412, vec![201, 9, 0, 154], 0.0);
-    // The failed end of a former coordinator's run came late, and the task was placed again beside its new run.
-    holds(13536706581910095522, vec![5, 5, 2]);
+    // A failed run is reported while its task waits for a retry: the task must not be dropped.
+    check_faults_with(45, vec![43, 131, 201, 0], 0.0);
+    // A partitioned instance considers a shard empty in which another one has stored the first job meanwhile.
+    check_faults_with(0, vec![107, 0], 0.0);
+    // A shard that was empty before a partition is held, filled and released on the other side of it.
+    check_faults_with(0, vec![0, 0, 135, 10, 166], 0.0);
+    // An end belongs to a batch of another entry with the same serial number as one of this instance.
+    check_faults_with(25412, vec![201, 9, 0, 154], 0.0);
+    // A failed run of a former coordinator is reported late: the task must not be started beside its new run.
+    check_faults(13536706581910095522, vec![5, 5, 2]);
     QuickCheck::new()
         .tests(40)
         .rng(Gen::from_size_and_seed(20, 17))
-        .quickcheck(holds as fn(u64, Vec<u8>) -> bool);
+        .quickcheck(check_faults as fn(u64, Vec<u8>) -> bool);
 }
 
-/// A task runs once more after its end. Its coordinator counts the end, and is overtaken by an instance on the other side of
-/// a cut before that is stored. This one doesn't hear of the end and gives the task out again. A third instance takes the
-/// shard over, hears of the end and lets the endpoint forget it as if nothing had been started since: what the second one
-/// gave out stands nowhere in the store.
+/// A coordinator loses a shard before an end is stored, and the next one starts the task again. The coordinator after that must
+/// not confirm the first end while the second run, of which the store has no trace, may go on.
 #[test]
 fn end_is_heard_two_takeovers_later() {
-    holds(2000115, vec![44, 44, 0]);
+    check_faults(2000115, vec![44, 44, 0]);
 }
 
-/// Two instances don't reach each other, and all others reach both. A rack goes to one of them with batches of the other,
-/// which hears so from the former owner. The new owner drops them and can't say so, and their entry would ask it in vain for
-/// as long as the cut lasts: it had given that instance up before, and would not do so again. The jobs hung.
+/// A rack moves with its batches to an instance that their entry can't reach and has already lost. The entry must give those
+/// batches up, or their jobs would hang for as long as the two are disconnected.
 #[test]
 fn rack_moves_to_an_instance_that_is_lost() {
     for seed in [0, 5, 10, 15, 20] {
@@ -154,8 +150,8 @@
     }
 }
 
-/// Answers of the store are lost, and some of its writes are made seconds later, over newer ones if nothing bars them:
-/// progress would go back, and tasks run again.
+/// Replies of the store are lost, and some writes are carried out seconds later. They must not overwrite newer progress, or tasks
+/// would run again.
 #[test]
 fn late_writes_change_nothing() {
     for seed in 0..10 {
@@ -172,7 +168,7 @@
     }
 }
 
-/// The store is away while jobs run: their ends are kept at the endpoints until it is back, and no task runs again.
+/// The store is unavailable while jobs run. Endpoints must keep the ends until it's back, so that no task runs again.
 #[test]
 fn store_away() {
     for seed in 0..5 {
@@ -184,8 +180,8 @@
     }
 }
 
-/// Instances are cut from each other while all reach endpoints and the store: two of them may take themselves for the
-/// coordinator of a shard. The lock in the store tells which one is.
+/// A network partition between instances that all reach endpoints and the store. Two may consider themselves coordinator of a
+/// shard, and the lock row must fence one of them off.
 #[test]
 fn instances_cut_apart() {
     for seed in 0..10 {
--- a/tests/dispatch/world.rs
+++ b/tests/dispatch/world.rs
@@ -1,5 +1,4 @@
-//! A world of dispatchers, endpoints and callers on a simulated clock, with faults between them, and the judge of
-//! what must hold.
+//! A simulation of dispatchers, endpoints and callers on a simulated clock. It injects faults and checks invariants.
 
 use std::{
     cmp::Reverse,
@@ -67,18 +66,18 @@
     rows::Rows, //
 };
 
-/// Between ticks of an instance.
+/// The interval between ticks of an instance.
 const TICK: Span = Span::millis(10);
-/// One way between two parties.
-const WAY: u64 = 300;
-/// After which a call to the store counts as unanswered.
-const STORE_PATIENCE: Span = Span::millis(400);
-/// How long after a change of an endpoint's capacity starts may be on their way that didn't know it.
-const HEARD_OF: Span = Span::millis(20);
-/// After a broken connection, how long until a caller comes again.
-const RETRY: Span = Span::millis(1_300);
-
-/// What is wrong with the calls to endpoints and the messages between instances.
+/// The shortest transit time of a message, in microseconds.
+const TRANSIT_MICROS: u64 = 300;
+/// How long an instance waits for a reply of the store.
+const STORE_TIMEOUT: Span = Span::millis(400);
+/// How long after a change of an endpoint's capacity starts may arrive that were sent before the owner knew it.
+const CAPACITY_LAG: Span = Span::millis(20);
+/// How long after a broken connection a caller retries.
+const CALLER_RETRY: Span = Span::millis(1_300);
+
+/// The faults of calls to endpoints and the store, and of messages between instances.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Faults {
     /// The share of orders that get no answer and are carried out 2 to 6 s later.
@@ -87,11 +86,11 @@
     pub lost_heartbeats: f64,
     /// The share of runs that fail.
     pub failures: f64,
-    /// The share of messages to a peer that find their connection broken, and leave over a new one 250 to 400 ms later;
-    /// all after them wait for that.
+    /// The share of messages to a peer that hit a broken connection. They are sent over a new one 250 to 400 ms later, and later
+    /// messages wait for them.
     pub broken_links: f64,
-    /// The share of calls to the store that get no answer; half of them are carried out a little later, a quarter
-    /// much later, the others never.
+    /// The share of calls to the store that get no reply. Half of them are carried out soon, a quarter much later, and the
+    /// others never.
     pub lost_calls: f64,
 }
 
@@ -101,28 +100,28 @@
     Deliver(usize, u64, Box<Delivery>),
     Store(usize, u64, StoreCall, Box<StoreRequest>, bool),
     Stored(usize, u64, StoreCall, Box<StoreReply>),
-    StoreAway(bool),
+    StoreOutage(bool),
     Order(usize, usize, u64, CallId, Time, Box<Order>, bool),
     Reply(usize, u64, CallId, Time, Box<Reply>),
     Submit(usize, JobId, u32, u64, Span),
     Kill(usize, Span),
     Start(usize),
     Freeze(usize, Span),
-    Cut(HashSet<usize>, bool),
-    Part(usize, usize, bool),
-    Silence(usize, bool),
-    Sever(usize, bool),
-    Pace(usize, f64),
-    Fail(usize, bool),
+    Partition(HashSet<usize>, bool),
+    Disconnect(usize, usize, bool),
+    MuteEndpoint(usize, bool),
+    IsolateEndpoint(usize, bool),
+    SlowEndpoint(usize, f64),
+    FailRuns(usize, bool),
     Crash(usize),
     Drain(usize),
     Leave(usize),
     Evacuate(String, bool),
-    Down(usize, Span, u64),
-    BeginAnew(usize, u64),
-    Relist,
+    CrashAndRestart(usize, Span, u64),
+    RestartEndpoint(usize, u64),
+    PublishRoster,
     Resize(usize, u64),
-    TurnAway(usize, bool),
+    DenyStore(usize, bool),
 }
 
 #[derive(Debug)]
@@ -131,36 +130,39 @@
     Heartbeat(Sender, Heartbeat),
 }
 
-/// An instance and what its runtime would keep.
+/// An instance, with the state that its runtime would keep.
 struct Host {
     dispatcher: Option<Dispatcher>,
     contact: Contact,
     centre: String,
     life: u64,
-    frozen: Time,
-    /// The life and session of each peer that it speaks to.
-    lines: HashMap<Instance, (u64, u32, u64)>,
+    frozen_until: Time,
+    /// The incarnation and session of each peer, and how often they changed.
+    sessions: HashMap<Instance, (u64, u32, u64)>,
     tickets: HashMap<Ticket, JobId>,
-    fifo: HashMap<usize, Time>,
+    /// When the last message to each other instance arrives.
+    last_arrivals: HashMap<usize, Time>,
 }
 
-/// What became of a job, as its caller sees it.
+/// A job as its caller sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct CallerView {
     pub answer: Option<Answer>,
-    /// When its caller handed it in first.
+    /// When the caller first submitted it.
     pub since: Time,
+    /// When the last answer came.
     pub at: Time,
-    /// Every answer so far said that nothing was run.
+    /// Whether every answer so far said that nothing was run.
     pub refused: bool,
 }
 
-/// The world.
+/// The simulation.
 pub(crate) struct World {
     pub now: Time,
     pub hosts_up: usize,
     pub jobs: HashMap<JobId, CallerView>,
     pub workers: Vec<Worker>,
+    /// How many stop orders endpoints got.
     pub stopped: usize,
     hosts: Vec<Host>,
     events: BinaryHeap<Reverse<(Time, u64)>>,
@@ -169,55 +171,57 @@
     random: SmallRng,
     faults: Faults,
     needs: HashMap<TaskId, Room>,
-    takes: HashMap<JobId, Span>,
-    cut: HashSet<usize>,
-    /// Pairs of instances that don't reach each other, the lower one in front.
-    parted: HashSet<(usize, usize)>,
-    silent: HashSet<usize>,
-    /// Endpoints that nothing reaches.
-    severed: HashSet<usize>,
+    durations: HashMap<JobId, Span>,
+    /// The instances on one side of a network partition.
+    partition: HashSet<usize>,
+    /// Pairs of instances that don't reach each other, the lower number first.
+    disconnected: HashSet<(usize, usize)>,
+    /// Endpoints that carry orders out but don't answer.
+    muted: HashSet<usize>,
+    /// Endpoints that no order reaches.
+    isolated: HashSet<usize>,
     tickets: u64,
     roster: Roster,
     rows: Rows,
-    away: bool,
-    /// The data centres that the operator has evacuated.
+    store_down: bool,
+    /// The evacuated data centres.
     evacuation: Evacuation,
-    /// Instances that the store turns away: they hear nothing new from it.
-    turned_away: HashSet<usize>,
-    /// Whether jobs are stored, with two steps one after the other.
-    stored: bool,
-    /// Looks that wait for an end.
-    parked: Vec<Parked>,
-    /// Whether endpoints that are down leave calls without an answer, instead of refusing connections.
+    /// Instances that get no evacuations from the store.
+    store_denied: HashSet<usize>,
+    /// Whether jobs are stored. They then have two steps, the second after the first.
+    stores_jobs: bool,
+    /// Look orders that wait for an end of a run.
+    waiting_looks: Vec<WaitingLook>,
+    /// Whether endpoints that are down drop calls instead of refusing connections.
     crashes_silently: bool,
-    /// Jobs of which a task crashes each endpoint that starts it.
-    crashing: HashSet<JobId>,
-    /// How often endpoints crashed under each task.
+    /// Jobs whose first task crashes each endpoint that starts it.
+    crashing_jobs: HashSet<JobId>,
+    /// How often each task crashed an endpoint.
     pub crashes: HashMap<TaskId, usize>,
-    /// How long after an endpoint has begun anew its row says so.
+    /// How long after a restart of an endpoint its row is updated.
     row_lag: Span,
-    /// The capacity of each endpoint over the last moments, with the time at which it was changed.
+    /// The capacity of each resized endpoint, and when it was changed.
     resized: HashMap<usize, (Time, u64)>,
 }
 
-/// A look that waits: at which endpoint, until when, whose, and the order.
-type Parked = (usize, Time, (usize, u64, CallId, Time), Box<Order>);
+/// A waiting look order: the endpoint, its deadline, the call of an instance, and the order.
+type WaitingLook = (usize, Time, (usize, u64, CallId, Time), Box<Order>);
 
-/// A job is on time within this multiple of its work, and so much longer.
-const STRETCH: f64 = 1.6;
-const TARGET: Span = Span::millis(60);
+/// A job is on time if it takes no longer than this multiple of its work plus [`OBJECTIVE_TARGET`].
+const OBJECTIVE_STRETCH: f64 = 1.6;
+const OBJECTIVE_TARGET: Span = Span::millis(60);
 
-/// How many runs of a task may fail.
+/// The attempts of a task.
 const ATTEMPTS: u32 = 3;
 
-/// How many endpoints may crash under a task before its job may be given up.
-const CRASHES: usize = 2;
+/// How many endpoints a task may crash before its job may be given up.
+const MAX_CRASHES: usize = 2;
 
 const ROUTE: &str = "/q/";
 const HOST: &str = "queue.example";
 
 impl World {
-    /// Makes instances in two data centres, and racks of four endpoints in each.
+    /// Returns a simulation with instances and racks of four endpoints, spread over two data centres, after two seconds.
     pub(crate) fn new(seed: u64, instances: usize, racks: usize, faults: Faults) -> Self {
         let mut world = Self {
             now: Time(1_000_000),
@@ -232,21 +236,21 @@
             random: SmallRng::seed_from_u64(seed),
             faults,
             needs: HashMap::new(),
-            takes: HashMap::new(),
-            cut: HashSet::new(),
-            parted: HashSet::new(),
-            silent: HashSet::new(),
-            severed: HashSet::new(),
+            durations: HashMap::new(),
+            partition: HashSet::new(),
+            disconnected: HashSet::new(),
+            muted: HashSet::new(),
+            isolated: HashSet::new(),
             tickets: 0,
             roster: Roster::default(),
             rows: Rows::default(),
-            away: false,
+            store_down: false,
             evacuation: Evacuation::default(),
-            turned_away: HashSet::new(),
-            stored: false,
-            parked: Vec::new(),
+            store_denied: HashSet::new(),
+            stores_jobs: false,
+            waiting_looks: Vec::new(),
             crashes_silently: false,
-            crashing: HashSet::new(),
+            crashing_jobs: HashSet::new(),
             crashes: HashMap::new(),
             row_lag: Span::millis(100),
             resized: HashMap::new(),
@@ -270,7 +274,7 @@
             let slow = [0.0, 0.02, 0.01][i % 3];
             world.workers.push(Worker::new(listing, slow));
         }
-        world.list();
+        world.update_roster();
         for i in 0..instances {
             world.hosts.push(Host {
                 dispatcher: None,
@@ -280,10 +284,10 @@
                 },
                 centre: centre(i),
                 life: 0,
-                frozen: Time::default(),
-                lines: HashMap::new(),
+                frozen_until: Time::default(),
+                sessions: HashMap::new(),
                 tickets: HashMap::new(),
-                fifo: HashMap::new(),
+                last_arrivals: HashMap::new(),
             });
             world.start(i);
         }
@@ -291,20 +295,20 @@
         world
     }
 
-    fn list(&mut self) {
+    fn update_roster(&mut self) {
         self.roster.version += 1;
         let up = self.workers.iter().filter(|w| w.up);
         self.roster.endpoints = up.map(|w| w.listing.clone()).collect();
     }
 
-    fn at(&mut self, after: Span, event: Event) {
+    fn schedule(&mut self, after: Span, event: Event) {
         self.serial += 1;
         let serial = self.serial;
         self.events.push(Reverse((self.now + after, serial)));
         self.payloads.insert(serial, event);
     }
 
-    /// Lets time pass.
+    /// Advances time by a span. Checks after each event that no task runs twice.
     pub(crate) fn run(&mut self, span: Span) {
         let end = self.now + span;
         while let Some(Reverse((time, serial))) = self.events.peek().copied() {
@@ -316,11 +320,11 @@
             for worker in &mut self.workers {
                 worker.pass(time);
             }
-            self.answer_looks();
+            self.answer_waiting_looks();
             if let Some(event) = self.payloads.remove(&serial) {
-                self.happen(event);
+                self.handle(event);
             }
-            self.judge();
+            self.check_no_double_runs();
         }
         self.now = end;
     }
@@ -329,7 +333,7 @@
         let now = self.now;
         let host = &mut self.hosts[i];
         host.life += 1;
-        host.lines.clear();
+        host.sessions.clear();
         host.tickets.clear();
         let identity = Identity {
             contact: host.contact.clone(),
@@ -348,8 +352,8 @@
             service: "cells".to_owned(),
             attempts: ATTEMPTS,
             timeout: Span::seconds(4),
-            stretch: STRETCH,
-            target: TARGET,
+            stretch: OBJECTIVE_STRETCH,
+            target: OBJECTIVE_TARGET,
             ..Route::default()
         };
         let configuration = Configuration {
@@ -358,13 +362,13 @@
             ..Configuration::default()
         };
         self.feed(i, Input::Configured(Box::new(configuration)));
-        if !self.turned_away.contains(&i) {
+        if !self.store_denied.contains(&i) {
             self.feed(i, Input::Evacuated(self.evacuation.clone()));
         }
         self.feed(i, Input::Listed(self.roster.clone()));
         self.feed(i, Input::Found(contacts));
         let life = self.hosts[i].life;
-        self.at(TICK, Event::Tick(i, life));
+        self.schedule(TICK, Event::Tick(i, life));
     }
 
     fn feed(&mut self, i: usize, input: Input) {
@@ -380,7 +384,7 @@
 
     fn sender(&self, i: usize, to: &Instance) -> Sender {
         let host = &self.hosts[i];
-        let (incarnation, session, _) = host.lines.get(to).copied().unwrap_or_default();
+        let (incarnation, session, _) = host.sessions.get(to).copied().unwrap_or_default();
         Sender {
             contact: host.contact.clone(),
             centre: host.centre.clone(),
@@ -399,7 +403,7 @@
         match output {
             Output::Answer(ticket, answer) => {
                 if let Some(job) = self.hosts[i].tickets.remove(&ticket) {
-                    self.answered(job, answer);
+                    self.on_answer(job, answer);
                 }
             }
             Output::Call {
@@ -415,10 +419,10 @@
                 };
                 let sender = self.sender(i, &to.name);
                 // Messages of one pair arrive in order; a heartbeat may overtake them.
-                let earliest = self.now + self.way();
-                let fifo = self.hosts[i].fifo.entry(to_index).or_default();
-                *fifo = earliest.max(*fifo);
-                let delay = fifo.since(self.now);
+                let earliest = self.now + self.draw_transit();
+                let last_arrival = self.hosts[i].last_arrivals.entry(to_index).or_default();
+                *last_arrival = earliest.max(*last_arrival);
+                let delay = last_arrival.since(self.now);
                 let delivery = Box::new(Delivery::Message(sender, message));
                 self.post(i, to_index, delay, delivery);
             }
@@ -431,7 +435,7 @@
                         continue;
                     }
                     let sender = self.sender(i, &to.name);
-                    let delay = Span(WAY + self.random.random_range(0..400));
+                    let delay = Span(TRANSIT_MICROS + self.random.random_range(0..400));
                     let delivery = Box::new(Delivery::Heartbeat(sender, heartbeat.clone()));
                     self.post(i, to_index, delay, delivery);
                 }
@@ -441,8 +445,8 @@
                 incarnation,
                 session,
             } => {
-                let line = self.hosts[i].lines.entry(to.name).or_default();
-                *line = (incarnation, session, line.2 + 1);
+                let session_entry = self.hosts[i].sessions.entry(to.name).or_default();
+                *session_entry = (incarnation, session, session_entry.2 + 1);
             }
             Output::Drained => {
                 self.hosts[i].dispatcher = None;
@@ -462,39 +466,39 @@
                 let request = Box::new(request);
                 if self.random.random_bool(self.faults.lost_calls) {
                     let silent = Box::new(StoreReply::Silent);
-                    self.at(STORE_PATIENCE, Event::Stored(i, life, call, silent));
+                    self.schedule(STORE_TIMEOUT, Event::Stored(i, life, call, silent));
                     let after = match self.random.random_range(0..4) {
                         0 | 1 => Span::millis(3),
                         2 => Span(self.random.random_range(500_000..3_000_000)),
                         _ => return,
                     };
-                    self.at(after, Event::Store(i, life, call, request, false));
+                    self.schedule(after, Event::Store(i, life, call, request, false));
                 } else {
-                    let way = Span::millis(3);
-                    self.at(way, Event::Store(i, life, call, request, true));
+                    let transit = Span::millis(3);
+                    self.schedule(transit, Event::Store(i, life, call, request, true));
                 }
             }
             Output::Forget(_) | Output::Closed => {}
         }
     }
 
-    /// Draws how long a message to a peer is on its way.
-    fn way(&mut self) -> Span {
+    /// Draws the transit time of a message to a peer.
+    fn draw_transit(&mut self) -> Span {
         let share = self.faults.broken_links;
-        // Nothing is drawn where no link breaks: other faults come as they did.
+        // Without broken links nothing is drawn here, which keeps the random sequence of other faults.
         if share > 0.0 && self.random.random_bool(share) {
             return Span(self.random.random_range(250_000..400_000));
         }
-        Span(WAY + self.random.random_range(0..8_000))
+        Span(TRANSIT_MICROS + self.random.random_range(0..8_000))
     }
 
     fn post(&mut self, i: usize, to: usize, delay: Span, delivery: Box<Delivery>) {
-        let apart = self.cut.contains(&i) != self.cut.contains(&to);
-        if apart || self.parted.contains(&(i.min(to), i.max(to))) {
+        let apart = self.partition.contains(&i) != self.partition.contains(&to);
+        if apart || self.disconnected.contains(&(i.min(to), i.max(to))) {
             return;
         }
         let life = self.hosts[to].life;
-        self.at(delay, Event::Deliver(to, life, delivery));
+        self.schedule(delay, Event::Deliver(to, life, delivery));
     }
 
     fn call(&mut self, i: usize, call: CallId, id: &Endpoint, order: Order, patience: Span) {
@@ -508,46 +512,49 @@
         if late {
             let after = Span(self.random.random_range(2_000_000..6_000_000));
             let order = Box::new(order);
-            self.at(
+            self.schedule(
                 after,
                 Event::Order(worker, i, life, call, sent, order, true),
             );
-            self.at(
+            self.schedule(
                 patience,
                 Event::Reply(i, life, call, sent, Box::new(Reply::Silent)),
             );
             return;
         }
-        let way = Span(WAY + self.random.random_range(0..300));
+        let transit = Span(TRANSIT_MICROS + self.random.random_range(0..300));
         let order = Box::new(order);
-        self.at(way, Event::Order(worker, i, life, call, sent, order, false));
+        self.schedule(
+            transit,
+            Event::Order(worker, i, life, call, sent, order, false),
+        );
         // Only the first reply of a call counts.
-        self.at(
+        self.schedule(
             patience,
             Event::Reply(i, life, call, sent, Box::new(Reply::Silent)),
         );
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Tick(i, life) => {
                 if self.hosts[i].life != life || self.hosts[i].dispatcher.is_none() {
                     return;
                 }
-                if self.frozen(i) {
-                    let rest = self.hosts[i].frozen.since(self.now);
-                    return self.at(rest, Event::Tick(i, life));
+                if self.is_frozen(i) {
+                    let rest = self.hosts[i].frozen_until.since(self.now);
+                    return self.schedule(rest, Event::Tick(i, life));
                 }
                 self.feed(i, Input::Tick);
-                self.at(TICK, Event::Tick(i, life));
+                self.schedule(TICK, Event::Tick(i, life));
             }
             Event::Deliver(i, life, delivery) => {
                 if self.hosts[i].life != life {
                     return;
                 }
-                if self.frozen(i) {
-                    let rest = Span(self.hosts[i].frozen.since(self.now).0 + 1);
-                    return self.at(rest, Event::Deliver(i, life, delivery));
+                if self.is_frozen(i) {
+                    let rest = Span(self.hosts[i].frozen_until.since(self.now).0 + 1);
+                    return self.schedule(rest, Event::Deliver(i, life, delivery));
                 }
                 let input = match *delivery {
                     Delivery::Message(from, message) => Input::Received {
@@ -560,10 +567,10 @@
                 };
                 self.feed(i, input);
             }
-            Event::Order(w, ..) if self.severed.contains(&w) => {}
+            Event::Order(w, ..) if self.isolated.contains(&w) => {}
             Event::Order(w, i, life, call, sent, order, late) => {
                 let takes = match &*order {
-                    Order::Start { task, .. } => self.takes.get(&task.job).copied(),
+                    Order::Start { task, .. } => self.durations.get(&task.job).copied(),
                     _ => None,
                 };
                 let failing = self.workers[w].failing;
@@ -575,34 +582,40 @@
                         return;
                     }
                     let reply = Box::new(Reply::Unsent);
-                    return self.at(Span(WAY), Event::Reply(i, life, call, sent, reply));
+                    return self.schedule(
+                        Span(TRANSIT_MICROS),
+                        Event::Reply(i, life, call, sent, reply),
+                    );
                 }
                 if !self.workers[w].up {
                     let reply = Box::new(Reply::Reborn);
-                    return self.at(Span(WAY), Event::Reply(i, life, call, sent, reply));
+                    return self.schedule(
+                        Span(TRANSIT_MICROS),
+                        Event::Reply(i, life, call, sent, reply),
+                    );
                 }
                 if matches!(&*order, Order::Stop { .. }) {
                     self.stopped += 1;
                 }
                 let takes = takes.unwrap_or_default();
                 let reply = self.workers[w].obey(&order, &self.needs, takes, fails, now);
-                self.judge_room(w);
-                if self.crash_under(w, &order, &reply) {
+                self.check_capacity(w);
+                if self.crash_by_task(w, &order, &reply) {
                     return;
                 }
-                if self.silent.contains(&w) || late {
+                if self.muted.contains(&w) || late {
                     return;
                 }
                 if let (Order::Look { wait, .. }, Reply::Looked(lists)) = (&*order, &reply) {
                     if lists.ended.is_empty() && wait.0 > 0 {
-                        // It waits for an end, or until its time has passed.
+                        // The look waits for an end of a run or its deadline.
                         let look = (i, life, call, sent);
                         let until = now + *wait;
-                        return self.parked.push((w, until, look, order));
+                        return self.waiting_looks.push((w, until, look, order));
                     }
                 }
-                self.at(
-                    Span(WAY),
+                self.schedule(
+                    Span(TRANSIT_MICROS),
                     Event::Reply(i, life, call, sent, Box::new(reply)),
                 );
             }
@@ -610,97 +623,97 @@
                 if self.hosts[i].life != life {
                     return;
                 }
-                if self.frozen(i) {
-                    let rest = Span(self.hosts[i].frozen.since(self.now).0 + 1);
-                    return self.at(rest, Event::Reply(i, life, call, sent, reply));
+                if self.is_frozen(i) {
+                    let rest = Span(self.hosts[i].frozen_until.since(self.now).0 + 1);
+                    return self.schedule(rest, Event::Reply(i, life, call, sent, reply));
                 }
                 let reply = *reply;
                 self.feed(i, Input::Called { call, sent, reply });
             }
             Event::Store(i, life, call, request, answered) => {
-                let reply = match self.away {
+                let reply = match self.store_down {
                     true => StoreReply::Refused,
                     false => self.rows.execute(&request),
                 };
                 if answered {
                     let reply = Box::new(reply);
-                    self.at(Span::millis(2), Event::Stored(i, life, call, reply));
+                    self.schedule(Span::millis(2), Event::Stored(i, life, call, reply));
                 }
             }
             Event::Stored(i, life, call, reply) => {
                 if self.hosts[i].life != life {
                     return;
                 }
-                if self.frozen(i) {
-                    let rest = Span(self.hosts[i].frozen.since(self.now).0 + 1);
-                    return self.at(rest, Event::Stored(i, life, call, reply));
+                if self.is_frozen(i) {
+                    let rest = Span(self.hosts[i].frozen_until.since(self.now).0 + 1);
+                    return self.schedule(rest, Event::Stored(i, life, call, reply));
                 }
                 let reply = *reply;
                 self.feed(i, Input::Stored { call, reply });
             }
-            Event::StoreAway(away) => self.away = away,
+            Event::StoreOutage(down) => self.store_down = down,
             Event::Submit(i, job, tasks, cpu, takes) => self.submit(i, job, tasks, cpu, takes),
             Event::Kill(i, down) => self.kill(i, down),
             Event::Start(i) => self.start(i),
-            Event::Freeze(i, span) => self.hosts[i].frozen = self.now + span,
-            Event::Cut(side, on) => {
-                self.cut = match on {
+            Event::Freeze(i, span) => self.hosts[i].frozen_until = self.now + span,
+            Event::Partition(side, on) => {
+                self.partition = match on {
                     true => side,
                     false => HashSet::new(),
                 };
             }
-            Event::Part(one, other, on) => {
+            Event::Disconnect(one, other, on) => {
                 match on {
-                    true => self.parted.insert((one, other)),
-                    false => self.parted.remove(&(one, other)),
+                    true => self.disconnected.insert((one, other)),
+                    false => self.disconnected.remove(&(one, other)),
                 };
             }
-            Event::Sever(w, on) => {
+            Event::IsolateEndpoint(w, on) => {
                 match on {
-                    true => self.severed.insert(w),
-                    false => self.severed.remove(&w),
+                    true => self.isolated.insert(w),
+                    false => self.isolated.remove(&w),
                 };
             }
-            Event::Silence(w, on) => {
+            Event::MuteEndpoint(w, on) => {
                 match on {
-                    true => self.silent.insert(w),
-                    false => self.silent.remove(&w),
+                    true => self.muted.insert(w),
+                    false => self.muted.remove(&w),
                 };
             }
-            Event::Pace(w, pace) => self.workers[w].pace = pace,
-            Event::Fail(w, on) => self.workers[w].failing = on,
+            Event::SlowEndpoint(w, pace) => self.workers[w].pace = pace,
+            Event::FailRuns(w, on) => self.workers[w].failing = on,
             Event::Crash(w) => {
                 let now = self.now;
                 self.workers[w].crash(now);
-                self.relist();
+                self.publish_roster();
             }
             Event::Leave(w) => {
                 self.workers[w].listing.draining = true;
-                self.relist();
+                self.publish_roster();
             }
             Event::Drain(i) => self.feed(i, Input::Drain),
-            Event::Down(w, span, ahead) => {
+            Event::CrashAndRestart(w, span, ahead) => {
                 let now = self.now;
                 self.workers[w].crash(now);
                 (self.workers[w].up, self.workers[w].down) = (true, true);
-                self.at(span, Event::BeginAnew(w, ahead));
+                self.schedule(span, Event::RestartEndpoint(w, ahead));
             }
-            Event::BeginAnew(w, ahead) => {
+            Event::RestartEndpoint(w, ahead) => {
                 let now = self.now;
                 self.workers[w].begin_anew(now, ahead);
-                self.at(self.row_lag, Event::Relist);
+                self.schedule(self.row_lag, Event::PublishRoster);
             }
-            Event::Relist => self.relist(),
+            Event::PublishRoster => self.publish_roster(),
             Event::Resize(w, cpu) => {
                 self.workers[w].listing.capacity.cpu = cpu;
                 self.resized.insert(w, (self.now, cpu));
-                self.relist();
+                self.publish_roster();
             }
             Event::Evacuate(centre, evacuated) => self.evacuate(centre, evacuated),
-            Event::TurnAway(i, on) => {
+            Event::DenyStore(i, on) => {
                 match on {
-                    true => self.turned_away.insert(i),
-                    false => self.turned_away.remove(&i),
+                    true => self.store_denied.insert(i),
+                    false => self.store_denied.remove(&i),
                 };
             }
         }
@@ -714,35 +727,35 @@
         };
         self.evacuation = self.evacuation.with_change(&change).unwrap();
         for i in 0..self.hosts.len() {
-            if !self.turned_away.contains(&i) && !self.frozen(i) {
+            if !self.store_denied.contains(&i) && !self.is_frozen(i) {
                 self.feed(i, Input::EvacuationChanged(change.clone()));
             }
         }
     }
 
-    /// Lets an endpoint crash that has started a task which crashes each one; returns whether it has.
-    fn crash_under(&mut self, w: usize, order: &Order, reply: &Reply) -> bool {
+    /// Crashes an endpoint that has started the task of a crashing job. Returns whether it crashed.
+    fn crash_by_task(&mut self, w: usize, order: &Order, reply: &Reply) -> bool {
         let (Order::Start { task, .. }, Reply::Done { .. }) = (order, reply) else {
             return false;
         };
-        if !self.crashing.contains(&task.job) || task.index != 0 {
+        if !self.crashing_jobs.contains(&task.job) || task.index != 0 {
             return false;
         }
         *self.crashes.entry(*task).or_default() += 1;
         let down = Span(self.random.random_range(1_500_000..3_000_000));
         let ahead = self.random.random_range(0..50_000);
-        self.happen(Event::Down(w, down, ahead));
+        self.handle(Event::CrashAndRestart(w, down, ahead));
         true
     }
 
-    /// Checks that no start brings an endpoint over its capacity that doesn't guard it.
-    fn judge_room(&self, w: usize) {
+    /// Checks that no start exceeds the capacity of a resized endpoint.
+    fn check_capacity(&self, w: usize) {
         let worker = &self.workers[w];
         let Some((at, cpu)) = self.resized.get(&w) else {
             return;
         };
         let begun = worker.history.last().filter(|begun| begun.from == self.now);
-        if begun.is_some() && self.now.since(*at) > HEARD_OF {
+        if begun.is_some() && self.now.since(*at) > CAPACITY_LAG {
             assert!(
                 worker.taken(&self.needs) <= *cpu,
                 "{begun:?} at {}",
@@ -751,35 +764,39 @@
         }
     }
 
-    fn answer_looks(&mut self) {
+    fn answer_waiting_looks(&mut self) {
         let now = self.now;
-        for (w, until, (i, life, call, sent), order) in std::mem::take(&mut self.parked) {
+        for (w, until, (i, life, call, sent), order) in std::mem::take(&mut self.waiting_looks) {
             let worker = &mut self.workers[w];
             if !worker.up || worker.down {
                 continue;
             }
             if until > now && !worker.has_ends() {
-                self.parked.push((w, until, (i, life, call, sent), order));
+                self.waiting_looks
+                    .push((w, until, (i, life, call, sent), order));
                 continue;
             }
             let reply = Box::new(worker.lists(now));
-            if !self.silent.contains(&w) && !self.severed.contains(&w) {
-                self.at(Span(WAY), Event::Reply(i, life, call, sent, reply));
+            if !self.muted.contains(&w) && !self.isolated.contains(&w) {
+                self.schedule(
+                    Span(TRANSIT_MICROS),
+                    Event::Reply(i, life, call, sent, reply),
+                );
             }
         }
     }
 
-    fn relist(&mut self) {
-        self.list();
+    fn publish_roster(&mut self) {
+        self.update_roster();
         for i in 0..self.hosts.len() {
-            if !self.frozen(i) {
+            if !self.is_frozen(i) {
                 self.feed(i, Input::Listed(self.roster.clone()));
             }
         }
     }
 
-    fn frozen(&self, i: usize) -> bool {
-        self.hosts[i].frozen > self.now
+    fn is_frozen(&self, i: usize) -> bool {
+        self.hosts[i].frozen_until > self.now
     }
 
     fn submit(&mut self, i: usize, job: JobId, tasks: u32, cpu: u64, takes: Span) {
@@ -790,20 +807,20 @@
             refused: true,
         };
         self.jobs.entry(job).or_insert(seen);
-        self.takes.insert(job, takes);
+        self.durations.insert(job, takes);
         let need = Room {
             cpu,
             memory: 64,
             gpu: 0,
         };
-        let steps: u32 = if self.stored { 2 } else { 1 };
+        let steps: u32 = if self.stores_jobs { 2 } else { 1 };
         for (step, index) in (0..steps).flat_map(|s| (0..tasks).map(move |i| (s, i))) {
             self.needs.insert(TaskId { job, step, index }, need);
         }
         let up = |h: &Host| h.dispatcher.is_some();
         let Some(i) = (0..self.hosts.len())
             .map(|k| (i + k) % self.hosts.len())
-            .find(|k| up(&self.hosts[*k]) && !self.frozen(*k))
+            .find(|k| up(&self.hosts[*k]) && !self.is_frozen(*k))
         else {
             return;
         };
@@ -821,7 +838,7 @@
             id: job,
             spec: "cell".to_owned(),
             steps: (0..steps).map(step).collect(),
-            best_effort: !self.stored,
+            best_effort: !self.stores_jobs,
             unsupported: None,
         };
         self.feed(
@@ -836,14 +853,14 @@
         );
     }
 
-    fn answered(&mut self, job: JobId, answer: Answer) {
+    fn on_answer(&mut self, job: JobId, answer: Answer) {
         let now = self.now;
         let Some(seen) = self.jobs.get_mut(&job) else {
             return;
         };
         seen.answer = Some(answer);
         seen.at = now;
-        if self.stored && matches!(answer, Answer::GivenUp { .. }) {
+        if self.stores_jobs && matches!(answer, Answer::GivenUp { .. }) {
             seen.refused = false;
             self.resubmit(job);
             return;
@@ -866,11 +883,15 @@
                 .map(|b| b.task.index)
                 .collect();
             let tasks = self.needs.keys().filter(|t| t.job == job).count();
-            assert_eq!(done.len(), tasks, "{job} is told complete, but isn't");
+            assert_eq!(
+                done.len(),
+                tasks,
+                "{job} was answered as completed, but isn't"
+            );
         }
     }
 
-    /// Kills an instance: its callers see their connections break and come again elsewhere.
+    /// Kills an instance. Its callers see their connections break and retry elsewhere.
     fn kill(&mut self, i: usize, down: Span) {
         if self.hosts[i].dispatcher.take().is_none() {
             return;
@@ -886,10 +907,10 @@
             }
             self.resubmit(job);
         }
-        self.at(down, Event::Start(i));
+        self.schedule(down, Event::Start(i));
     }
 
-    /// Lets the caller of a job come again elsewhere.
+    /// Lets the caller of a job retry at a random instance.
     fn resubmit(&mut self, job: JobId) {
         let first = |t: &&TaskId| t.job == job && t.step == 0;
         let tasks = self.needs.keys().filter(first).count() as u32;
@@ -898,35 +919,36 @@
             step: 0,
             index: 0,
         };
-        let (cpu, takes) = (self.needs[&task].cpu, self.takes[&job]);
+        let (cpu, takes) = (self.needs[&task].cpu, self.durations[&job]);
         let at = self.random.random_range(0..self.hosts.len());
-        self.at(RETRY, Event::Submit(at, job, tasks, cpu, takes));
+        self.schedule(CALLER_RETRY, Event::Submit(at, job, tasks, cpu, takes));
     }
 
-    /// Tells whether a job is complete within its objective.
+    /// Returns whether a job was completed within its objective.
     pub(crate) fn on_time(&self, job: JobId) -> bool {
         let seen = self.jobs[&job];
-        let objective = Span((self.takes[&job].0 as f64 * STRETCH) as u64) + TARGET;
+        let objective =
+            Span((self.durations[&job].0 as f64 * OBJECTIVE_STRETCH) as u64) + OBJECTIVE_TARGET;
         seen.answer == Some(Answer::Completed) && seen.at.since(seen.since) <= objective
     }
 
-    /// Counts the tasks of all jobs.
+    /// Returns the number of tasks of all jobs.
     pub(crate) fn tasks(&self) -> usize {
         self.needs.len()
     }
 
-    /// Lets jobs be stored from now on.
+    /// Stores jobs from now on.
     pub(crate) fn store_jobs(&mut self) {
-        self.stored = true;
+        self.stores_jobs = true;
     }
 
     pub(crate) fn store_outage_at(&mut self, after: Span, span: Span) {
-        self.at(after, Event::StoreAway(true));
-        self.at(after + span, Event::StoreAway(false));
+        self.schedule(after, Event::StoreOutage(true));
+        self.schedule(after + span, Event::StoreOutage(false));
     }
 
-    /// Checks stored jobs at the end: each one that was accepted has run whole, and nothing was started after an end as
-    /// done that its endpoint was told to forget. Returns how many were accepted.
+    /// Runs to the end and checks stored jobs: all tasks of an accepted job are done unless it failed, and no task was started
+    /// again after its endpoint was told that the end is stored. Returns the number of accepted jobs.
     pub(crate) fn finish_and_check_stored(&mut self) -> usize {
         self.finish_and_check();
         self.run(Span::seconds(20));
@@ -954,20 +976,17 @@
             let failures = |task: &TaskId| all().filter(|b| b.task == *task && b.failed).count();
             let crashes = |task: &TaskId| all().filter(|b| b.task == *task && b.crashed).count();
             let given_up =
-                |task: &TaskId| failures(task) >= ATTEMPTS as usize || crashes(task) >= CRASHES;
+                |task: &TaskId| failures(task) >= ATTEMPTS as usize || crashes(task) >= MAX_CRASHES;
             if tasks.clone().any(given_up) {
                 continue;
             }
             let missing = tasks.find(|task| !done.contains(task));
-            assert_eq!(
-                missing, None,
-                "a job was accepted, and this task of it never ended"
-            );
+            assert_eq!(missing, None, "this task of an accepted job never ended");
         }
         accepted.len()
     }
 
-    /// Checks that a stored job that crashes endpoints was accepted, and has failed: who asks now is told so.
+    /// Checks that a stored job that crashes endpoints was accepted, and that a query now says that it failed.
     pub(crate) fn check_crashing_job_failed(&mut self, job: JobId) {
         let accepted = self.jobs[&job].answer == Some(Answer::Accepted);
         assert!(accepted, "{:?}", self.jobs[&job]);
@@ -989,8 +1008,8 @@
         assert_eq!(self.jobs[&job].answer, Some(standing));
     }
 
-    /// Checks what must hold at every moment.
-    fn judge(&self) {
+    /// Checks that no task runs twice at the same time.
+    fn check_no_double_runs(&self) {
         let mut running: HashMap<TaskId, &str> = HashMap::new();
         for worker in self.workers.iter().filter(|w| w.up && !w.down) {
             for task in worker.running.keys() {
@@ -1002,19 +1021,19 @@
         }
     }
 
-    /// Checks what must hold at the end: a job that was refused each time was never started.
+    /// Runs to the end and checks that no job was started whose every answer was a refusal.
     pub(crate) fn finish_and_check(&mut self) {
         self.run(Span::seconds(12));
         for worker in &self.workers {
             for begun in &worker.history {
                 let seen = self.jobs[&begun.task.job];
                 let told = seen.answer.is_some() && seen.refused;
-                assert!(!told, "{} was told not run, and ran", begun.task);
+                assert!(!told, "{} ran, but its job was refused", begun.task);
             }
         }
     }
 
-    /// Submits jobs at a rate, at all instances in turn.
+    /// Submits jobs at a constant rate to random instances.
     pub(crate) fn submit_jobs(&mut self, jobs: u64, every: Span) {
         for n in 0..jobs {
             let i = self.random.random_range(0..self.hosts.len());
@@ -1022,103 +1041,103 @@
             let takes = Span::millis([60, 200, 900][self.random.random_range(0..3)]);
             let cpu = self.random.random_range(1_000..2_000);
             let job = JobId(0x1000 + self.jobs.len() as u64 * 100_000 + n);
-            self.at(every.times(n), Event::Submit(i, job, tasks, cpu, takes));
+            self.schedule(every.times(n), Event::Submit(i, job, tasks, cpu, takes));
         }
     }
 
     pub(crate) fn kill_at(&mut self, after: Span, i: usize, down: Span) {
-        self.at(after, Event::Kill(i, down));
+        self.schedule(after, Event::Kill(i, down));
     }
 
-    /// Lets nothing reach an endpoint for a while.
+    /// Drops all orders to an endpoint for a span.
     pub(crate) fn isolate_endpoint_at(&mut self, after: Span, w: usize, span: Span) {
-        self.at(after, Event::Sever(w, true));
-        self.at(after + span, Event::Sever(w, false));
+        self.schedule(after, Event::IsolateEndpoint(w, true));
+        self.schedule(after + span, Event::IsolateEndpoint(w, false));
     }
 
     pub(crate) fn freeze_at(&mut self, after: Span, i: usize, span: Span) {
-        self.at(after, Event::Freeze(i, span));
+        self.schedule(after, Event::Freeze(i, span));
     }
 
     pub(crate) fn partition_at(&mut self, after: Span, side: &[usize], span: Span) {
         let side: HashSet<usize> = side.iter().copied().collect();
-        self.at(after, Event::Cut(side, true));
-        self.at(after + span, Event::Cut(HashSet::new(), false));
+        self.schedule(after, Event::Partition(side, true));
+        self.schedule(after + span, Event::Partition(HashSet::new(), false));
     }
 
-    /// Keeps two instances from reaching each other; the first has the lower number.
+    /// Drops all messages between two instances for a span. The first must have the lower number.
     pub(crate) fn disconnect_at(&mut self, after: Span, one: usize, other: usize, span: Span) {
-        self.at(after, Event::Part(one, other, true));
-        self.at(after + span, Event::Part(one, other, false));
+        self.schedule(after, Event::Disconnect(one, other, true));
+        self.schedule(after + span, Event::Disconnect(one, other, false));
     }
 
     pub(crate) fn mute_endpoint_at(&mut self, after: Span, w: usize, span: Span) {
-        self.at(after, Event::Silence(w, true));
-        self.at(after + span, Event::Silence(w, false));
+        self.schedule(after, Event::MuteEndpoint(w, true));
+        self.schedule(after + span, Event::MuteEndpoint(w, false));
     }
 
-    /// Lets the tasks of an endpoint come along at a share of their speed; it answers all calls as before.
+    /// Runs the tasks of an endpoint at a fraction of their speed for a span. It answers calls as before.
     pub(crate) fn slow_endpoint_at(&mut self, after: Span, w: usize, pace: f64, span: Span) {
-        self.at(after, Event::Pace(w, pace));
-        self.at(after + span, Event::Pace(w, 1.0));
+        self.schedule(after, Event::SlowEndpoint(w, pace));
+        self.schedule(after + span, Event::SlowEndpoint(w, 1.0));
     }
 
-    /// Lets an endpoint fail whatever it starts, at once.
+    /// Lets all runs on an endpoint fail at once for a span.
     pub(crate) fn fail_runs_at(&mut self, after: Span, w: usize, span: Span) {
-        self.at(after, Event::Fail(w, true));
-        self.at(after + span, Event::Fail(w, false));
+        self.schedule(after, Event::FailRuns(w, true));
+        self.schedule(after + span, Event::FailRuns(w, false));
     }
 
     pub(crate) fn crash_at(&mut self, after: Span, w: usize) {
-        self.at(after, Event::Crash(w));
+        self.schedule(after, Event::Crash(w));
     }
 
     pub(crate) fn leave_at(&mut self, after: Span, w: usize) {
-        self.at(after, Event::Leave(w));
+        self.schedule(after, Event::Leave(w));
     }
 
-    /// Lets an endpoint crash, and start again after a while under the name that it had.
+    /// Crashes an endpoint and restarts it under the same name after a span.
     pub(crate) fn crash_and_restart_at(&mut self, after: Span, w: usize, down: Span, ahead: u64) {
-        self.at(after, Event::Down(w, down, ahead));
+        self.schedule(after, Event::CrashAndRestart(w, down, ahead));
     }
 
-    /// Lets rows tell of new lives so late, or so early that it is before anything else does.
+    /// Sets how long after a restart of an endpoint its row is updated.
     pub(crate) fn set_row_lag(&mut self, lag: Span) {
         self.row_lag = lag;
     }
 
-    /// Lets endpoints that are down leave calls without an answer, as behind a firewall.
+    /// Lets endpoints that are down drop calls, as behind a firewall.
     pub(crate) fn crash_silently(&mut self) {
         self.crashes_silently = true;
     }
 
-    /// Hands in a job whose first task crashes each endpoint that starts it.
+    /// Submits a job whose first task crashes each endpoint that starts it.
     pub(crate) fn submit_crashing_job(&mut self, after: Span, job: JobId, tasks: u32) {
-        self.crashing.insert(job);
+        self.crashing_jobs.insert(job);
         let i = self.random.random_range(0..self.hosts.len());
         let takes = Span::millis(200);
-        self.at(after, Event::Submit(i, job, tasks, 1_000, takes));
+        self.schedule(after, Event::Submit(i, job, tasks, 1_000, takes));
     }
 
-    /// Changes an endpoint's capacity while it runs; those of the fleet don't guard it from then on.
+    /// Changes an endpoint's capacity while it runs. The endpoint doesn't enforce it from then on.
     pub(crate) fn resize_at(&mut self, after: Span, w: usize, cpu: u64) {
         self.workers[w].guarded = false;
-        self.at(after, Event::Resize(w, cpu));
+        self.schedule(after, Event::Resize(w, cpu));
     }
 
-    /// Evacuates a data centre for a while.
+    /// Evacuates a data centre for a span.
     pub(crate) fn evacuate_at(&mut self, after: Span, centre: &str, span: Span) {
-        self.at(after, Event::Evacuate(centre.to_owned(), true));
-        self.at(after + span, Event::Evacuate(centre.to_owned(), false));
+        self.schedule(after, Event::Evacuate(centre.to_owned(), true));
+        self.schedule(after + span, Event::Evacuate(centre.to_owned(), false));
     }
 
-    /// Lets the store turn an instance away for a while.
+    /// Keeps evacuations in the store from an instance for a span.
     pub(crate) fn deny_store_at(&mut self, after: Span, i: usize, span: Span) {
-        self.at(after, Event::TurnAway(i, true));
-        self.at(after + span, Event::TurnAway(i, false));
+        self.schedule(after, Event::DenyStore(i, true));
+        self.schedule(after + span, Event::DenyStore(i, false));
     }
 
-    /// Counts the starts in a data centre from one moment to another.
+    /// Returns the number of starts in a data centre between two times.
     pub(crate) fn starts_in(&self, centre: &str, from: Time, until: Time) -> usize {
         let here = self.workers.iter().filter(|w| w.listing.centre == centre);
         let history = here.flat_map(|w| &w.history);
@@ -1126,7 +1145,7 @@
     }
 
     pub(crate) fn drain_at(&mut self, after: Span, i: usize) {
-        self.at(after, Event::Drain(i));
+        self.schedule(after, Event::Drain(i));
     }
 
     pub(crate) fn racks_of(&self, i: usize) -> usize {
--- a/tests/roster.rs
+++ b/tests/roster.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints over outages of the store, in which entries lapse although their endpoints live.
+//! The cached list of endpoints over outages of the store, in which rows expire while their endpoints are alive.
 
 use poplarknot::{
     dispatch::{
@@ -44,8 +44,8 @@
     cache
 }
 
-/// The last call that failed left a second before the store was back. An endpoint writes its entry anew two seconds after
-/// the return: with the time counted from the failed call it was taken for gone 1.3 s after the return.
+/// The grace period must start with the first answer after an outage. Counted from the last failed call it would end before
+/// endpoints have written their rows again.
 #[test]
 fn entries_have_their_time_from_the_return_on() {
     let mut cache = cache(&["i-1", "i-2"]);
@@ -64,9 +64,8 @@
     assert_eq!(names(&roster), ["i-1"]);
 }
 
-/// An instance starts while the store is away, and has the endpoints from its peers. When the store returns, half of the
-/// entries have lapsed: read as the whole truth, that list made a quarter of all endpoints useless for a second under load.
-/// What doesn't come back in its time is gone all the same.
+/// An instance starts during an outage and gets the list from its peers. Entries that are missing when the store is back must get
+/// the grace period too, and be dropped only after it.
 #[test]
 fn an_instance_that_starts_in_an_outage_keeps_what_peers_told() {
     let mut cache = Cache::default();
@@ -85,7 +84,7 @@
     assert_eq!(names(&roster), ["i-1"]);
 }
 
-/// Without an outage an entry that vanishes is an endpoint that is gone, at once.
+/// Without an outage an endpoint whose entry is missing must be dropped at once.
 #[test]
 fn vanished_entries_are_gone_at_once_in_quiet_times() {
     let mut cache = cache(&["i-1", "i-2"]);
