--- a/src/dispatch/coordination.rs
+++ b/src/dispatch/coordination.rs
@@ -43,7 +43,7 @@
         self.entry.begin(now, out);
     }
 
-    /// Returns the known coordinator of each shard. One that holds the shard takes precedence over one that only claims it.
+    /// Returns the current coordinator of each shard. One that holds the shard takes precedence over one that only claims it.
     pub(super) fn coordinators(&self) -> HashMap<ShardId, Contact> {
         let mut found: HashMap<ShardId, (bool, Contact)> = HashMap::new();
         let own = (self.durable.coordinations(), &self.identity.contact);
@@ -54,8 +54,8 @@
         for (shards, contact) in others.chain([own]) {
             for coordination in shards {
                 let holds = coordination.knowledge == Knowledge::Held;
-                let known = found.get(&coordination.shard);
-                if known.is_none_or(|(known_holds, _)| holds && !known_holds) {
+                let current = found.get(&coordination.shard);
+                if current.is_none_or(|(current_holds, _)| holds && !current_holds) {
                     found.insert(coordination.shard, (holds, contact.clone()));
                 }
             }
@@ -79,11 +79,11 @@
             .map(|m| m.contact.name.clone())
             .collect();
         for shard in ShardId::all() {
-            let known = coordinators.get(&shard).map(|contact| &contact.name);
+            let coordinator = coordinators.get(&shard).map(|contact| &contact.name);
             let own_shard = self.durable.knowledge(shard).is_some();
             if own_shard && self.draining() {
                 actions.extend(self.durable.release(shard, "the instance ends", out));
-            } else if own_shard && known.is_some_and(|name| *name != own) {
+            } else if own_shard && coordinator.is_some_and(|name| *name != own) {
                 actions.extend(self.durable.release(shard, "another holds it", out));
             } else if own_shard && self.has_claimants(shard) {
                 self.durable.require_lock_checks(now);
@@ -93,7 +93,7 @@
                 if !held && self.claimants(shard).any(|name| outweighs(&name)) {
                     actions.extend(self.durable.release(shard, "another claims it", out));
                 }
-            } else if known.is_none() && !self.draining() {
+            } else if coordinator.is_none() && !self.draining() {
                 let best = candidates
                     .iter()
                     .max_by_key(|name| shard.weight(name.as_str()));
--- a/src/dispatch/durable.rs
+++ b/src/dispatch/durable.rs
@@ -143,7 +143,7 @@
         shards.into_iter().flat_map(release).collect()
     }
 
-    /// Requires locks to be confirmed for [`LOCK_CHECK_PERIOD`].
+    /// Requires locks to be confirmed for `LOCK_CHECK_PERIOD`.
     ///
     /// Called when a member was lost or coordinates the same shard: it may be alive and take shards over.
     pub fn require_lock_checks(&mut self, now: Time) {
--- a/src/dispatch/durable/shard.rs
+++ b/src/dispatch/durable/shard.rs
@@ -216,7 +216,7 @@
             return;
         }
         match self.jobs.get(&job) {
-            Some(known) if known.stored_state.is_some() => {
+            Some(stored) if stored.stored_state.is_some() => {
                 send_verdict(from, serial, Verdict::Accepted, out)
             }
             Some(_) => {
@@ -365,16 +365,16 @@
             return None;
         }
         let key = (end.endpoint.clone(), end.life, end.serial);
-        let known = job.reported_ends.get(&key).copied();
-        let first = known.is_none();
+        let previous_late = job.reported_ends.get(&key).copied();
+        let first = previous_late.is_none();
         let record = job.record.as_ref();
         let counts = first && record.is_some_and(|r| job.progress.record_end(r, end));
         // The task was done already, so another run of it was started, unless the job failed or was cancelled.
         let run_elsewhere = matches!(job.progress.state, State::Open | State::Completed);
         let duplicate = first && !counts && end.done && run_elsewhere;
         // If the batch isn't outstanding here, the task may have been started again, also by a former coordinator, whose
-        // batches aren't stored. The endpoint then keeps the end until its lease has expired: after that no other run can go on.
-        let late = known.unwrap_or(batch.is_none() || duplicate);
+        // batches aren't stored. The endpoint then keeps the end until its lease has expired.
+        let late = previous_late.unwrap_or(batch.is_none() || duplicate);
         job.reported_ends.insert(key, late);
         let change = self.changes.entry(end.task.job).or_default();
         change.end_replies.push((from.clone(), noted_reply(late)));
--- a/src/dispatch/evacuation.rs
+++ b/src/dispatch/evacuation.rs
@@ -9,8 +9,8 @@
 
 /// The evacuated data centres, at a version of the platform's store.
 ///
-/// Each instance reads them from the store, and every heartbeat carries them. Without the heartbeats, an instance that can't reach
-/// the store would go on starting tasks in an evacuated data centre.
+/// Each instance reads them from the store, and every heartbeat carries them. Without the heartbeats, an instance that can't
+/// reach the store would go on starting tasks in an evacuated data centre.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuation {
     /// The version of the store. A higher version replaces a lower one.
--- a/src/dispatch/member.rs
+++ b/src/dispatch/member.rs
@@ -113,6 +113,7 @@
     /// Its data centre.
     centre: String,
     members: BTreeMap<Instance, Member>,
+    /// Counts changes to the claims, contacts and liveness of members.
     claim_changes: u64,
     /// The number of members and the count of claim changes for which neighbours were chosen last.
     neighbours_key: Option<(usize, u64)>,
@@ -247,7 +248,7 @@
             return;
         }
         member.status_sent = sent;
-        let claimed = member.status.as_ref().map(|known| &known.racks);
+        let claimed = member.status.as_ref().map(|status| &status.racks);
         if claimed != Some(&status.racks) {
             self.claim_changes += 1;
         }
@@ -392,8 +393,8 @@
         let mut owners: HashMap<RackId, (Instance, Token)> = HashMap::new();
         for member in self.live() {
             for claim in member.status.iter().flat_map(|status| &status.racks) {
-                let known = owners.get(&claim.rack);
-                if known.is_none_or(|(_, token)| *token < claim.token) {
+                let current = owners.get(&claim.rack);
+                if current.is_none_or(|(_, token)| *token < claim.token) {
                     let name = member.contact.name.clone();
                     owners.insert(claim.rack, (name, claim.token));
                 }
--- a/src/dispatch/ownership.rs
+++ b/src/dispatch/ownership.rs
@@ -83,24 +83,24 @@
         }
     }
 
-    /// Returns whether all members seem to have started together: at least half of the `known` ones are heard, none of them
-    /// owned a rack, and none was heard for the first time within [`STARTUP_QUIET`].
+    /// Returns whether all members seem to have started together: at least half of the `member_count` members are heard, none of
+    /// them owned a rack, and none was heard for the first time within [`STARTUP_QUIET`].
     ///
     /// After a loss of all instances callers wait for the first claims, so these needn't wait for [`STARTUP_DELAY`]. An instance
     /// that joins running ones waits that long, so that it doesn't claim racks whose owners it hasn't heard yet.
-    fn is_joint_start(&self, known: usize, now: Time) -> bool {
+    fn is_joint_start(&self, member_count: usize, now: Time) -> bool {
         let quiet = self
             .last_heard
             .is_some_and(|at| now.since(at) >= STARTUP_QUIET);
-        quiet && self.with_racks == 0 && self.without_racks * 2 >= known
+        quiet && self.with_racks == 0 && self.without_racks * 2 >= member_count
     }
 }
 
 impl Dispatcher {
     /// Returns whether this instance has listened long enough after its start to claim racks that nobody seems to own.
     fn is_startup_over(&self, now: Time) -> bool {
-        let known = self.members.all().count();
-        now.since(self.began) >= STARTUP_DELAY || self.startup.is_joint_start(known, now)
+        let member_count = self.members.all().count();
+        now.since(self.began) >= STARTUP_DELAY || self.startup.is_joint_start(member_count, now)
     }
 
     /// Gives up racks that another member owns with a higher token, and claims racks without an owner. A draining instance
--- a/src/dispatch/reader.rs
+++ b/src/dispatch/reader.rs
@@ -1,7 +1,7 @@
 //! Which instances read the list of endpoints from the store, and how changes reach the others.
 //!
-//! Endpoints renew their rows every second or two, so each read carries many rows without a change. In a large fleet it would cost
-//! too much traffic if every instance read them. In each data centre a few instances read, and send changes to the others.
+//! Endpoints renew their rows every second or two, so each read carries many rows without a change. In a large fleet it would
+//! cost too much traffic if every instance read them. In each data centre a few instances read, and send changes to the others.
 
 use std::{
     cmp::Reverse,
@@ -80,10 +80,10 @@
 impl Roster {
     /// Returns the changes since an earlier version of the list.
     pub fn changes_since(&self, earlier: &Self) -> RosterChange {
-        let known: HashMap<&Endpoint, &Listing> =
+        let earlier_listings: HashMap<&Endpoint, &Listing> =
             earlier.endpoints.iter().map(|l| (&l.id, l)).collect();
         let changed = self.endpoints.iter();
-        let changed = changed.filter(|listing| known.get(&listing.id) != Some(listing));
+        let changed = changed.filter(|listing| earlier_listings.get(&listing.id) != Some(listing));
         let listed: HashMap<&Endpoint, &Listing> =
             self.endpoints.iter().map(|l| (&l.id, l)).collect();
         let earlier_ids = earlier.endpoints.iter().map(|listing| &listing.id);
@@ -103,9 +103,9 @@
         if self.version < change.after || self.version > change.version {
             return None;
         }
-        let replaced = |id: &Endpoint| change.changed.iter().any(|listing| listing.id == *id);
+        let is_replaced = |id: &Endpoint| change.changed.iter().any(|listing| listing.id == *id);
         let kept = self.endpoints.iter();
-        let kept = kept.filter(|l| !change.gone.contains(&l.id) && !replaced(&l.id));
+        let kept = kept.filter(|l| !change.gone.contains(&l.id) && !is_replaced(&l.id));
         Some(Self {
             version: change.version,
             endpoints: kept.chain(&change.changed).cloned().collect(),
--- a/src/dispatch/roster.rs
+++ b/src/dispatch/roster.rs
@@ -74,9 +74,9 @@
             return;
         }
         self.version = roster.version;
-        let mut known = std::mem::take(&mut self.entries);
+        let mut old_entries = std::mem::take(&mut self.entries);
         for listing in &roster.endpoints {
-            let missing_since = known
+            let missing_since = old_entries
                 .remove(&listing.id)
                 .and_then(|entry| entry.missing_since);
             let entry = Entry {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Removes an entry whose row is missing. During an outage of the store and [`GRACE_PERIOD`] after it, it's only marked.
+    /// Removes an entry whose row is missing. During an outage of the store and `GRACE_PERIOD` after it, it's only marked.
     pub fn remove(&mut self, id: &Endpoint, version: u64, now: Time) {
         let tolerated = self.tolerates_missing(now);
         let Some(entry) = self.entries.get_mut(id) else {
@@ -114,8 +114,8 @@
         self.mark_changed(version);
     }
 
-    /// Removes an entry whose row has become malformed, also during an outage: nothing is known about the endpoint any more, so it
-    /// must get no tasks.
+    /// Removes an entry whose row has become malformed, also during an outage: nothing is known about the endpoint any more, so
+    /// it must get no tasks.
     pub fn remove_at_once(&mut self, id: &Endpoint, version: u64) {
         if self.entries.remove(id).is_some() {
             self.mark_changed(version);
@@ -127,8 +127,8 @@
         let version = listings.iter().map(|(_, v)| *v).max();
         let version = version.unwrap_or(self.version).max(self.version);
         let is_listed = |id: &Endpoint| listings.iter().any(|(listing, _)| listing.id == *id);
-        let known = self.entries.keys();
-        let missing: Vec<Endpoint> = known.filter(|id| !is_listed(id)).cloned().collect();
+        let ids = self.entries.keys();
+        let missing: Vec<Endpoint> = ids.filter(|id| !is_listed(id)).cloned().collect();
         for id in missing {
             self.remove(&id, version, now);
         }
--- a/src/dispatch/watch.rs
+++ b/src/dispatch/watch.rs
@@ -109,7 +109,7 @@
     interval.min(MAX_INTERVAL)
 }
 
-/// Chooses the members that an instance always watches closely: in a small fleet all of them, else up to [`NEIGHBOURS`] of its
+/// Chooses the members that an instance always watches closely: in a small fleet all of them, else up to `NEIGHBOURS` of its
 /// data centre. The choice weighs pairs of instances the same from both sides, so that the watchers spread evenly.
 pub fn neighbours<'a>(
     own: &Instance,
