--- a/src/dispatch/durable.rs
+++ b/src/dispatch/durable.rs
@@ -147,7 +147,7 @@
     ///
     /// Called when a member was lost or coordinates the same shard: it may be alive and take shards over.
     pub fn require_lock_checks(&mut self, now: Time) {
-        let active = self.requires_lock_checks(now);
+        let active = self.are_locks_checked(now);
         self.member_lost_at = Some(now);
         for shard in self.shards.values_mut() {
             if !active {
@@ -170,7 +170,7 @@
     }
 
     /// Returns whether locks must be confirmed, since a member was lost recently.
-    fn requires_lock_checks(&self, now: Time) -> bool {
+    fn are_locks_checked(&self, now: Time) -> bool {
         self.member_lost_at
             .is_some_and(|at| now.since(at) < LOCK_CHECK_PERIOD)
     }
@@ -237,7 +237,7 @@
 
     /// Calls the store, drops jobs that ended long ago, and releases shards whose locks can't be confirmed.
     pub fn run_due(&mut self, now: Time, out: &mut Effects) -> Vec<Action> {
-        let check_locks = self.requires_lock_checks(now);
+        let check_locks = self.are_locks_checked(now);
         let mut actions = Vec::new();
         let unconfirmed = |(shard, state): (&ShardId, &Shard)| {
             (state.loaded && now.since(state.lock_confirmed) > LOCK_VALIDITY).then_some(*shard)
