--- a/src/cli/dispatch.rs
+++ b/src/cli/dispatch.rs
@@ -30,7 +30,7 @@
     }
     let path = match matches.opt_str("settings") {
         Some(path) => path,
-        None => settings::path().map_err(|fault| Error::Usage(fault.to_string()))?,
+        None => settings::path_from_env().map_err(|fault| Error::Usage(fault.to_string()))?,
     };
     let text = std::fs::read_to_string(&path);
     let text = text.map_err(|source| Error::Read {
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -59,7 +59,7 @@
         Identity, //
     },
     error::Error,
-    platform::settings::Site,
+    platform::settings::Settings,
     prelude::*,
 };
 
@@ -81,7 +81,7 @@
 /// # Errors
 ///
 /// Fails where a listener, the runtime or the log can't be opened.
-pub fn run(site: Site) -> Result<(), Error> {
+pub fn run(site: Settings) -> Result<(), Error> {
     let runtime = Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|source| Error::Thread {
         what: "main",
@@ -90,7 +90,7 @@
     LocalSet::new().block_on(&runtime, serve(site))
 }
 
-async fn serve(site: Site) -> Result<(), Error> {
+async fn serve(site: Settings) -> Result<(), Error> {
     let callers = listen("callers", site.callers)?;
     let ready = listen("readiness", site.ready)?;
     let peers = listen("peers", site.peers)?;
@@ -149,7 +149,7 @@
 }
 
 /// Names seeds by their addresses, until they say their names.
-fn seeds(site: &Site) -> Vec<Contact> {
+fn seeds(site: &Settings) -> Vec<Contact> {
     let own = site.peers.to_string();
     let others = site.seeds.iter().filter(|seed| **seed != own);
     let contact = |seed: &String| {
--- a/src/instance/inbox.rs
+++ b/src/instance/inbox.rs
@@ -39,7 +39,7 @@
     }
 
     /// Tells whether an envelope came before; else it counts from now on.
-    pub fn repeated(&mut self, sender: &Sender, serial: u64) -> bool {
+    pub fn check_duplicate(&mut self, sender: &Sender, serial: u64) -> bool {
         if sender.receiver_incarnation != 0 && sender.receiver_incarnation != self.own {
             return false;
         }
--- a/src/instance/peers.rs
+++ b/src/instance/peers.rs
@@ -374,7 +374,7 @@
             capnp::Error::failed(error.to_string())
         })?;
         let mut inbox = self.hub.peers.inbox.borrow_mut();
-        let repeated = inbox.repeated(&envelope.sender, envelope.serial);
+        let repeated = inbox.check_duplicate(&envelope.sender, envelope.serial);
         drop(inbox);
         if !repeated {
             self.hub.feed(Input::Received {
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -18,7 +18,7 @@
 
 /// What an instance is told about itself and its surroundings.
 #[derive(Debug, Clone)]
-pub struct Site {
+pub struct Settings {
     /// The instance's name.
     pub name: Instance,
     /// Its data centre.
@@ -115,7 +115,7 @@
 /// # Errors
 ///
 /// Fails where the variable isn't set.
-pub fn path() -> Result<String, Fault> {
+pub fn path_from_env() -> Result<String, Fault> {
     env::var(VARIABLE).map_err(|e| Fault::new(VARIABLE, e))
 }
 
@@ -124,7 +124,7 @@
 /// # Errors
 ///
 /// Names the field that is missing or wrong.
-pub fn parse(text: &str) -> Result<Site, Fault> {
+pub fn parse(text: &str) -> Result<Settings, Fault> {
     let from = toml::Deserializer::parse(text).map_err(|e| Fault::new("TOML", e.message()))?;
     let read: Result<File, _> = serde_path_to_error::deserialize(from);
     let file = read.map_err(|e| Fault::new(e.path().to_string(), e.inner().message()))?;
@@ -137,7 +137,7 @@
     let inner: Option<SocketAddr> = inner.map_err(|e| Fault::new("ip", e))?;
     let peers = file.listen_addrs.control.or(inner);
     let grace = (file.bounds.grace_s * 1_000_000.0) as u64;
-    Ok(Site {
+    Ok(Settings {
         name,
         centre: file.zone,
         ip: file.ip,
--- a/tests/inbox.rs
+++ b/tests/inbox.rs
@@ -33,32 +33,32 @@
 #[test]
 fn envelopes_for_a_former_life_hide_none() {
     let mut inbox = Inbox::new(OWN);
-    assert!(!inbox.repeated(&sender(FORMER, 0), 900));
+    assert!(!inbox.check_duplicate(&sender(FORMER, 0), 900));
     for serial in 1..5 {
-        assert!(!inbox.repeated(&sender(OWN, 0), serial), "{serial}");
+        assert!(!inbox.check_duplicate(&sender(OWN, 0), serial), "{serial}");
     }
     // One that was on its way for long changes nothing.
-    assert!(!inbox.repeated(&sender(FORMER, 0), 901));
-    assert!(inbox.repeated(&sender(OWN, 0), 4));
+    assert!(!inbox.check_duplicate(&sender(FORMER, 0), 901));
+    assert!(inbox.check_duplicate(&sender(OWN, 0), 4));
 }
 
 /// The same holds for what a peer sends before it has heard of any life of this instance.
 #[test]
 fn envelopes_for_no_life_hide_none() {
     let mut inbox = Inbox::new(OWN);
-    assert!(!inbox.repeated(&sender(0, 0), 7));
-    assert!(inbox.repeated(&sender(0, 0), 7));
-    assert!(!inbox.repeated(&sender(OWN, 0), 1));
-    assert!(inbox.repeated(&sender(0, 0), 7));
+    assert!(!inbox.check_duplicate(&sender(0, 0), 7));
+    assert!(inbox.check_duplicate(&sender(0, 0), 7));
+    assert!(!inbox.check_duplicate(&sender(OWN, 0), 1));
+    assert!(inbox.check_duplicate(&sender(0, 0), 7));
 }
 
 /// What is sent again counts once, and a new session begins anew.
 #[test]
 fn what_is_sent_again_counts_once() {
     let mut inbox = Inbox::new(OWN);
-    assert!(!inbox.repeated(&sender(OWN, 0), 1));
-    assert!(!inbox.repeated(&sender(OWN, 0), 2));
-    assert!(inbox.repeated(&sender(OWN, 0), 2));
-    assert!(inbox.repeated(&sender(OWN, 0), 1));
-    assert!(!inbox.repeated(&sender(OWN, 1), 1));
+    assert!(!inbox.check_duplicate(&sender(OWN, 0), 1));
+    assert!(!inbox.check_duplicate(&sender(OWN, 0), 2));
+    assert!(inbox.check_duplicate(&sender(OWN, 0), 2));
+    assert!(inbox.check_duplicate(&sender(OWN, 0), 1));
+    assert!(!inbox.check_duplicate(&sender(OWN, 1), 1));
 }
