--- a/examples/platform.rs
+++ b/examples/platform.rs
@@ -61,11 +61,14 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     hand_in(&fleet, 1, "by the two that are left").await?;
     let again = fleet.nodes[0].restart(&program).await?;
-    again.ready().await?;
+    again.wait_until_ready().await?;
     println!("{} is back", again.name);
     fleet.nodes[0] = again;
     hand_in(&fleet, 0, "by all three").await?;
-    println!("{} runs; no task ran twice at a time", fleet.judge());
+    println!(
+        "{} runs; no task ran twice at a time",
+        fleet.assert_no_overlapping_runs()
+    );
     Ok(())
 }
 
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -157,7 +157,7 @@
     // A pipe that is full again holds up no drain.
     fill(&mut pipe)?;
     fleet.nodes[0].signal(Signal::SIGTERM)?;
-    assert!(fleet.nodes[0].exit().await?.success());
+    assert!(fleet.nodes[0].wait_for_exit().await?.success());
     Ok(())
 }
 
@@ -176,6 +176,6 @@
     })
     .await?;
     fleet.nodes[0].signal(Signal::SIGTERM)?;
-    assert!(fleet.nodes[0].exit().await?.success());
+    assert!(fleet.nodes[0].wait_for_exit().await?.success());
     Ok(())
 }
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -16,7 +16,7 @@
 
 use fleet::{
     configure,
-    configure_idle,
+    configure_with_idle_timeout,
     Fleet,
     Node,
     HOST,
@@ -29,7 +29,7 @@
     CRASH, //
 };
 use serde_json::json;
-use store::Mood;
+use store::Behaviour;
 use support::{
     client::{
         self,
@@ -71,7 +71,7 @@
         let answer = node.submit(id as u64, 3, 60).await?;
         assert_eq!((answer.status, state(&answer).as_str()), (200, "completed"));
     }
-    assert_eq!(fleet.judge(), 36);
+    assert_eq!(fleet.assert_no_overlapping_runs(), 36);
     Ok(())
 }
 
@@ -102,7 +102,7 @@
     let answer = node.post(&id, &gang).await?;
     assert_eq!(answer.status, 503);
     assert!(answer.header("retry-after").is_some());
-    assert_eq!(fleet.judge(), 0);
+    assert_eq!(fleet.assert_no_overlapping_runs(), 0);
     Ok(())
 }
 
@@ -119,9 +119,9 @@
         })
         .await?;
     }
-    for mood in [Mood::Busy, Mood::Silent] {
-        fleet.store.mood(mood);
-        let answer = fleet.nodes[1].submit(mood as u64, 2, 60).await?;
+    for behaviour in [Behaviour::Refuse, Behaviour::Ignore] {
+        fleet.store.set_behaviour(behaviour);
+        let answer = fleet.nodes[1].submit(behaviour as u64, 2, 60).await?;
         assert_eq!(state(&answer), "completed");
     }
     Ok(())
@@ -152,7 +152,7 @@
         tokio::time::sleep(Duration::from_millis(600)).await;
     }
     for node in &fleet.nodes {
-        let open = node.peer_connections()?;
+        let open = node.count_peer_connections()?;
         assert!(open <= 2, "{} has {open} with its only peer", node.name);
     }
     Ok(())
@@ -185,7 +185,7 @@
     fleet.store.set(table, "i-95", &json!(["cells"]));
     fleet.store.set_raw(table, "i-0", json!("?"));
     let late = Node::start(program(), "instance-9", "ulemiste", &fleet.store.address()).await?;
-    late.ready().await?;
+    late.wait_until_ready().await?;
     tokio::time::sleep(Duration::from_secs(2)).await;
     let before = fleet.runners[0].history().len();
     for id in 0..8 {
@@ -193,7 +193,7 @@
         let answer = node.submit(id as u64, 8, 60).await?;
         assert_eq!(state(&answer), "completed", "{}", late.log());
     }
-    assert_eq!(fleet.judge(), 64);
+    assert_eq!(fleet.assert_no_overlapping_runs(), 64);
     assert_eq!(fleet.runners[0].history().len(), before);
     assert!(!late.log().contains("cellars"), "{}", late.log());
     Ok(())
@@ -213,7 +213,7 @@
     const STALL: Duration = Duration::from_millis(300);
     let fleet = Fleet::start(program(), 1, 1, SHORT).await?;
     let node = &fleet.nodes[0];
-    configure_idle(&fleet.store, 9, 4_000, IDLE.as_millis() as u64);
+    configure_with_idle_timeout(&fleet.store, 9, 4_000, IDLE.as_millis() as u64);
     until("the configuration is in force", || async {
         node.log().contains("\"version\":9").then_some(())
     })
@@ -221,7 +221,7 @@
     let headers = [("host", HOST)];
     let mut clients = Vec::new();
     for _ in 0..CONNECTIONS {
-        clients.push(Client::connect(node.front()).await?);
+        clients.push(Client::connect(node.caller_address()).await?);
     }
     for client in &mut clients {
         let answer = client.send(Method::GET, PREFIX, &headers, Vec::new());
@@ -261,12 +261,12 @@
 async fn half_a_request_keeps_no_connection() -> Result {
     let fleet = Fleet::start(program(), 1, 1, SHORT).await?;
     let node = &fleet.nodes[0];
-    configure_idle(&fleet.store, 9, 4_000, 400);
+    configure_with_idle_timeout(&fleet.store, 9, 4_000, 400);
     until("the configuration is in force", || async {
         node.log().contains("\"version\":9").then_some(())
     })
     .await?;
-    let mut stream = TcpStream::connect(node.front()).await?;
+    let mut stream = TcpStream::connect(node.caller_address()).await?;
     stream.write_all(b"GET /q/ HTT").await?;
     let mut rest = Vec::new();
     tokio::time::timeout(PATIENCE, stream.read_to_end(&mut rest)).await??;
@@ -286,7 +286,7 @@
     });
     assert!(first.is_err());
     assert_eq!(state(&second?), "completed", "{}", fleet.logs());
-    fleet.judge();
+    fleet.assert_no_overlapping_runs();
     Ok(())
 }
 
@@ -309,8 +309,8 @@
     for answer in [one?, two?, three?] {
         assert_eq!(state(&answer), "completed");
     }
-    assert!(fleet.nodes[0].exit().await?.success());
-    assert_eq!(fleet.judge(), 9, "{}", fleet.logs());
+    assert!(fleet.nodes[0].wait_for_exit().await?.success());
+    assert_eq!(fleet.assert_no_overlapping_runs(), 9, "{}", fleet.logs());
     Ok(())
 }
 
@@ -330,7 +330,7 @@
     })
     .await?;
     assert!(fleet.nodes[1].log().contains("\"event\":\"awoke\""));
-    fleet.judge();
+    fleet.assert_no_overlapping_runs();
     Ok(())
 }
 
@@ -339,10 +339,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_answers_are_asked_again() -> Result {
     let fleet = Fleet::start(program(), 1, 1, SHORT).await?;
-    fleet.runners[0].mute(2);
+    fleet.runners[0].drop_responses(2);
     let answer = fleet.nodes[0].submit(1, 3, 60).await?;
     assert_eq!(state(&answer), "completed", "{}", fleet.nodes[0].log());
-    assert_eq!(fleet.judge(), 3);
+    assert_eq!(fleet.assert_no_overlapping_runs(), 3);
     Ok(())
 }
 
@@ -350,7 +350,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_endpoint_gets_nothing_new() -> Result {
     let fleet = Fleet::start(program(), 2, 4, SHORT).await?;
-    fleet.runners[0].leave(&fleet.store);
+    fleet.runners[0].start_draining(&fleet.store);
     until("all owners know", || async {
         fleet.logs().contains("endpoint_leaving").then_some(())
     })
@@ -401,9 +401,9 @@
         "completed"
     );
     fleet.nodes[0].signal(Signal::SIGKILL)?;
-    fleet.nodes[0].exit().await?;
+    fleet.nodes[0].wait_for_exit().await?;
     fleet.nodes[0] = fleet.nodes[0].restart(program()).await?;
-    fleet.nodes[0].ready().await?;
+    fleet.nodes[0].wait_until_ready().await?;
     fleet.store.compact();
     for id in 92..96 {
         assert_eq!(
@@ -428,7 +428,7 @@
         metrics.contains(r#"poplarknot_standing{kind="evacuated"} 0"#),
         "{metrics}"
     );
-    fleet.judge();
+    fleet.assert_no_overlapping_runs();
     Ok(())
 }
 
@@ -446,7 +446,7 @@
     let reborn = async {
         tokio::time::sleep(LONG / 3).await;
         for runner in &mut runners {
-            runner.begin_anew(&fleet.store);
+            runner.restart(&fleet.store);
         }
     };
     let (answer, ()) = tokio::join!(job, reborn);
@@ -454,7 +454,7 @@
     let answer = fleet.nodes[1].submit(11, 8, 900).await?;
     assert_eq!(state(&answer), "completed", "{}", fleet.logs());
     fleet.runners = runners;
-    assert_eq!(fleet.judge(), 12 + 8 + 8 + 8);
+    assert_eq!(fleet.assert_no_overlapping_runs(), 12 + 8 + 8 + 8);
     Ok(())
 }
 
@@ -479,13 +479,13 @@
     // What ran beside it is lost too, and runs again.
     let of_each = fleet.runners.iter();
     let mut crashes: Vec<Crash> = of_each
-        .flat_map(|runner| runner.crashes_of("0000000000000001."))
+        .flat_map(|runner| runner.crashes_of_job("0000000000000001."))
         .collect();
     crashes.sort_by_key(|crash| crash.at);
     let second_shared = crashes.get(1).is_some_and(|crash| crash.shared);
     let most = 2 + usize::from(second_shared);
     assert!((2..=most).contains(&crashes.len()), "{}", fleet.logs());
-    fleet.judge();
+    fleet.assert_no_overlapping_runs();
     Ok(())
 }
 
@@ -503,14 +503,14 @@
     let (answer, ()) = tokio::join!(job, resize);
     assert_eq!(state(&answer?), "completed", "{}", fleet.logs());
     let past = runner.history();
-    let shrunk = past[0].from + LONG;
+    let shrunk = past[0].started + LONG;
     let beside = |at: Instant| {
         past.iter()
-            .filter(|p| p.from <= at && p.until.is_none_or(|u| u > at))
+            .filter(|p| p.started <= at && p.ended.is_none_or(|u| u > at))
             .count()
     };
-    for run in past.iter().filter(|run| run.from > shrunk) {
-        assert!(beside(run.from) <= 2, "{past:?}");
+    for run in past.iter().filter(|run| run.started > shrunk) {
+        assert!(beside(run.started) <= 2, "{past:?}");
     }
     runner.resize(&fleet.store, 4);
     assert_eq!(state(&fleet.nodes[0].submit(2, 8, 900).await?), "completed");
@@ -524,7 +524,7 @@
     let mut fleet = Fleet::start(program(), 2, 2, SHORT).await?;
     for node in &mut fleet.nodes {
         node.signal(Signal::SIGKILL)?;
-        node.exit().await?;
+        node.wait_for_exit().await?;
     }
     let mut again = Vec::new();
     for node in &fleet.nodes {
@@ -532,7 +532,7 @@
     }
     fleet.nodes = again;
     for (id, node) in fleet.nodes.iter().enumerate() {
-        node.ready().await?;
+        node.wait_until_ready().await?;
         let answer = node.submit(id as u64, 2, 60).await?;
         assert_eq!(state(&answer), "completed");
     }
@@ -574,27 +574,27 @@
     }
     let killed = Instant::now();
     for i in 0..fleet.nodes.len() {
-        fleet.nodes[i].exit().await?;
+        fleet.nodes[i].wait_for_exit().await?;
         fleet.nodes[i] = fleet.nodes[i].restart(program()).await?;
     }
     for node in &fleet.nodes {
-        node.ready().await?;
+        node.wait_until_ready().await?;
     }
     until("the job is complete", || async {
         let answer = fleet.nodes[1].get(&path).await.ok()?;
         (state(&answer) == "completed").then_some(())
     })
     .await?;
-    fleet.judge();
+    fleet.assert_no_overlapping_runs();
     let past = fleet.runners.iter().flat_map(|runner| runner.history());
-    let done: Vec<_> = past.filter(|p| p.how == "done").collect();
+    let done: Vec<_> = past.filter(|p| p.outcome == "done").collect();
     let tasks: HashSet<&str> = done.iter().map(|p| p.task.as_str()).collect();
     assert_eq!(tasks.len(), 6, "{done:?}");
     for run in &done {
         let again = done
             .iter()
-            .find(|p| p.task == run.task && p.from > run.from);
-        let lapsed = again.is_none_or(|again| again.from > killed + LEASE);
+            .find(|p| p.task == run.task && p.started > run.started);
+        let lapsed = again.is_none_or(|again| again.started > killed + LEASE);
         assert!(lapsed, "{run:?} and {again:?}");
     }
     Ok(())
@@ -623,7 +623,7 @@
     }
     until("nothing runs", || async {
         let mut past = fleet.runners.iter().flat_map(|runner| runner.history());
-        past.all(|p| p.until.is_some()).then_some(())
+        past.all(|p| p.ended.is_some()).then_some(())
     })
     .await
 }
--- a/tests/platform/fleet.rs
+++ b/tests/platform/fleet.rs
@@ -127,7 +127,7 @@
         .await
     }
 
-    pub(crate) fn front(&self) -> SocketAddr {
+    pub(crate) fn caller_address(&self) -> SocketAddr {
         format!("{}:8161", self.ip).parse().unwrap()
     }
 
@@ -135,7 +135,7 @@
         std::fs::read_to_string(self.folder.path().join("log")).unwrap_or_default()
     }
 
-    pub(crate) async fn ready(&self) -> Result {
+    pub(crate) async fn wait_until_ready(&self) -> Result {
         let address = format!("{}:8167", self.ip).parse().unwrap();
         let what = format!("{} is ready", self.name);
         let ready = until(&what, || async {
@@ -154,7 +154,7 @@
     }
 
     /// Counts the connections with peers that its process has open, both ways.
-    pub(crate) fn peer_connections(&self) -> Result<usize> {
+    pub(crate) fn count_peer_connections(&self) -> Result<usize> {
         let pid = self.child.lock().unwrap().id().ok_or("it has ended")?;
         let port = format!(":{PEERS:04X}");
         let table = std::fs::read_to_string("/proc/net/tcp")?;
@@ -182,19 +182,19 @@
 
     #[allow(dead_code)] // Only the soak asks.
     /// Tells whether the process runs, and takes note of its end.
-    pub(crate) fn alive(&self) -> bool {
+    pub(crate) fn is_running(&self) -> bool {
         let ended = self.child.lock().unwrap().try_wait();
         matches!(ended, Ok(None))
     }
 
-    pub(crate) async fn exit(&mut self) -> Result<ExitStatus> {
+    pub(crate) async fn wait_for_exit(&mut self) -> Result<ExitStatus> {
         let child = self.child.get_mut().unwrap();
         Ok(tokio::time::timeout(PATIENCE, child.wait()).await??)
     }
 
     /// Hands a job of equal tasks in and waits for its answer.
     pub(crate) async fn submit(&self, id: u64, tasks: u32, estimate: u64) -> Result<Response> {
-        let mut client = Client::connect(self.front()).await?;
+        let mut client = Client::connect(self.caller_address()).await?;
         let body = job_body(tasks, estimate, true);
         self.submit_over(&mut client, id, &body).await
     }
@@ -202,7 +202,7 @@
     #[allow(dead_code)] // Only some tests say what a task is told.
     /// Hands a job in whose tasks are told `spec`.
     pub(crate) async fn submit_spec(&self, id: u64, spec: &str) -> Result<Response> {
-        let mut client = Client::connect(self.front()).await?;
+        let mut client = Client::connect(self.caller_address()).await?;
         let mut body = job_body(1, 60, true);
         body["spec"] = json!(spec);
         self.submit_over(&mut client, id, &body).await
@@ -223,7 +223,7 @@
     #[allow(dead_code)] // The example asks nothing.
     /// Asks for a job.
     pub(crate) async fn get(&self, path: &str) -> Result<Response> {
-        let mut client = Client::connect(self.front()).await?;
+        let mut client = Client::connect(self.caller_address()).await?;
         let headers = [("host", HOST)];
         client.send(Method::GET, path, &headers, Vec::new()).await
     }
@@ -231,7 +231,7 @@
     #[allow(dead_code)] // Only some tests cancel.
     /// Cancels a job.
     pub(crate) async fn delete(&self, path: &str) -> Result<Response> {
-        let mut client = Client::connect(self.front()).await?;
+        let mut client = Client::connect(self.caller_address()).await?;
         let headers = [("host", HOST)];
         client
             .send(Method::DELETE, path, &headers, Vec::new())
@@ -239,7 +239,7 @@
     }
 
     pub(crate) async fn post(&self, path: &str, body: &Value) -> Result<Response> {
-        let mut client = Client::connect(self.front()).await?;
+        let mut client = Client::connect(self.caller_address()).await?;
         let headers = [("host", HOST), ("x-poplarknot-deadline-ms", "8000")];
         client.post(path, &headers, body).await
     }
@@ -297,7 +297,7 @@
 
     #[allow(dead_code)] // Only the soak asks.
     /// Starts a fleet with proxies between the instances and what they call.
-    pub(crate) async fn behind_proxies(
+    pub(crate) async fn start_behind_proxies(
         program: &Path,
         nodes: usize,
         runners: usize,
@@ -327,10 +327,10 @@
             let mut runner = Runner::start(&id, centre(i), &rack, 4, takes)?;
             if proxied {
                 let proxy = Proxy::start(runner.address())?;
-                runner = runner.behind(&proxy);
+                runner = runner.with_proxy(&proxy);
                 fleet.proxies.endpoints.push(proxy);
             }
-            runner.enlist(&fleet.store);
+            runner.register(&fleet.store);
             fleet.runners.push(runner);
         }
         for i in 0..nodes {
@@ -345,18 +345,18 @@
             fleet.nodes.push(node);
         }
         for node in &fleet.nodes {
-            node.ready().await?;
+            node.wait_until_ready().await?;
         }
         Ok(fleet)
     }
 
     /// Checks that no task ever ran twice at the same time, and returns how many runs there were.
-    pub(crate) fn judge(&self) -> usize {
+    pub(crate) fn assert_no_overlapping_runs(&self) -> usize {
         let past: Vec<_> = self.runners.iter().flat_map(|r| r.history()).collect();
         for (i, one) in past.iter().enumerate() {
             for other in &past[i + 1..] {
-                let apart = one.until.is_some_and(|u| u <= other.from)
-                    || other.until.is_some_and(|u| u <= one.from);
+                let apart = one.ended.is_some_and(|u| u <= other.started)
+                    || other.ended.is_some_and(|u| u <= one.started);
                 assert!(one.task != other.task || apart, "{one:?} and {other:?}");
             }
         }
@@ -378,11 +378,11 @@
 
 /// Puts a configuration in force with one queue.
 pub(crate) fn configure(store: &Store, version: u64, timeout: u64) {
-    configure_idle(store, version, timeout, 15_000);
+    configure_with_idle_timeout(store, version, timeout, 15_000);
 }
 
 /// Puts a configuration in force that closes callers' connections when they have been idle for `idle` milliseconds.
-pub(crate) fn configure_idle(store: &Store, version: u64, timeout: u64, idle: u64) {
+pub(crate) fn configure_with_idle_timeout(store: &Store, version: u64, timeout: u64, idle: u64) {
     let configuration = json!({
         "version": version,
         "routes": [{
--- a/tests/platform/runner.rs
+++ b/tests/platform/runner.rs
@@ -50,12 +50,12 @@
 
 /// A run, as it was.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Past {
+pub(crate) struct Execution {
     pub(crate) task: String,
     pub(crate) run: u64,
-    pub(crate) from: Instant,
-    pub(crate) until: Option<Instant>,
-    pub(crate) how: &'static str,
+    pub(crate) started: Instant,
+    pub(crate) ended: Option<Instant>,
+    pub(crate) outcome: &'static str,
 }
 
 /// How long after a run's end its owner may not have heard of it, so that it counts as running still.
@@ -79,7 +79,7 @@
     running: HashMap<String, Active>,
     finished: Vec<(u64, String, u64, &'static str)>,
     barred: BTreeMap<String, u64>,
-    history: Vec<Past>,
+    history: Vec<Execution>,
     /// Tasks that it was asked for while it was down, and when.
     missed: Vec<(String, Instant)>,
     serial: u64,
@@ -97,7 +97,7 @@
     /// How many tasks fit.
     slots: usize,
     /// Orders that are left without an answer, after they were carried out.
-    mute: usize,
+    responses_to_drop: usize,
 }
 
 /// An endpoint.
@@ -145,7 +145,7 @@
     }
 
     /// Lets instances reach it through a proxy.
-    pub(crate) fn behind(mut self, proxy: &Proxy) -> Self {
+    pub(crate) fn with_proxy(mut self, proxy: &Proxy) -> Self {
         self.row["address"] = json!(proxy.address().to_string());
         self
     }
@@ -154,31 +154,31 @@
         self.server.address()
     }
 
-    pub(crate) fn enlist(&self, store: &Store) {
+    pub(crate) fn register(&self, store: &Store) {
         store.set("servers", &self.id, &self.row);
     }
 
-    pub(crate) fn leave(&self, store: &Store) {
+    pub(crate) fn start_draining(&self, store: &Store) {
         let mut row = self.row.clone();
         row["state"] = json!("draining");
         store.set("servers", &self.id, &row);
     }
 
-    pub(crate) fn history(&self) -> Vec<Past> {
+    pub(crate) fn history(&self) -> Vec<Execution> {
         self.state.lock().unwrap().history.clone()
     }
 
     /// Finds its crashes under a job's tasks.
-    pub(crate) fn crashes_of(&self, job: &str) -> Vec<Crash> {
+    pub(crate) fn crashes_of_job(&self, job: &str) -> Vec<Crash> {
         let state = self.state.lock().unwrap();
         let own = |task: &str| task.starts_with(job);
-        let crash = |past: &Past| {
+        let crash = |past: &Execution| {
             let at = past
-                .until
-                .filter(|_| own(&past.task) && past.how == "crashed")?;
-            let beside = |other: &Past| {
-                let ended = other.until.map_or(at, |until| until + END_HEARD);
-                !own(&other.task) && other.from <= at && ended >= at
+                .ended
+                .filter(|_| own(&past.task) && past.outcome == "crashed")?;
+            let beside = |other: &Execution| {
+                let ended = other.ended.map_or(at, |until| until + END_HEARD);
+                !own(&other.task) && other.started <= at && ended >= at
             };
             let mut missed = state.missed.iter().filter(|(task, _)| !own(task));
             let asked = missed.any(|(_, when)| *when >= at && *when <= at + DOWN);
@@ -189,30 +189,30 @@
     }
 
     /// Begins anew under its name, and says so in its row.
-    pub(crate) fn begin_anew(&mut self, store: &Store) {
+    pub(crate) fn restart(&mut self, store: &Store) {
         let mut state = self.state.lock().unwrap();
-        state.begin_anew();
+        state.restart();
         self.row["born"] = json!(state.born);
         drop(state);
-        self.enlist(store);
+        self.register(store);
     }
 
     /// Changes what it has, and doesn't guard it any more.
     pub(crate) fn resize(&mut self, store: &Store, slots: usize) {
         self.state.lock().unwrap().unguarded = true;
         self.row["capacity"]["cpu"] = json!(slots * 1_000);
-        self.enlist(store);
+        self.register(store);
     }
 
     #[allow(dead_code)] // Only some tests change it.
     /// Changes how long tasks run that are started from now on.
-    pub(crate) fn take(&self, takes: Duration) {
+    pub(crate) fn set_task_duration(&self, takes: Duration) {
         self.state.lock().unwrap().takes = takes;
     }
 
     /// Leaves the next orders without an answer, after they were carried out.
-    pub(crate) fn mute(&self, orders: usize) {
-        self.state.lock().unwrap().mute = orders;
+    pub(crate) fn drop_responses(&self, orders: usize) {
+        self.state.lock().unwrap().responses_to_drop = orders;
     }
 }
 
@@ -220,13 +220,15 @@
     /// Ends what runs without a word.
     fn crash(&mut self) {
         for run in std::mem::take(&mut self.running).into_values() {
-            (self.history[run.place].until, self.history[run.place].how) =
-                (Some(Instant::now()), "crashed");
+            (
+                self.history[run.place].ended,
+                self.history[run.place].outcome,
+            ) = (Some(Instant::now()), "crashed");
         }
     }
 
     /// Forgets everything, as a process that starts again.
-    fn begin_anew(&mut self) {
+    fn restart(&mut self) {
         self.crash();
         *self = Self {
             born: self.born + 1,
@@ -244,7 +246,7 @@
     fn is_down(&mut self) -> bool {
         match self.down {
             Some(until) if until <= Instant::now() => {
-                self.begin_anew();
+                self.restart();
                 false
             }
             down => down.is_some(),
@@ -279,7 +281,7 @@
         };
         self.serial += 1;
         let past = &mut self.history[run.place];
-        (past.until, past.how) = (Some(at), how);
+        (past.ended, past.outcome) = (Some(at), how);
         self.bar(task, run.run);
         let row = (self.serial, task.to_owned(), run.run, how);
         self.finished.push(row);
@@ -318,12 +320,12 @@
             ends: now + self.takes,
             place: self.history.len(),
         };
-        self.history.push(Past {
+        self.history.push(Execution {
             task: task.to_owned(),
             run,
-            from: now,
-            until: None,
-            how: "",
+            started: now,
+            ended: None,
+            outcome: "",
         });
         self.running.insert(task.to_owned(), active);
         Ok(())
@@ -397,8 +399,8 @@
             }
             _ => return answer(404, &json!({})),
         };
-        if response.is_some() && state.mute > 0 {
-            state.mute -= 1;
+        if response.is_some() && state.responses_to_drop > 0 {
+            state.responses_to_drop -= 1;
             return None;
         }
         response
--- a/tests/platform/store.rs
+++ b/tests/platform/store.rs
@@ -34,14 +34,14 @@
 
 /// How the store treats calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(crate) enum Mood {
+pub(crate) enum Behaviour {
     /// It serves them.
     #[default]
-    Well,
+    Serve,
     /// It refuses all of them.
-    Busy,
+    Refuse,
     /// It leaves them without an answer.
-    Silent,
+    Ignore,
 }
 
 /// Table, part and key of a row.
@@ -55,7 +55,7 @@
     rows: BTreeMap<Key, (Option<Value>, u64)>,
     /// Versions up to this one are forgotten.
     history: u64,
-    mood: Mood,
+    behaviour: Behaviour,
 }
 
 /// The store.
@@ -110,8 +110,8 @@
         rows.map(|((_, _, key), _)| key.clone()).collect()
     }
 
-    pub(crate) fn mood(&self, mood: Mood) {
-        self.tables.lock().unwrap().mood = mood;
+    pub(crate) fn set_behaviour(&self, behaviour: Behaviour) {
+        self.tables.lock().unwrap().behaviour = behaviour;
         self.changed.notify_waiters();
     }
 
@@ -161,11 +161,11 @@
 }
 
 async fn serve(tables: &Mutex<Tables>, changed: &Notify, request: Request) -> Response {
-    let mood = tables.lock().unwrap().mood;
-    match mood {
-        Mood::Well => {}
-        Mood::Busy => return answer(503, &json!({"error": "busy"})),
-        Mood::Silent => {
+    let behaviour = tables.lock().unwrap().behaviour;
+    match behaviour {
+        Behaviour::Serve => {}
+        Behaviour::Refuse => return answer(503, &json!({"error": "busy"})),
+        Behaviour::Ignore => {
             tokio::time::sleep(Duration::from_secs(30)).await;
             return None;
         }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -49,7 +49,7 @@
     Rng as _,
     SeedableRng as _, //
 };
-use store::Mood;
+use store::Behaviour;
 use support::{
     client::{
         Client,
@@ -162,7 +162,7 @@
     let mut random = SmallRng::seed_from_u64(seed);
     let takes = Duration::from_millis([60, 200, 700][random.random_range(0..3)]);
     let (instances, endpoints, callers) = size();
-    let mut fleet = Fleet::behind_proxies(program(), instances, endpoints, takes).await?;
+    let mut fleet = Fleet::start_behind_proxies(program(), instances, endpoints, takes).await?;
     let nodes = std::mem::take(&mut fleet.nodes);
     let slot = |node| Slot {
         node: Mutex::new(Arc::new(node)),
@@ -191,7 +191,7 @@
     ask_for_accepted(&slots, &ledger).await?;
     // Callers that broke off may have left runs, which are stopped or lapse.
     sleep(Duration::from_millis(1_500)).await;
-    fleet.judge();
+    fleet.assert_no_overlapping_runs();
     let faults = settle(&fleet, &ledger);
     if !faults.is_empty() {
         keep_logs(seed, &slots)?;
@@ -246,9 +246,9 @@
     let mut begun: HashMap<String, Instant> = HashMap::new();
     for past in fleet.runners.iter().flat_map(|runner| runner.history()) {
         let job = past.task.split('.').next().unwrap_or_default().to_owned();
-        let first = begun.entry(job.clone()).or_insert(past.from);
-        *first = past.from.min(*first);
-        if past.how == "done" {
+        let first = begun.entry(job.clone()).or_insert(past.started);
+        *first = past.started.min(*first);
+        if past.outcome == "done" {
             done.entry(job).or_default().insert(past.task);
         }
     }
@@ -313,7 +313,7 @@
             let submit = async {
                 let mut client = match kept.remove(&node.ip) {
                     Some(client) => client,
-                    None => Client::connect(node.front()).await?,
+                    None => Client::connect(node.caller_address()).await?,
                 };
                 let answer = node.submit_over(&mut client, id, &body).await?;
                 if keeps && answer.header("connection") != Some("close") {
@@ -395,16 +395,18 @@
             2 => healing.push(tokio::spawn(restart(slots, i, Signal::SIGTERM, down))),
             3 | 4 => healing.push(tokio::spawn(pause(slots, i, down * 2))),
             5 => {
-                fleet.store.mood([Mood::Busy, Mood::Silent][i % 2]);
+                fleet
+                    .store
+                    .set_behaviour([Behaviour::Refuse, Behaviour::Ignore][i % 2]);
                 let store = fleet.store.clone();
                 healing.push(tokio::spawn(async move {
                     sleep(down).await;
-                    store.mood(Mood::Well);
+                    store.set_behaviour(Behaviour::Serve);
                     Ok(())
                 }));
             }
             6 => fleet.store.compact(),
-            7 => fleet.runners[random.random_range(0..fleet.runners.len())].mute(3),
+            7 => fleet.runners[random.random_range(0..fleet.runners.len())].drop_responses(3),
             _ => {
                 version += 3;
                 configure(&fleet.store, version, 4_000);
@@ -414,7 +416,7 @@
     for heal in healing {
         heal.await??;
     }
-    fleet.store.mood(Mood::Well);
+    fleet.store.set_behaviour(Behaviour::Serve);
     Ok(())
 }
 
@@ -475,7 +477,7 @@
         // It has been ended by another fault, which starts it again.
         return Ok(());
     }
-    while node.alive() {
+    while node.is_running() {
         sleep(Duration::from_millis(20)).await;
     }
     slot.log.lock().unwrap().push_str(&node.log());
--- a/tests/trace/scenes.rs
+++ b/tests/trace/scenes.rs
@@ -17,7 +17,7 @@
         Node,
         PREFIX, //
     },
-    store::Mood,
+    store::Behaviour,
     support::{
         until,
         Result, //
@@ -91,7 +91,10 @@
         sleep(MIDDLE).await;
         fleet.nodes[0].signal(Signal::SIGKILL)?;
         // What runs goes on until it is stopped; what is started from now on ends.
-        fleet.runners.iter().for_each(|runner| runner.take(TASK));
+        fleet
+            .runners
+            .iter()
+            .for_each(|runner| runner.set_task_duration(TASK));
         sleep(AGAIN).await;
         fleet.nodes[1].submit(id, 2, 900).await
     });
@@ -144,7 +147,7 @@
     if answer.status != 200 {
         return Err(format!("the first job was answered {}", answer.status).into());
     }
-    fleet.store.mood(Mood::Silent);
+    fleet.store.set_behaviour(Behaviour::Ignore);
     let seen = node.post(&path(id), &body).await?.status.to_string();
     Scene::take(seen, id, &fleet, "request_unanswered").await
 }
