--- a/src/instance.rs
+++ b/src/instance.rs
@@ -1,13 +1,13 @@
-//! An instance on the platform: one thread with all sockets round the dispatcher.
+//! Runs an instance on the platform: one thread that serves all sockets and drives the dispatcher.
 
 pub mod calls;
 pub mod feeds;
 pub mod front;
-pub mod gauges;
 pub mod heartbeats;
 pub mod hub;
 pub mod inbox;
 pub mod journal;
+pub mod metrics;
 pub mod peers;
 pub mod rows;
 
@@ -36,7 +36,7 @@
 };
 
 use self::{
-    calls::Calls,
+    calls::EndpointClient,
     heartbeats::Heartbeats,
     hub::{
         now,
@@ -44,7 +44,7 @@
     },
     journal::Journal,
     peers::Peers,
-    rows::Rows,
+    rows::JobStore,
 };
 use crate::{
     clock::wall,
@@ -63,95 +63,101 @@
     prelude::*,
 };
 
-/// Where the metrics are, besides the readiness: a port of its own that the deploy file names.
-pub const METRICS: u16 = 9_464;
+/// The port at which `/metrics` is served besides the readiness address. The deployment's scrape configuration names
+/// it.
+pub const METRICS_PORT: u16 = 9_464;
 
-/// Connections that wait to be accepted: a burst opens some hundreds at once, and one that finds the queue full
-/// is tried again only after a second.
+/// Length of the listen queue. A burst opens hundreds of connections at once, and a client that finds the queue full
+/// retries only after a second.
 const BACKLOG: u32 = 4_096;
 
-/// Between ticks, at which the dispatcher does what is due: a tenth of the shortest patience.
-const TICK: Duration = Duration::from_millis(10);
+/// Interval at which the dispatcher does what has become due: a tenth of its shortest timeout.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How long before it is killed a draining instance ends by itself.
-const MARGIN: Span = Span::millis(300);
+/// How long before the platform kills the process a draining instance exits by itself.
+const EXIT_MARGIN: Span = Span::millis(300);
 
-/// Runs an instance until SIGTERM has drained it.
+/// Runs an instance until it has drained after SIGTERM.
 ///
 /// # Errors
 ///
-/// Fails where a listener, the runtime or the log can't be opened.
-pub fn run(site: Settings) -> Result<(), Error> {
+/// Returns an error if a listener, the runtime or the log can't be opened.
+pub fn run(settings: Settings) -> Result<(), Error> {
     let runtime = Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|source| Error::Thread {
         what: "main",
         source,
     })?;
-    LocalSet::new().block_on(&runtime, serve(site))
+    LocalSet::new().block_on(&runtime, serve(settings))
 }
 
-async fn serve(site: Settings) -> Result<(), Error> {
-    let callers = listen("callers", site.callers)?;
-    let ready = listen("readiness", site.ready)?;
-    let peers = listen("peers", site.peers)?;
-    let metrics = SocketAddr::new(site.ready.ip(), METRICS);
+async fn serve(settings: Settings) -> Result<(), Error> {
+    let caller_listener = listen("callers", settings.callers)?;
+    let ready_listener = listen("readiness", settings.ready)?;
+    let peer_listener = listen("peers", settings.peers)?;
+    let metrics_address = SocketAddr::new(settings.ready.ip(), METRICS_PORT);
     let contact = Contact {
-        name: site.name.clone(),
-        address: site.peers.to_string(),
+        name: settings.name.clone(),
+        address: settings.peers.to_string(),
     };
     let identity = Identity {
         contact: contact.clone(),
-        centre: site.centre.clone(),
+        centre: settings.centre.clone(),
         incarnation: wall(),
-        share: site.share,
+        share: settings.share,
         epoch: Epoch(wall() / 1_000),
     };
-    let heartbeats = UdpSocket::bind(site.peers).await;
-    let heartbeats = heartbeats.map_err(|source| Error::Listen {
+    let heartbeat_socket = UdpSocket::bind(settings.peers).await;
+    let heartbeat_socket = heartbeat_socket.map_err(|source| Error::Listen {
         what: "heartbeats",
         address: contact.address.clone(),
         source,
     })?;
-    let journal = Journal::open(site.name.clone())?;
+    let journal = Journal::open(settings.name.clone())?;
     let dispatcher = Dispatcher::new(identity.clone(), now());
-    let peers_out = Peers::new(identity, site.peers.ip());
-    let heartbeats = Heartbeats::new(heartbeats);
+    let peers = Peers::new(identity, settings.peers.ip());
+    let heartbeats = Heartbeats::new(heartbeat_socket);
     let hub = Hub::new(
         dispatcher,
         journal,
-        Calls::new(),
-        peers_out,
+        EndpointClient::new(),
+        peers,
         heartbeats,
-        Rows::new(site.store.clone()),
+        JobStore::new(settings.store.clone()),
     );
-    let record = Record::new("started").with("centre", site.centre.as_str());
+    let record = Record::new("started").with("centre", settings.centre.as_str());
     hub.log(&record.with("peers", contact.address.as_str()));
-    spawn_local(front::serve(hub.clone(), callers, site.sockets));
-    spawn_local(front::watch(hub.clone(), ready));
-    match listen("metrics", metrics) {
+    spawn_local(front::serve(hub.clone(), caller_listener, settings.sockets));
+    spawn_local(front::serve_health(hub.clone(), ready_listener));
+    match listen("metrics", metrics_address) {
         Ok(listener) => {
-            spawn_local(front::watch(hub.clone(), listener));
+            spawn_local(front::serve_health(hub.clone(), listener));
         }
-        // Another instance on the same address has the port; the readiness has them too.
+        // Another instance on the same IP address holds the port. The readiness address serves the metrics too.
         Err(error) => hub.log(&Record::new("metrics_unserved").with("error", error.to_string())),
     }
-    spawn_local(peers::serve(hub.clone(), peers));
+    spawn_local(peers::serve(hub.clone(), peer_listener));
     spawn_local(heartbeats::serve(hub.clone()));
-    let store = site.store.clone();
-    spawn_local(feeds::operator(hub.clone(), store.clone()));
-    spawn_local(feeds::endpoints(hub.clone(), store.clone()));
-    let seeds = seeds(&site);
-    spawn_local(feeds::instances(hub.clone(), store, contact, seeds));
-    spawn_local(tick(hub.clone()));
-    spawn_local(flush(hub.clone()));
-    spawn_local(reload(hub.clone()));
-    terminate(&hub, site.grace).await
+    let store = settings.store.clone();
+    spawn_local(feeds::follow_operator_table(hub.clone(), store.clone()));
+    spawn_local(feeds::follow_endpoints(hub.clone(), store.clone()));
+    let seeds = seed_contacts(&settings);
+    spawn_local(feeds::register_and_find_peers(
+        hub.clone(),
+        store,
+        contact,
+        seeds,
+    ));
+    spawn_local(tick_periodically(hub.clone()));
+    spawn_local(flush_periodically(hub.clone()));
+    spawn_local(log_reloads(hub.clone()));
+    drain_on_sigterm(&hub, settings.grace).await
 }
 
-/// Names seeds by their addresses, until they say their names.
-fn seeds(site: &Settings) -> Vec<Contact> {
-    let own = site.peers.to_string();
-    let others = site.seeds.iter().filter(|seed| **seed != own);
+/// Returns the other instances among the seeds. A seed goes by its address until it sends its name.
+fn seed_contacts(settings: &Settings) -> Vec<Contact> {
+    let own = settings.peers.to_string();
+    let others = settings.seeds.iter().filter(|seed| **seed != own);
     let contact = |seed: &String| {
         let name = seed.parse::<Instance>().ok()?;
         let address = seed.clone();
@@ -161,35 +167,36 @@
 }
 
 fn listen(what: &'static str, address: SocketAddr) -> Result<TcpListener, Error> {
-    let listen = || {
+    let open = || {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
         socket.listen(BACKLOG)
     };
-    listen().map_err(|source| Error::Listen {
+    open().map_err(|source| Error::Listen {
         what,
         address: address.to_string(),
         source,
     })
 }
 
-async fn tick(hub: Rc<Hub>) {
+async fn tick_periodically(hub: Rc<Hub>) {
     loop {
-        sleep(TICK).await;
-        hub.feed(Input::Tick);
+        sleep(TICK_INTERVAL).await;
+        hub.handle(Input::Tick);
     }
 }
 
-async fn flush(hub: Rc<Hub>) {
+async fn flush_periodically(hub: Rc<Hub>) {
     loop {
-        sleep(journal::FLUSH.duration()).await;
-        hub.flush();
+        sleep(journal::FLUSH_INTERVAL.duration()).await;
+        hub.flush_log();
     }
 }
 
-/// Settings name the machine, which doesn't change while the process runs: a reload is only noted.
-async fn reload(hub: Rc<Hub>) {
+/// Logs each SIGHUP. Nothing is read again: the settings describe the machine, which stays the same while the process
+/// runs.
+async fn log_reloads(hub: Rc<Hub>) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         return;
     };
@@ -198,26 +205,27 @@
     }
 }
 
-async fn terminate(hub: &Rc<Hub>, grace: Span) -> Result<(), Error> {
+/// Waits for SIGTERM, then until the instance has drained or its time to do so has passed.
+async fn drain_on_sigterm(hub: &Rc<Hub>, grace: Span) -> Result<(), Error> {
     let mut term = signal(SignalKind::terminate()).map_err(|source| Error::Thread {
         what: "signal",
         source,
     })?;
     term.recv().await;
-    let begun = now();
-    hub.feed(Input::Drain);
-    let last = Span(grace.0.saturating_sub(MARGIN.0)).duration();
+    let draining_since = now();
+    hub.handle(Input::Drain);
+    let time_limit = Span(grace.0.saturating_sub(EXIT_MARGIN.0)).duration();
     tokio::select! {
         () = hub.drained.notified() => {}
-        () = sleep(last) => {
-            // Callers that were left without an answer would not know whether to come again.
+        () = sleep(time_limit) => {
+            // Answers the callers that still wait: without an answer they couldn't tell whether a retry is safe.
             hub.log(&Record::new("drain_unfinished"));
-            hub.feed(Input::Closing);
+            hub.handle(Input::Closing);
         }
     }
-    hub.log(&Record::new("ended").with("after_ms", now().since(begun)));
-    hub.flush();
-    // The last answers and lines are on their way to their sockets.
+    hub.log(&Record::new("ended").with("after_ms", now().since(draining_since)));
+    hub.flush_log();
+    // Leaves time for the last responses and log lines to be written.
     sleep(Duration::from_millis(50)).await;
     Ok(())
 }
--- a/src/instance/calls.rs
+++ b/src/instance/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to endpoints, over connections that are kept.
+//! Sends orders to endpoints over pooled connections.
 
 use std::{
     cell::RefCell,
@@ -39,32 +39,33 @@
     prelude::*,
 };
 
-/// How long an idle connection to an endpoint is used: one that went silent costs the patience of one order,
-/// and a new one costs the endpoint and the instance more than that in processor time.
-const TRUST: Duration = Duration::from_secs(30);
+/// How long an idle connection to an endpoint may be reused. A connection that has silently failed costs the timeout
+/// of one order, but a new connection for each order would cost the endpoint and the instance more processor time.
+const MAX_IDLE: Duration = Duration::from_secs(30);
 
-/// Connections to endpoints.
-pub struct Calls {
+/// A client of the endpoints, with a pool of connections.
+pub struct EndpointClient {
     pool: RefCell<Pool>,
 }
 
-impl Calls {
-    /// Makes an empty pool of connections.
+impl EndpointClient {
+    /// Creates a client with no connections.
     pub fn new() -> Self {
         Self {
-            pool: RefCell::new(Pool::new(TRUST)),
+            pool: RefCell::new(Pool::new(MAX_IDLE)),
         }
     }
 
-    /// Begins a call; its answer goes to the dispatcher.
-    pub fn begin(&self, hub: &Rc<Hub>, output: Output) {
+    /// Starts a call in a task of its own, which passes the reply to the dispatcher. Ignores any output but
+    /// [`Output::Call`].
+    pub fn start_call(&self, hub: &Rc<Hub>, output: Output) {
         let Output::Call {
             call,
             endpoint,
             address,
             order,
-            timeout: patience,
-            fresh,
+            timeout: time_limit,
+            fresh: new_connection,
         } = output
         else {
             return;
@@ -72,53 +73,53 @@
         let hub = hub.clone();
         spawn_local(async move {
             let sent = now();
-            let attempt = exchange(&hub, &endpoint, &address, &order, fresh);
-            let reply = timeout(patience.duration(), attempt).await;
+            let attempt = send_order(&hub, &endpoint, &address, &order, new_connection);
+            let reply = timeout(time_limit.duration(), attempt).await;
             let reply = reply.unwrap_or(Reply::Silent);
-            hub.gauges.call(&order, &reply, now().since(sent));
-            hub.feed(Input::EndpointReplied { call, sent, reply });
+            hub.metrics.count_call(&order, &reply, now().since(sent));
+            hub.handle(Input::EndpointReplied { call, sent, reply });
         });
     }
 
     /// Closes the idle connections to an endpoint.
-    pub fn forget(&self, address: &str) {
+    pub fn close_idle(&self, address: &str) {
         self.pool.borrow_mut().forget(address);
     }
 }
 
-impl Default for Calls {
+impl Default for EndpointClient {
     fn default() -> Self {
         Self::new()
     }
 }
 
-async fn exchange(
+async fn send_order(
     hub: &Hub,
     endpoint: &Endpoint,
     address: &str,
     order: &Order,
-    fresh: bool,
+    new_connection: bool,
 ) -> Reply {
-    let idle = match fresh {
+    let idle = match new_connection {
         true => {
-            hub.calls.forget(address);
+            hub.endpoints.close_idle(address);
             None
         }
-        false => hub.calls.pool.borrow_mut().take(address),
+        false => hub.endpoints.pool.borrow_mut().take(address),
     };
     if idle.is_none() {
-        hub.gauges.connected();
+        hub.metrics.count_connection();
     }
-    let (path, body) = order::write(order);
+    let (path, body) = order::encode(order);
     let mut request = http::json_request(Method::POST, address, path, Bytes::from(body));
     let headers = request.headers_mut();
     if let Ok(expected) = HeaderValue::from_str(endpoint.as_str()) {
-        headers.insert(HeaderName::from_static(order::EXPECTED), expected);
+        headers.insert(HeaderName::from_static(order::EXPECTED_HEADER), expected);
     }
     match http::exchange(idle, address, request).await {
         Ok((reply, connection)) => {
-            hub.calls.pool.borrow_mut().put(address, connection);
-            order::read(order, reply.status.as_u16(), &reply.body)
+            hub.endpoints.pool.borrow_mut().put(address, connection);
+            order::decode(order, reply.status.as_u16(), &reply.body)
         }
         Err(Failure::Unsent(_)) => Reply::Unsent,
         Err(Failure::Broken(_)) => Reply::Silent,
--- a/src/instance/feeds.rs
+++ b/src/instance/feeds.rs
@@ -1,4 +1,4 @@
-//! What an instance reads from the store: the configuration, the endpoints, the other instances.
+//! Follows the store's tables: the operator's configuration and evacuations, the endpoints, and the other instances.
 
 use std::{
     cell::RefCell,
@@ -51,41 +51,41 @@
     prelude::*,
 };
 
-/// How long a feed of the configuration waits for a change: a connection that has gone silent is found after this
-/// and [`PATIENCE`], while a change must be in force within two seconds.
-const WAIT: Span = Span::millis(1_000);
+/// How long a long poll of the operator's table waits for a change. A silent connection is detected after this time
+/// and [`RESPONSE_TIMEOUT`], and a change must be in force within two seconds.
+const POLL_WAIT: Span = Span::millis(1_000);
 
-/// How long an answer of the store may take beyond the wait: a hundred times its usual time.
-const PATIENCE: Duration = Duration::from_millis(400);
+/// How long a response of the store may take beyond the wait of a long poll: a hundred times its usual latency.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Between calls that failed.
-const AGAIN: Duration = Duration::from_millis(150);
+/// Delay before a failed call is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Between reads of the endpoints' changes: a leaving endpoint may get tasks for two seconds after it said so,
-/// and each read that returns at once for a heartbeat would cost a call.
-const ENDPOINTS: Duration = Duration::from_millis(500);
+/// Interval between reads of the endpoint table. A draining endpoint may get tasks for up to two seconds, and a
+/// heartbeat ends a long poll at once, so that shorter intervals only add calls.
+const ENDPOINT_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Between looks whether this instance is to read the endpoints, while others do.
-const FOLLOWING: Duration = Duration::from_millis(50);
+/// Interval at which an instance checks whether it has become one of those that read the endpoint table.
+const READER_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Between reads of the instances while no peer is heard.
-const LONELY: Duration = Duration::from_millis(1_000);
+/// Interval between reads of the instance table while no peer is heard.
+const PEER_SEARCH_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Keys of malformed rows that are kept so that each is logged once: another program may write its row anew every second,
-/// and many of them. Beyond this many the counter alone tells.
-const MALFORMED: usize = 64;
+/// Maximum number of malformed rows that are remembered so that each is logged once. Another program may write many
+/// of them, and each every second; rows beyond the limit are only counted.
+const MAX_REPORTED_ROWS: usize = 64;
 
-/// A connection to the store, opened when it is needed.
+/// A client of the store, which connects when it is first called and after each failure.
 struct Client {
     hub: Rc<Hub>,
     address: String,
     connection: Option<Connection>,
-    failed: bool,
-    /// Keys of malformed rows that were logged.
-    malformed: RefCell<HashSet<String>>,
+    unavailable: bool,
+    /// Keys of malformed rows that have been logged.
+    reported_rows: RefCell<HashSet<String>>,
 }
 
-/// Why a call to the store brought nothing.
+/// Why a call to the store failed.
 #[derive(Debug, thiserror::Error)]
 enum Failure {
     #[error("no answer")]
@@ -102,8 +102,8 @@
             hub: hub.clone(),
             address: address.to_owned(),
             connection: None,
-            failed: false,
-            malformed: RefCell::default(),
+            unavailable: false,
+            reported_rows: RefCell::default(),
         }
     }
 
@@ -114,18 +114,18 @@
         body: Vec<u8>,
         wait: Span,
     ) -> Result<Bytes, Failure> {
-        let patience = wait.duration() + PATIENCE;
-        let reply = timeout(patience, self.exchange(method, path, body)).await;
+        let time_limit = wait.duration() + RESPONSE_TIMEOUT;
+        let reply = timeout(time_limit, self.exchange(method, path, body)).await;
         let result = match reply {
             Ok(Some(reply)) if reply.status.as_u16() == 200 => Ok(reply.body),
             Ok(Some(reply)) => Err(Failure::Status(reply.status.as_u16())),
-            // What went silent is not used again.
+            // A connection without an answer is not reused.
             _ => {
                 self.connection = None;
                 Err(Failure::Silent)
             }
         };
-        self.note(&result);
+        self.report_outcome(&result);
         result
     }
 
@@ -138,44 +138,46 @@
         Some(reply)
     }
 
-    /// Writes one line when the store is lost, and one when it is back.
-    fn note(&mut self, result: &Result<Bytes, Failure>) {
-        self.hub.gauges.store(match result {
+    /// Counts a call, and logs when the store becomes unavailable and when it is back.
+    fn report_outcome(&mut self, result: &Result<Bytes, Failure>) {
+        self.hub.metrics.count_store_call(match result {
             Ok(_) => "done",
             Err(Failure::Silent) => "silent",
             Err(_) => "refused",
         });
-        match (result, self.failed) {
+        match (result, self.unavailable) {
             (Err(Failure::Status(410)), _) => {}
             (Err(failure), false) => {
                 let record = Record::new("store_lost").with("reason", failure.to_string());
                 self.hub.log(&record);
-                self.failed = true;
+                self.unavailable = true;
             }
             (Ok(_), true) => {
                 self.hub.log(&Record::new("store_back"));
-                self.failed = false;
+                self.unavailable = false;
             }
             _ => {}
         }
     }
 
-    async fn page(&mut self, path: &str, wait: Span) -> Result<Page, Failure> {
+    async fn fetch_page(&mut self, path: &str, wait: Span) -> Result<Page, Failure> {
         let body = self.call(Method::GET, path, Vec::new(), wait).await?;
-        let page = store::page(&body)?;
-        self.hub.gauges.malformed(page.nameless);
+        let page = store::parse_page(&body)?;
+        self.hub.metrics.count_malformed_rows(page.missing_keys);
         Ok(page)
     }
 
-    /// Reads a whole table; the version is that of the first page, so that the feed repeats what changed since.
-    async fn table(&mut self, table: &str) -> Result<(Vec<Row>, u64), Failure> {
-        let first = self.page(&store::get(table, None), Span(0)).await?;
+    /// Reads a whole table. The version is that of the first page, so that later changes are read again from there.
+    async fn fetch_table(&mut self, table: &str) -> Result<(Vec<Row>, u64), Failure> {
+        let first = self
+            .fetch_page(&store::table_path(table, None), Span(0))
+            .await?;
         let version = first.version;
         let (mut rows, mut more) = (first.rows, first.more);
         while more {
             let after = rows.last().map(|row| row.key.clone());
             let next = self
-                .page(&store::get(table, after.as_deref()), Span(0))
+                .fetch_page(&store::table_path(table, after.as_deref()), Span(0))
                 .await?;
             more = next.more && !next.rows.is_empty();
             rows.extend(next.rows);
@@ -183,24 +185,26 @@
         Ok((rows, version))
     }
 
-    /// Reads what changed in a table since a version, or the whole table where there is none.
-    async fn follow(
+    /// Reads the changes of a table since a version, or the whole table if there is no version.
+    async fn fetch_changes(
         &mut self,
         table: &str,
         version: Option<u64>,
     ) -> Result<(Vec<Row>, u64), Failure> {
         let Some(after) = version else {
-            return self.table(table).await;
+            return self.fetch_table(table).await;
         };
-        let page = self.page(&store::feed(table, after, WAIT), WAIT).await?;
+        let page = self
+            .fetch_page(&store::feed_path(table, after, POLL_WAIT), POLL_WAIT)
+            .await?;
         Ok((page.rows, page.version))
     }
 
-    /// Counts a row that can't be used, and logs it when it is new.
-    fn malformed(&self, table: &str, key: &str, fault: &Fault) {
-        self.hub.gauges.malformed(1);
-        let mut known = self.malformed.borrow_mut();
-        if known.len() >= MALFORMED || !known.insert(key.to_owned()) {
+    /// Counts a malformed row, and logs it the first time.
+    fn report_malformed(&self, table: &str, key: &str, fault: &Fault) {
+        self.hub.metrics.count_malformed_rows(1);
+        let mut reported = self.reported_rows.borrow_mut();
+        if reported.len() >= MAX_REPORTED_ROWS || !reported.insert(key.to_owned()) {
             return;
         }
         let record = Record::new("row_malformed")
@@ -209,135 +213,137 @@
         self.hub.log(&record.with("fault", fault.to_string()));
     }
 
-    /// Takes note that a row can be used, or is gone.
-    fn sound(&self, key: &str) {
-        self.malformed.borrow_mut().remove(key);
+    /// Removes a key from the reported rows, so that the row is logged if it becomes malformed again.
+    fn clear_malformed(&self, key: &str) {
+        self.reported_rows.borrow_mut().remove(key);
     }
 
-    /// Returns what a row holds that isn't dropped.
-    fn value(&self, table: &str, key: &str, content: Content) -> Option<Vec<u8>> {
+    /// Returns the value of a row, or `None` if the row is deleted or can't be read. Reports the latter.
+    fn read_value(&self, table: &str, key: &str, content: Content) -> Option<Vec<u8>> {
         match content {
             Content::Value(value) => Some(value),
-            Content::Dropped => None,
+            Content::Deleted => None,
             Content::Unreadable(fault) => {
-                self.malformed(table, key, &fault);
+                self.report_malformed(table, key, &fault);
                 None
             }
         }
     }
 }
 
-/// Follows what the operator writes: the configuration, and the evacuations.
-pub async fn operator(hub: Rc<Hub>, address: String) {
+/// Follows the operator's table for good: the configuration and the evacuations.
+pub async fn follow_operator_table(hub: Rc<Hub>, address: String) {
     let mut client = Client::new(&hub, &address);
     let mut version = None;
     loop {
-        match client.follow(record::OPERATOR, version).await {
+        match client.fetch_changes(record::OPERATOR_TABLE, version).await {
             Ok((rows, at)) => {
-                take_evacuations(&hub, &rows, version.is_none().then_some(at));
+                apply_evacuations(&hub, &rows, version.is_none().then_some(at));
                 version = Some(at);
                 for row in rows {
-                    take_configuration(&client, row);
+                    apply_configuration(&client, row);
                 }
             }
-            Err(Failure::Status(status)) if store::lacks_history(status) => version = None,
-            Err(_) => sleep(AGAIN).await,
+            Err(Failure::Status(status)) if store::is_compacted(status) => version = None,
+            Err(_) => sleep(RETRY_DELAY).await,
         }
     }
 }
 
-/// Takes what rows of the operator's table say of evacuations; `whole` is the version of the store if they are all rows of it.
-fn take_evacuations(hub: &Rc<Hub>, rows: &[Row], whole: Option<u64>) {
-    let stands = |row: &&Row| row.content != Content::Dropped;
+/// Passes the evacuations in rows of the operator's table to the dispatcher. `whole` is the store's version if `rows`
+/// is the whole table, and `None` if it holds changes.
+fn apply_evacuations(hub: &Rc<Hub>, rows: &[Row], whole: Option<u64>) {
+    let exists = |row: &&Row| row.content != Content::Deleted;
     if let Some(version) = whole {
-        let rows = rows.iter().filter(stands);
-        let centres = rows.filter_map(|row| record::evacuated(&row.key));
+        let rows = rows.iter().filter(exists);
+        let centres = rows.filter_map(|row| record::evacuated_centre(&row.key));
         let centres = centres.map(str::to_owned).collect();
-        return hub.feed(Input::Evacuated(Evacuation { version, centres }));
+        return hub.handle(Input::Evacuated(Evacuation { version, centres }));
     }
     for row in rows {
-        if let Some(centre) = record::evacuated(&row.key) {
-            hub.feed(Input::EvacuationChanged(Change {
+        if let Some(centre) = record::evacuated_centre(&row.key) {
+            hub.handle(Input::EvacuationChanged(Change {
                 centre: centre.to_owned(),
-                evacuated: stands(&row),
+                evacuated: exists(&row),
                 version: row.version,
             }));
         }
     }
 }
 
-fn take_configuration(client: &Client, row: Row) {
-    if row.key != record::CONFIGURATION {
+fn apply_configuration(client: &Client, row: Row) {
+    if row.key != record::CONFIGURATION_KEY {
         return;
     }
-    let Some(value) = client.value(record::OPERATOR, &row.key, row.content) else {
+    let Some(value) = client.read_value(record::OPERATOR_TABLE, &row.key, row.content) else {
         return;
     };
-    match record::configuration(&value) {
+    match record::parse_configuration(&value) {
         Ok(read) => {
-            client.sound(&row.key);
-            client.hub.feed(Input::Configured(Box::new(read)));
+            client.clear_malformed(&row.key);
+            client.hub.handle(Input::Configured(Box::new(read)));
         }
-        Err(fault) => client.malformed(record::OPERATOR, &row.key, &fault),
+        Err(fault) => client.report_malformed(record::OPERATOR_TABLE, &row.key, &fault),
     }
 }
 
-/// Follows the endpoints.
-pub async fn endpoints(hub: Rc<Hub>, address: String) {
+/// Follows the endpoint table for good, while the dispatcher wants this instance to read it.
+pub async fn follow_endpoints(hub: Rc<Hub>, address: String) {
     let mut client = Client::new(&hub, &address);
     let cache = RefCell::new(Cache::default());
     let mut version = None;
     loop {
-        if !hub.look(Dispatcher::reads_roster) {
-            // What others tell meanwhile isn't in what was read before.
+        if !hub.with_dispatcher(Dispatcher::reads_roster) {
+            // The next read must be a whole one: other instances read the changes in the meantime.
             version = None;
-            sleep(FOLLOWING).await;
+            sleep(READER_CHECK_INTERVAL).await;
             continue;
         }
-        let read = client.follow(record::ENDPOINTS, version).await;
-        hub.feed(Input::RosterRead(read.is_ok()));
+        let read = client.fetch_changes(record::ENDPOINT_TABLE, version).await;
+        hub.handle(Input::RosterRead(read.is_ok()));
         match read {
             Ok((rows, at)) => {
                 cache.borrow_mut().on_store_answer(now());
                 if version.is_none() {
-                    hub.look(|dispatcher| {
+                    hub.with_dispatcher(|dispatcher| {
                         cache.borrow_mut().merge_peer_roster(dispatcher.roster())
                     });
                 }
-                take_endpoints(&client, &cache, rows, version.is_none());
+                apply_endpoints(&client, &cache, rows, version.is_none());
                 version = Some(at);
             }
-            Err(Failure::Status(status)) if store::lacks_history(status) => version = None,
+            Err(Failure::Status(status)) if store::is_compacted(status) => version = None,
             Err(_) => cache.borrow_mut().on_store_failure(),
         }
         let roster = cache.borrow_mut().take_changed(now());
         if let Some(roster) = roster.filter(|_| version.is_some()) {
-            hub.feed(Input::RosterListed(roster));
+            hub.handle(Input::RosterListed(roster));
         }
-        sleep(ENDPOINTS).await;
+        sleep(ENDPOINT_POLL_INTERVAL).await;
     }
 }
 
-fn take_endpoints(client: &Client, cache: &RefCell<Cache>, rows: Vec<Row>, whole: bool) {
+/// Applies rows of the endpoint table to the cache; `whole` tells whether they are all rows of the table.
+fn apply_endpoints(client: &Client, cache: &RefCell<Cache>, rows: Vec<Row>, whole: bool) {
     let mut listings: Vec<(Listing, u64)> = Vec::new();
     let mut cache = cache.borrow_mut();
     for row in rows {
         match read_endpoint(&row.key, row.content) {
             Ok(Some(listing)) => {
-                client.sound(&row.key);
+                client.clear_malformed(&row.key);
                 match whole {
                     true => listings.push((listing, row.version)),
                     false => cache.set(listing, row.version),
                 }
             }
             Ok(None) => {
-                client.sound(&row.key);
+                client.clear_malformed(&row.key);
                 if let Ok(id) = row.key.parse::<Endpoint>() {
                     cache.remove(&id, row.version, now());
                 }
             }
             Err(fault) => {
-                client.malformed(record::ENDPOINTS, &row.key, &fault);
+                client.report_malformed(record::ENDPOINT_TABLE, &row.key, &fault);
                 if let Ok(id) = row.key.parse::<Endpoint>() {
                     cache.remove_at_once(&id, row.version);
                 }
@@ -349,53 +355,59 @@
     }
 }
 
-/// Reads the row of an endpoint; none where it was dropped.
+/// Reads an endpoint's row; returns `None` if the row is deleted.
 fn read_endpoint(key: &str, content: Content) -> Result<Option<Listing>, Fault> {
     match content {
-        Content::Value(value) => record::endpoint(key, &value).map(Some),
-        Content::Dropped => Ok(None),
+        Content::Value(value) => record::parse_endpoint(key, &value).map(Some),
+        Content::Deleted => Ok(None),
         Content::Unreadable(fault) => Err(fault),
     }
 }
 
-/// Makes this instance known, and finds the others.
-pub async fn instances(hub: Rc<Hub>, address: String, own: Contact, seeds: Vec<Contact>) {
+/// Registers this instance in the store, then reads the other instances until one is found and whenever no peer is
+/// heard.
+pub async fn register_and_find_peers(
+    hub: Rc<Hub>,
+    address: String,
+    own: Contact,
+    seeds: Vec<Contact>,
+) {
     let mut client = Client::new(&hub, &address);
-    let (path, body) = store::set(
-        record::INSTANCES,
+    let (path, body) = store::build_set(
+        record::INSTANCE_TABLE,
         own.name.as_str(),
-        &record::write_instance(&own),
+        &record::encode_instance(&own),
     );
     while client
         .call(Method::POST, &path, body.clone(), Span(0))
         .await
         .is_err()
     {
-        // Without the store only the seeds can lead to peers.
-        hub.feed(Input::MembersFound(seeds.clone()));
-        sleep(AGAIN).await;
+        // Without the store, only the seeds lead to peers.
+        hub.handle(Input::MembersFound(seeds.clone()));
+        sleep(RETRY_DELAY).await;
     }
     let mut found = false;
     loop {
-        if !found || hub.look(|dispatcher| dispatcher.is_alone()) {
-            if let Ok((rows, _)) = client.table(record::INSTANCES).await {
+        if !found || hub.with_dispatcher(|dispatcher| dispatcher.is_alone()) {
+            if let Ok((rows, _)) = client.fetch_table(record::INSTANCE_TABLE).await {
                 found = true;
-                hub.feed(Input::MembersFound(contacts(&client, rows)));
+                hub.handle(Input::MembersFound(read_contacts(&client, rows)));
             }
         }
-        sleep(LONELY).await;
+        sleep(PEER_SEARCH_INTERVAL).await;
     }
 }
 
-fn contacts(client: &Client, rows: Vec<Row>) -> Vec<Contact> {
+fn read_contacts(client: &Client, rows: Vec<Row>) -> Vec<Contact> {
     let mut contacts = Vec::new();
     for row in rows {
-        let Some(value) = client.value(record::INSTANCES, &row.key, row.content) else {
+        let Some(value) = client.read_value(record::INSTANCE_TABLE, &row.key, row.content) else {
             continue;
         };
-        match record::instance(&row.key, &value) {
+        match record::parse_instance(&row.key, &value) {
             Ok(contact) => contacts.push(contact),
-            Err(fault) => client.malformed(record::INSTANCES, &row.key, &fault),
+            Err(fault) => client.report_malformed(record::INSTANCE_TABLE, &row.key, &fault),
         }
     }
     contacts
--- a/src/instance/front.rs
+++ b/src/instance/front.rs
@@ -1,4 +1,4 @@
-//! The side towards callers: jobs in, answers out; and whether the instance takes callers.
+//! Serves callers over HTTP/1: takes jobs and answers them. Also serves readiness and metrics.
 
 use std::{
     cell::{
@@ -78,134 +78,139 @@
     prelude::*,
 };
 
-/// Sockets that are kept for endpoints, peers and the store.
-const KEPT: usize = 600;
+/// Sockets that are reserved for endpoints, peers and the store.
+const RESERVED_SOCKETS: usize = 600;
 
-/// The least buffer of a connection, which the HTTP library insists on, in bytes.
-const LEAST_BUFFER: usize = 8_192;
+/// The smallest read buffer that the HTTP library accepts, in bytes.
+const MIN_BUFFER_BYTES: usize = 8_192;
 
-/// After which an answer that was refused for want of a configuration may be asked for again.
-const UNREADY: Span = Span::seconds(1);
+/// The `Retry-After` of requests that are refused before the first configuration is read.
+const UNREADY_RETRY_AFTER: Span = Span::seconds(1);
 
-/// Connections of callers, the one that has been idle longest in front.
+/// The open connections of callers, by an identifier that increases.
 struct Callers {
     hub: Rc<Hub>,
-    most: usize,
-    serial: Cell<u64>,
+    max_open: usize,
+    last_id: Cell<u64>,
     open: RefCell<BTreeMap<u64, Rc<Connection>>>,
 }
 
-/// A caller's connection.
+/// The state of a caller's connection.
 struct Connection {
-    /// When its last request ended; none while one is in progress.
-    idle: Cell<Option<Time>>,
-    /// Its other end.
-    caller: String,
-    /// Whether it was chosen to give way to another one.
-    chosen: Cell<bool>,
+    /// When the last request ended; `None` while one is in progress.
+    idle_since: Cell<Option<Time>>,
+    /// The caller's address and port.
+    caller_address: String,
+    /// Whether the connection was selected to be closed in favour of a new one.
+    evicting: Cell<bool>,
     close: Notify,
 }
 
-/// How long a connection that is due to be closed is still read from: two ticks of the instance, so that its loop turns
-/// meanwhile whatever else comes.
-const LAST_READ: Duration = Duration::from_millis(20);
+/// How long a connection that is due to be closed is still read from: two ticks, so that the event loop turns at
+/// least once in this time.
+const FINAL_READ_WAIT: Duration = Duration::from_millis(20);
 
-type Answered = Result<Response<Full<Bytes>>, hyper::Error>;
+type HttpResult = Result<Response<Full<Bytes>>, hyper::Error>;
 
-/// Tells the dispatcher when a caller goes before its answer: the future of its request is dropped then.
-struct Presence {
+/// Reports a caller that disconnects before its answer: the server then drops the future of the request, and this
+/// guard with it.
+struct CallerGuard {
     hub: Rc<Hub>,
     ticket: Ticket,
 }
 
-impl Drop for Presence {
+impl Drop for CallerGuard {
     fn drop(&mut self) {
-        self.hub.abandon(self.ticket);
+        self.hub.on_caller_disconnect(self.ticket);
     }
 }
 
-/// Serves callers.
+/// Accepts callers' connections until idle ones are to be closed for a drain. `sockets` is the number of sockets that
+/// the process may have open.
 pub async fn serve(hub: Rc<Hub>, listener: TcpListener, sockets: usize) {
     let callers = Rc::new(Callers {
         hub,
-        most: sockets.saturating_sub(KEPT).max(64),
-        serial: Cell::new(0),
+        max_open: sockets.saturating_sub(RESERVED_SOCKETS).max(64),
+        last_id: Cell::new(0),
         open: RefCell::default(),
     });
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            // Whoever connects from now on is refused and goes elsewhere; accepted, its request could come in the
-            // moment in which the process ends.
-            () = callers.hub.closing.notified() => return,
+            // A client that connects from now on is refused and tries another instance. If its connection were
+            // accepted, its request could arrive just as the process exits.
+            () = callers.hub.close_idle_callers.notified() => return,
         };
         let Ok((stream, _)) = accepted else {
-            // Out of descriptors: some connection ends, or gives way, in a moment.
+            // Out of file descriptors: retries once a connection may have ended.
             sleep(Duration::from_millis(5)).await;
             continue;
         };
-        callers.make_way();
+        callers.evict_longest_idle();
         let callers = callers.clone();
-        spawn_local(async move { callers.host(stream).await });
+        spawn_local(async move { callers.serve_connection(stream).await });
     }
 }
 
 impl Callers {
-    /// Closes the connection that has been idle longest when there are too many: otherwise idle ones would keep
-    /// out callers that want something.
-    fn make_way(&self) {
+    /// Closes the connection that has been idle longest if the limit is reached. Without this, idle connections would
+    /// keep out callers that have requests.
+    fn evict_longest_idle(&self) {
         let open = self.open.borrow();
-        if open.len() < self.most {
+        if open.len() < self.max_open {
             return;
         }
         let idle = open
             .values()
-            .filter(|state| state.idle.get().is_some() && !state.chosen.get());
-        if let Some(state) = idle.min_by_key(|state| state.idle.get()) {
-            // Each new connection has another one give way, although that takes a moment.
-            state.chosen.set(true);
+            .filter(|state| state.idle_since.get().is_some() && !state.evicting.get());
+        if let Some(state) = idle.min_by_key(|state| state.idle_since.get()) {
+            // Marked so that the next new connection evicts another one, although this one takes a moment to close.
+            state.evicting.set(true);
             state.close.notify_one();
         }
     }
 
     fn limits(&self) -> Limits {
         let limits = |d: &crate::dispatch::Dispatcher| d.configuration().map(|c| c.limits.clone());
-        self.hub.look(limits).unwrap_or_default()
+        self.hub.with_dispatcher(limits).unwrap_or_default()
     }
 
-    async fn host(self: Rc<Self>, stream: TcpStream) {
+    async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
         stream.set_nodelay(true).ok();
         let state = Rc::new(Connection {
-            idle: Cell::new(Some(now())),
-            caller: stream
+            idle_since: Cell::new(Some(now())),
+            caller_address: stream
                 .peer_addr()
                 .map_or_else(|_| String::new(), |a| a.to_string()),
-            chosen: Cell::new(false),
+            evicting: Cell::new(false),
             close: Notify::new(),
         });
-        self.serial.set(self.serial.get() + 1);
-        let serial = self.serial.get();
-        self.open.borrow_mut().insert(serial, state.clone());
-        self.talk(stream, &state).await;
-        self.open.borrow_mut().remove(&serial);
+        self.last_id.set(self.last_id.get() + 1);
+        let id = self.last_id.get();
+        self.open.borrow_mut().insert(id, state.clone());
+        self.run_connection(stream, &state).await;
+        self.open.borrow_mut().remove(&id);
     }
 
-    /// Logs that an idle connection is closed: a caller that finds it closed has that moment to compare with.
+    /// Logs that an idle connection is closed, for comparison with a caller that reports a broken connection.
     fn log_close(&self, state: &Connection, reason: &'static str) {
-        let idle = state.idle.get().map_or(Span(0), |since| now().since(since));
+        let idle = state
+            .idle_since
+            .get()
+            .map_or(Span(0), |since| now().since(since));
         let record = Record::routine("connection_closed").with("reason", reason);
-        let record = record.with("caller", state.caller.as_str());
+        let record = record.with("caller", state.caller_address.as_str());
         self.hub.log(&record.with("idle_ms", idle));
     }
 
-    async fn talk(&self, stream: TcpStream, state: &Rc<Connection>) {
+    async fn run_connection(&self, stream: TcpStream, state: &Rc<Connection>) {
         let limits = self.limits();
         let service = service_fn(|request| {
             let (hub, state) = (self.hub.clone(), state.clone());
             async move {
-                state.idle.set(None);
-                let answer = answer(&hub, request).await;
-                state.idle.set(Some(now()));
+                state.idle_since.set(None);
+                let answer = handle_request(&hub, request).await;
+                state.idle_since.set(Some(now()));
                 answer
             }
         });
@@ -213,73 +218,74 @@
         builder
             .timer(TokioTimer::new())
             .header_read_timeout(None)
-            .max_buf_size(limits.max_header_bytes.max(LEAST_BUFFER));
+            .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER_BYTES));
         let connection = builder.serve_connection(TokioIo::new(stream), service);
         let mut connection = std::pin::pin!(connection);
         loop {
             let reason = tokio::select! {
-                // What has come goes before the time that has passed.
+                // Received data goes before a timeout that has passed in the same turn.
                 biased;
-                // A caller that breaks off is no fault of ours.
+                // Ends with the connection; a caller may disconnect at any time.
                 _ = connection.as_mut() => return,
-                reason = self.due(state) => reason,
+                reason = self.wait_until_due(state) => reason,
             };
-            let since = state.idle.get();
+            let since = state.idle_since.get();
             tokio::select! {
                 biased;
                 _ = connection.as_mut() => return,
-                () = last_read() => {}
+                () = read_once_more() => {}
             }
-            // One that was used meanwhile isn't due any more, also if it is idle again: its caller, which has an answer that
-            // doesn't say otherwise, goes on using it.
-            if since.is_some() && state.idle.get() == since {
+            // A connection that was used meanwhile stays open even if it is idle again: its caller was not told to
+            // close it and may send another request.
+            if since.is_some() && state.idle_since.get() == since {
                 self.log_close(state, reason);
                 connection.as_mut().graceful_shutdown();
                 tokio::select! {
                     biased;
                     _ = connection.as_mut() => {}
-                    () = self.unfinished(state, since) => {}
+                    () = self.wait_for_partial_request(state, since) => {}
                 }
                 return;
             }
-            state.chosen.set(false);
+            state.evicting.set(false);
         }
     }
 
-    /// Waits until a connection that is being closed has had its time for the rest of a request whose head it has in part;
-    /// kept until that came, it might stay for good. A request that has come whole is served first.
-    async fn unfinished(&self, state: &Connection, since: Option<Time>) {
+    /// Waits until a connection that is being closed has had the header timeout to finish a request that it has sent
+    /// in part. Without this limit a partial request would keep the connection open for good. A complete request is
+    /// served first.
+    async fn wait_for_partial_request(&self, state: &Connection, since: Option<Time>) {
         loop {
             sleep(self.limits().header_timeout.duration()).await;
-            if state.idle.get() == since {
+            if state.idle_since.get() == since {
                 return;
             }
         }
     }
 
-    /// Waits until a connection has been idle for too long, or has to give way, and tells why it is to be closed.
-    async fn due(&self, state: &Connection) -> &'static str {
+    /// Waits until a connection has been idle for too long or is evicted, and returns why it is to be closed.
+    async fn wait_until_due(&self, state: &Connection) -> &'static str {
         loop {
-            // On a leaving instance nothing that came would be taken; its caller finds another one sooner this way.
-            let (idle, reason) = match self.hub.look(|d| d.refuses_jobs(now())) {
+            // A draining instance refuses new jobs; once its connection is closed, a caller finds another instance.
+            let (idle, reason) = match self.hub.with_dispatcher(|d| d.refuses_jobs(now())) {
                 true => (CONNECTION_GRACE, "the instance leaves"),
                 false => (self.limits().idle_timeout, "it was idle"),
             };
-            let rest = match state.idle.get() {
+            let remaining = match state.idle_since.get() {
                 Some(since) => (since + idle).since(now()),
                 None => idle,
             };
             tokio::select! {
                 () = state.close.notified() => {
-                    // It may have been chosen before a request came.
-                    if state.chosen.get() {
+                    // A request may have arrived after the eviction.
+                    if state.evicting.get() {
                         return "there are too many";
                     }
                 }
-                () = self.hub.closing.notified() => {}
-                () = sleep(rest.duration().max(Duration::from_millis(1))) => {
-                    let over = |since| now().since(since) >= idle;
-                    if state.idle.get().is_some_and(over) {
+                () = self.hub.close_idle_callers.notified() => {}
+                () = sleep(remaining.duration().max(Duration::from_millis(1))) => {
+                    let is_overdue = |since| now().since(since) >= idle;
+                    if state.idle_since.get().is_some_and(is_overdue) {
                         return reason;
                     }
                 }
@@ -288,67 +294,71 @@
     }
 }
 
-/// Waits while a connection that is due to be closed is read once more.
+/// Waits until a connection that is due to be closed has been read once more.
 ///
-/// A process that stood still, or had no processor time, learns that the idle time has passed before it learns what has
-/// come meanwhile: the timers of a turn may be looked at without the sockets, as after a signal. The connection would be
-/// closed over a whole request, whose caller gets neither an answer nor a refusal. After this wait all that had come when
-/// the time passed is read: the sockets are looked at in every turn that no signal cuts short, and in the last one here.
-async fn last_read() {
-    sleep(LAST_READ).await;
+/// After a pause, or without processor time, a process may see that the idle timeout has passed before it reads what
+/// has arrived: a turn of the event loop that a signal cuts short runs the timers and skips the sockets. The
+/// connection would then be closed with a complete request unread, and its caller would get neither an answer nor a
+/// refusal. The wait and the yield make the loop poll the sockets before the connection is closed.
+async fn read_once_more() {
+    sleep(FINAL_READ_WAIT).await;
     yield_now().await;
 }
 
-async fn answer(hub: &Rc<Hub>, request: Request<Incoming>) -> Answered {
-    let leaving = hub.look(|dispatcher| dispatcher.is_draining());
-    let mut response = respond(hub, request).await;
-    if leaving {
+/// Answers a request; while the instance drains, the response asks the caller to close the connection.
+async fn handle_request(hub: &Rc<Hub>, request: Request<Incoming>) -> HttpResult {
+    let draining = hub.with_dispatcher(|dispatcher| dispatcher.is_draining());
+    let mut response = route_request(hub, request).await;
+    if draining {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
     Ok(response)
 }
 
-async fn respond(hub: &Rc<Hub>, request: Request<Incoming>) -> Response<Full<Bytes>> {
+async fn route_request(hub: &Rc<Hub>, request: Request<Incoming>) -> Response<Full<Bytes>> {
     let path = request.uri().path().to_owned();
     let host = request.headers().get(HOST).and_then(|h| h.to_str().ok());
     let host = host.unwrap_or_default().to_owned();
-    let found = hub.look(|dispatcher| {
+    let found = hub.with_dispatcher(|dispatcher| {
         let configuration = dispatcher.configuration()?;
         let route = configuration.find_route(&host, &path);
         Some(route.map(|(route, rest)| (route.clone(), rest.to_owned())))
     });
     let (route, rest) = match found {
-        None => return unready(),
-        Some(None) => return failure(StatusCode::NOT_FOUND, "no queue has this host and path"),
+        None => return unready_response(),
+        Some(None) => {
+            return error_response(StatusCode::NOT_FOUND, "no route matches this host and path")
+        }
         Some(Some(found)) => found,
     };
     if rest.is_empty() && request.method() == Method::GET {
-        let pending = hub.look(|dispatcher| dispatcher.count_pending(&route.name));
-        return reply(StatusCode::OK, ingress::queue(pending));
+        let pending = hub.with_dispatcher(|dispatcher| dispatcher.count_pending(&route.name));
+        return json_response(StatusCode::OK, ingress::queue_body(pending));
     }
     let Ok(id) = rest.parse::<JobId>() else {
-        let text = "the path must end with a job's 16 hexadecimal digits";
-        return failure(StatusCode::NOT_FOUND, text);
+        let text = "the path must end in a job ID of 16 hexadecimal digits";
+        return error_response(StatusCode::NOT_FOUND, text);
     };
     match *request.method() {
         Method::POST => submit(hub, request, &route, id, host, path).await,
-        Method::GET if hub.look(|d| d.has_job(id)) => {
-            reply(StatusCode::OK, ingress::state(JobState::Running))
+        Method::GET if hub.with_dispatcher(|d| d.has_job(id)) => {
+            json_response(StatusCode::OK, ingress::state_body(JobState::Running))
         }
-        Method::GET => ask(hub, id, Question::State).await,
+        Method::GET => query_stored_job(hub, id, Question::State).await,
         Method::DELETE => {
-            let known = hub.look(|d| d.has_job(id));
-            hub.feed(Input::Cancelled(id));
+            let known = hub.with_dispatcher(|d| d.has_job(id));
+            hub.handle(Input::Cancelled(id));
             match known {
-                true => reply(StatusCode::OK, Vec::new()),
-                false => ask(hub, id, Question::Cancel).await,
+                true => json_response(StatusCode::OK, Vec::new()),
+                false => query_stored_job(hub, id, Question::Cancel).await,
             }
         }
-        _ => failure(StatusCode::METHOD_NOT_ALLOWED, "use POST, GET or DELETE"),
+        _ => error_response(StatusCode::METHOD_NOT_ALLOWED, "use POST, GET or DELETE"),
     }
 }
 
+/// Submits a job, and waits for the dispatcher's answer.
 async fn submit(
     hub: &Rc<Hub>,
     request: Request<Incoming>,
@@ -357,82 +367,91 @@
     host: String,
     path: String,
 ) -> Response<Full<Bytes>> {
-    let came = now();
-    let wait = request.headers().get(ingress::DEADLINE);
+    let received = now();
+    let wait = request.headers().get(ingress::DEADLINE_HEADER);
     let wait = wait.and_then(|value| value.to_str().ok()?.parse::<f64>().ok());
     let wait = wait.map(|millis| Span((millis.max(0.0) * 1_000.0) as u64));
-    let limits = hub.look(|d| d.configuration().map(|c| c.limits.clone()));
+    let limits = hub.with_dispatcher(|d| d.configuration().map(|c| c.limits.clone()));
     let limits = limits.unwrap_or_default();
-    let body = match read(request.into_body(), &limits).await {
+    let body = match read_body(request.into_body(), &limits).await {
         Ok(body) => body,
-        Err(status) => return failure(status, "the body is too long, too slow or broken off"),
+        Err(status) => {
+            return error_response(
+                status,
+                "the request body is too large, too slow or incomplete",
+            )
+        }
     };
-    let submission = match ingress::job(id, &body) {
+    let submission = match ingress::parse_job(id, &body) {
         Ok(submission) => submission,
         Err(fault) => {
             let record = Record::new("job_malformed").job(id);
             let record = record.with("route", route.name.as_str());
             hub.log(&record.with("fault", fault.to_string()));
-            return failure(StatusCode::BAD_REQUEST, &fault.to_string());
+            return error_response(StatusCode::BAD_REQUEST, &fault.to_string());
         }
     };
-    let (ticket, answered) = hub.ticket();
-    let presence = Presence {
+    let (ticket, answered) = hub.register_caller();
+    let guard = CallerGuard {
         hub: hub.clone(),
         ticket,
     };
-    hub.feed(Input::Submitted(Box::new(Arrival {
+    hub.handle(Input::Submitted(Box::new(Arrival {
         ticket,
         host,
         path,
         submission,
         wait,
     })));
-    // The dispatcher answers every ticket; one that it lost would be a fault that the caller may retry.
+    // The dispatcher answers every ticket. Should one be lost, its caller gets an answer that allows a retry.
     let answer = answered.await.unwrap_or(Answer::Unready);
-    drop(presence);
-    hub.gauges.answer(answer, now().since(came));
-    respond_with(answer)
+    drop(guard);
+    hub.metrics.count_answer(answer, now().since(received));
+    answer_response(answer)
 }
 
-/// Asks for a stored job, or cancels it.
-async fn ask(hub: &Rc<Hub>, job: JobId, question: Question) -> Response<Full<Bytes>> {
-    let (ticket, answered) = hub.ticket();
-    let presence = Presence {
+/// Queries or cancels a stored job.
+async fn query_stored_job(hub: &Rc<Hub>, job: JobId, question: Question) -> Response<Full<Bytes>> {
+    let (ticket, answered) = hub.register_caller();
+    let guard = CallerGuard {
         hub: hub.clone(),
         ticket,
     };
-    hub.feed(Input::JobRequested {
+    hub.handle(Input::JobRequested {
         ticket,
         job,
         question,
     });
     let answer = answered.await.unwrap_or(Answer::Unready);
-    drop(presence);
-    respond_with(answer)
+    drop(guard);
+    answer_response(answer)
 }
 
-fn respond_with(answer: Answer) -> Response<Full<Bytes>> {
+fn answer_response(answer: Answer) -> Response<Full<Bytes>> {
     match answer {
-        Answer::Completed => reply(StatusCode::OK, ingress::state(JobState::Completed)),
-        Answer::Failed => reply(StatusCode::OK, ingress::state(JobState::Failed)),
-        Answer::Accepted => reply(StatusCode::OK, ingress::state(JobState::Queued)),
-        Answer::Standing(state) => reply(StatusCode::OK, ingress::state(state)),
-        Answer::Unknown => failure(StatusCode::GONE, "no such job is known"),
+        Answer::Completed => {
+            json_response(StatusCode::OK, ingress::state_body(JobState::Completed))
+        }
+        Answer::Failed => json_response(StatusCode::OK, ingress::state_body(JobState::Failed)),
+        Answer::Accepted => json_response(StatusCode::OK, ingress::state_body(JobState::Queued)),
+        Answer::Standing(state) => json_response(StatusCode::OK, ingress::state_body(state)),
+        Answer::Unknown => error_response(StatusCode::GONE, "unknown job"),
         Answer::GivenUp { again } => {
-            let text = "it can't end in its time; some of it may have run, and is being stopped";
-            later(StatusCode::GATEWAY_TIMEOUT, text, again)
+            let text = "the job can't finish in time; some of its tasks may have run and are being stopped";
+            retry_later_response(StatusCode::GATEWAY_TIMEOUT, text, again)
         }
         Answer::Refused { again } => {
-            let text = "nothing of it was run: there is no room for it in its time";
-            later(StatusCode::SERVICE_UNAVAILABLE, text, again)
+            let text = "no task was started: the job can't be run in time";
+            retry_later_response(StatusCode::SERVICE_UNAVAILABLE, text, again)
+        }
+        Answer::NoRoute => {
+            error_response(StatusCode::NOT_FOUND, "no route matches this host and path")
         }
-        Answer::NoRoute => failure(StatusCode::NOT_FOUND, "no queue has this host and path"),
-        Answer::Unready => unready(),
+        Answer::Unready => unready_response(),
     }
 }
 
-async fn read(body: Incoming, limits: &Limits) -> Result<Bytes, StatusCode> {
+async fn read_body(body: Incoming, limits: &Limits) -> Result<Bytes, StatusCode> {
     let whole = Limited::new(body, limits.max_body_bytes).collect();
     match timeout(limits.header_timeout.duration(), whole).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
@@ -441,25 +460,29 @@
     }
 }
 
-fn unready() -> Response<Full<Bytes>> {
-    let text = "there is no configuration yet";
-    later(StatusCode::SERVICE_UNAVAILABLE, text, UNREADY)
+fn unready_response() -> Response<Full<Bytes>> {
+    let text = "the instance has no configuration yet";
+    retry_later_response(StatusCode::SERVICE_UNAVAILABLE, text, UNREADY_RETRY_AFTER)
 }
 
-/// Writes why a request was not served, and after how long it may come again.
-fn later(status: StatusCode, text: &str, again: Span) -> Response<Full<Bytes>> {
-    let mut response = failure(status, text);
-    let seconds = again.0.div_ceil(1_000_000);
+/// Builds an error response with a `Retry-After` header, rounded up to whole seconds.
+fn retry_later_response(
+    status: StatusCode,
+    text: &str,
+    retry_after: Span,
+) -> Response<Full<Bytes>> {
+    let mut response = error_response(status, text);
+    let seconds = retry_after.0.div_ceil(1_000_000);
     let after = HeaderValue::from(seconds);
     response.headers_mut().insert(RETRY_AFTER, after);
     response
 }
 
-fn failure(status: StatusCode, text: &str) -> Response<Full<Bytes>> {
-    reply(status, ingress::error(text))
+fn error_response(status: StatusCode, text: &str) -> Response<Full<Bytes>> {
+    json_response(status, ingress::error_body(text))
 }
 
-fn reply(status: StatusCode, body: Vec<u8>) -> Response<Full<Bytes>> {
+fn json_response(status: StatusCode, body: Vec<u8>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(body)));
     *response.status_mut() = status;
     let json = HeaderValue::from_static("application/json");
@@ -467,8 +490,8 @@
     response
 }
 
-/// Tells the platform whether the instance takes callers, and gives out its metrics at `/metrics`.
-pub async fn watch(hub: Rc<Hub>, listener: TcpListener) {
+/// Serves readiness at `/api/ready` and metrics at `/metrics`.
+pub async fn serve_health(hub: Rc<Hub>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             sleep(Duration::from_millis(5)).await;
@@ -478,31 +501,39 @@
         spawn_local(async move {
             let service = service_fn(|request: Request<Incoming>| {
                 let hub = hub.clone();
-                async move { Ok::<_, hyper::Error>(watched(&hub, request.uri().path())) }
+                async move { Ok::<_, hyper::Error>(health_response(&hub, request.uri().path())) }
             });
             let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-            // Whoever asks may break off.
+            // A client may disconnect before its response.
             connection.await.ok();
         });
     }
 }
 
-fn watched(hub: &Hub, path: &str) -> Response<Full<Bytes>> {
+fn health_response(hub: &Hub, path: &str) -> Response<Full<Bytes>> {
     if path == "/metrics" {
-        let standing = hub.look(|dispatcher| dispatcher.stats());
-        return match hub.gauges.render(standing) {
+        let stats = hub.with_dispatcher(|dispatcher| dispatcher.stats());
+        return match hub.metrics.render(stats) {
             Ok(text) => {
-                let mut response = reply(StatusCode::OK, text.into_bytes());
+                let mut response = json_response(StatusCode::OK, text.into_bytes());
                 let kind = HeaderValue::from_static(crate::metrics::CONTENT_TYPE);
                 response.headers_mut().insert(CONTENT_TYPE, kind);
                 response
             }
-            Err(error) => failure(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
+            Err(error) => error_response(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
         };
     }
-    match (path, hub.look(|dispatcher| dispatcher.is_ready())) {
-        (ingress::READY, true) => reply(StatusCode::OK, Vec::new()),
-        (ingress::READY, false) => failure(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
-        _ => failure(StatusCode::NOT_FOUND, "there is /metrics and the readiness"),
+    match (
+        path,
+        hub.with_dispatcher(|dispatcher| dispatcher.is_ready()),
+    ) {
+        (ingress::READY_PATH, true) => json_response(StatusCode::OK, Vec::new()),
+        (ingress::READY_PATH, false) => {
+            error_response(StatusCode::SERVICE_UNAVAILABLE, "not ready")
+        }
+        _ => error_response(
+            StatusCode::NOT_FOUND,
+            "not found; the paths are /metrics and /api/ready",
+        ),
     }
 }
--- a/src/instance/heartbeats.rs
+++ b/src/instance/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between instances: datagrams, each replaced by the next.
+//! Sends and receives heartbeats between instances as UDP datagrams; a later one supersedes those before it.
 
 use std::{
     net::SocketAddr,
@@ -21,65 +21,67 @@
 };
 
 /// The longest datagram that is read, in bytes.
-const LONGEST: usize = 16 << 10;
+const MAX_DATAGRAM_BYTES: usize = 16 << 10;
 
-/// Datagrams that are read before the dispatcher hears of them: after a pause the newest say more than the oldest.
-const BATCH: usize = 256;
+/// The most datagrams that are read before the dispatcher handles them. After a pause it must handle a backlog at
+/// once, because the newest heartbeats tell more than the oldest.
+const MAX_BATCH_DATAGRAMS: usize = 256;
 
-/// What travels.
+/// A datagram as it is received. The order of the fields is the wire format.
 #[derive(Debug, Deserialize)]
 struct Datagram {
     sender: Sender,
     heartbeat: Heartbeat,
 }
 
-/// The socket of the heartbeats.
+/// The heartbeat socket.
 #[derive(Debug)]
 pub struct Heartbeats {
     socket: UdpSocket,
 }
 
 impl Heartbeats {
-    /// Takes a socket.
+    /// Creates the sender and receiver on a bound socket.
     pub fn new(socket: UdpSocket) -> Self {
         Self { socket }
     }
 
-    /// Sends a heartbeat; one that finds no room in the socket is lost, and the next one says more.
+    /// Sends a heartbeat to peers. A datagram that doesn't fit the socket's buffer is dropped, and the next heartbeat
+    /// replaces it.
     ///
-    /// Peers differ in their session only, so the heartbeat is written once for all of them.
+    /// The heartbeat is encoded once for all peers; only the sender differs, by its session.
     pub fn send(&self, hub: &Hub, to: &[Contact], heartbeat: &Heartbeat) {
         let body = match postcard::to_stdvec(heartbeat) {
             Ok(body) => body,
-            Err(error) => return unsent(hub, "all", &error.to_string()),
+            Err(error) => return log_unsent(hub, "all", &error.to_string()),
         };
         let sent = now();
         for to in to {
             let address = match to.address.parse::<SocketAddr>() {
                 Ok(address) => address,
                 Err(error) => {
-                    unsent(hub, to.name.as_str(), &error.to_string());
+                    log_unsent(hub, to.name.as_str(), &error.to_string());
                     continue;
                 }
             };
-            // The fields of a datagram follow each other without anything between.
+            // postcard has no separators between fields, so that the encoded sender and heartbeat make a `Datagram`.
             match postcard::to_extend(&hub.peers.sender(&to.name, sent), Vec::new()) {
                 Ok(mut bytes) => {
                     bytes.extend_from_slice(&body);
                     self.socket.try_send_to(&bytes, address).ok();
                 }
-                Err(error) => unsent(hub, to.name.as_str(), &error.to_string()),
+                Err(error) => log_unsent(hub, to.name.as_str(), &error.to_string()),
             }
         }
     }
 
-    /// Reads the datagrams that have come, at least one.
+    /// Waits for datagrams, and reads those that have arrived.
     async fn receive(&self, hub: &Hub, buffer: &mut [u8]) -> Vec<(Sender, Heartbeat)> {
         let mut heartbeats = Vec::new();
         if self.socket.readable().await.is_err() {
             return heartbeats;
         }
-        while heartbeats.len() < BATCH {
+        while heartbeats.len() < MAX_BATCH_DATAGRAMS {
             let Ok((length, from)) = self.socket.try_recv_from(buffer) else {
                 break;
             };
@@ -95,18 +97,18 @@
     }
 }
 
-fn unsent(hub: &Hub, to: &str, error: &str) {
+fn log_unsent(hub: &Hub, to: &str, error: &str) {
     let record = Record::new("heartbeat_unsent").with("to", to);
     hub.log(&record.with("error", error));
 }
 
-/// Reads heartbeats for good.
+/// Receives heartbeats for good, and passes them to the dispatcher.
 pub async fn serve(hub: Rc<Hub>) {
-    let mut buffer = vec![0; LONGEST];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let heartbeats = hub.heartbeats.receive(&hub, &mut buffer).await;
         if !heartbeats.is_empty() {
-            hub.feed(Input::Heartbeats(heartbeats));
+            hub.handle(Input::Heartbeats(heartbeats));
         }
     }
 }
--- a/src/instance/hub.rs
+++ b/src/instance/hub.rs
@@ -1,4 +1,4 @@
-//! Joins the dispatcher with its sockets: what happens goes in, what it wants done is begun.
+//! Connects the dispatcher with its sockets: passes inputs to it and executes its outputs.
 
 use std::{
     cell::{
@@ -19,12 +19,12 @@
 };
 
 use super::{
-    calls::Calls,
-    gauges::Gauges,
+    calls::EndpointClient,
     heartbeats::Heartbeats, //
     journal::Journal,
+    metrics::Metrics,
     peers::Peers,
-    rows::Rows,
+    rows::JobStore,
 };
 use crate::{
     dispatch::{
@@ -40,34 +40,34 @@
     prelude::*,
 };
 
-/// What all tasks of the instance share. They run on one thread, so that no lock is needed.
+/// The state that all tasks of the instance share. They run on one thread, so that no lock is needed.
 pub struct Hub {
     dispatcher: RefCell<Dispatcher>,
-    answers: RefCell<HashMap<Ticket, oneshot::Sender<Answer>>>,
-    tickets: Cell<u64>,
+    waiting_callers: RefCell<HashMap<Ticket, oneshot::Sender<Answer>>>,
+    last_ticket: Cell<u64>,
     journal: RefCell<Journal>,
-    /// Counters.
-    pub gauges: Gauges,
+    /// Metrics of the instance.
+    pub metrics: Metrics,
     /// Calls to endpoints.
-    pub calls: Calls,
+    pub endpoints: EndpointClient,
     /// Messages to peers.
     pub peers: Peers,
     /// Heartbeats to peers.
     pub heartbeats: Heartbeats,
     /// Calls to the store for stored jobs.
-    pub rows: Rows,
-    /// Rings when no jobs are taken any more.
-    pub closing: Notify,
-    /// Rings when all is answered after a drain.
+    pub job_store: JobStore,
+    /// Notified when no more jobs are taken and callers' idle connections are to be closed.
+    pub close_idle_callers: Notify,
+    /// Notified when everything is answered after a drain.
     pub drained: Notify,
 }
 
-/// Returns the time since the machine started, time in which it was suspended included.
+/// Returns the time since boot, including the time in which the machine was suspended.
 ///
-/// A steady clock stands still while a machine is suspended. An instance that woke would take the leases that
-/// it gave, and its heartbeats, for fresh ones.
+/// A clock that stops during suspension would make an instance that resumes take expired leases and old heartbeats
+/// for fresh ones.
 pub fn now() -> Time {
-    // The call can't fail for a clock that every kernel has.
+    // Every Linux kernel has this clock, so that the call can't fail.
     let time = clock_gettime(ClockId::CLOCK_BOOTTIME).map_or(0, |t| {
         t.tv_sec() as u64 * 1_000_000 + t.tv_nsec() as u64 / 1_000
     });
@@ -75,93 +75,93 @@
 }
 
 impl Hub {
-    /// Joins the parts.
+    /// Creates the shared state from its parts.
     pub fn new(
         dispatcher: Dispatcher,
         journal: Journal,
-        calls: Calls,
+        endpoints: EndpointClient,
         peers: Peers,
         heartbeats: Heartbeats,
-        rows: Rows,
+        job_store: JobStore,
     ) -> Rc<Self> {
         Rc::new(Self {
             dispatcher: RefCell::new(dispatcher),
-            answers: RefCell::default(),
-            tickets: Cell::new(0),
+            waiting_callers: RefCell::default(),
+            last_ticket: Cell::new(0),
             journal: RefCell::new(journal),
-            gauges: Gauges::new(),
-            calls,
+            metrics: Metrics::new(),
+            endpoints,
             peers,
             heartbeats,
-            rows,
-            closing: Notify::new(),
+            job_store,
+            close_idle_callers: Notify::new(),
             drained: Notify::new(),
         })
     }
 
-    /// Tells the dispatcher what happened, and begins what it wants done.
-    pub fn feed(self: &Rc<Self>, input: Input) {
+    /// Passes an input to the dispatcher and executes its outputs.
+    pub fn handle(self: &Rc<Self>, input: Input) {
         let outputs = self.dispatcher.borrow_mut().step(now(), input);
         for output in outputs {
-            self.begin(output);
+            self.execute(output);
         }
     }
 
-    fn begin(self: &Rc<Self>, output: Output) {
+    fn execute(self: &Rc<Self>, output: Output) {
         match output {
             Output::Answer(ticket, answer) => {
-                if let Some(waiting) = self.answers.borrow_mut().remove(&ticket) {
-                    // A caller that has gone in this moment needs no answer.
+                if let Some(waiting) = self.waiting_callers.borrow_mut().remove(&ticket) {
+                    // A caller that has just disconnected needs no answer.
                     waiting.send(answer).ok();
                 }
             }
-            Output::Call { .. } => self.calls.begin(self, output),
+            Output::Call { .. } => self.endpoints.start_call(self, output),
             Output::Send(to, message) => self.peers.send(self, &to, message),
             Output::Heartbeat(to, heartbeat) => {
                 self.heartbeats.send(self, &to, &heartbeat);
             }
-            Output::Store { call, request } => self.rows.begin(self, call, request),
+            Output::Store { call, request } => self.job_store.start_call(self, call, request),
             Output::BeginSession {
                 to,
                 incarnation,
                 session,
-            } => self.peers.session(&to, incarnation, session),
-            Output::Disconnect(address) => self.calls.forget(&address),
+            } => self.peers.begin_session(&to, incarnation, session),
+            Output::Disconnect(address) => self.endpoints.close_idle(&address),
             Output::Log(record) => self.log(&record),
-            Output::CloseIdleCallers => self.closing.notify_waiters(),
+            Output::CloseIdleCallers => self.close_idle_callers.notify_waiters(),
             Output::Drained => self.drained.notify_one(),
         }
     }
 
     /// Writes a line to the log.
     pub fn log(&self, record: &Record) {
-        self.gauges.event(record.event);
+        self.metrics.count_log_line(record.event);
         self.journal.borrow_mut().log(record);
     }
 
-    /// Lets the log leave.
-    pub fn flush(&self) {
+    /// Passes the buffered log lines to the log's writer.
+    pub fn flush_log(&self) {
         self.journal.borrow_mut().flush();
     }
 
-    /// Registers a caller that waits.
-    pub fn ticket(&self) -> (Ticket, oneshot::Receiver<Answer>) {
-        self.tickets.set(self.tickets.get() + 1);
-        let ticket = Ticket(self.tickets.get());
+    /// Registers a caller that waits for an answer; returns its ticket and the receiver of the answer.
+    pub fn register_caller(&self) -> (Ticket, oneshot::Receiver<Answer>) {
+        self.last_ticket.set(self.last_ticket.get() + 1);
+        let ticket = Ticket(self.last_ticket.get());
         let (sender, receiver) = oneshot::channel();
-        self.answers.borrow_mut().insert(ticket, sender);
+        self.waiting_callers.borrow_mut().insert(ticket, sender);
         (ticket, receiver)
     }
 
-    /// Takes note that a caller has gone; nothing happens where it has its answer.
-    pub fn abandon(self: &Rc<Self>, ticket: Ticket) {
-        if self.answers.borrow_mut().remove(&ticket).is_some() {
-            self.feed(Input::Abandoned(ticket));
+    /// Reports to the dispatcher that a caller has disconnected; does nothing if the caller has its answer.
+    pub fn on_caller_disconnect(self: &Rc<Self>, ticket: Ticket) {
+        if self.waiting_callers.borrow_mut().remove(&ticket).is_some() {
+            self.handle(Input::Abandoned(ticket));
         }
     }
 
-    /// Looks at the dispatcher.
-    pub fn look<T>(&self, look: impl FnOnce(&Dispatcher) -> T) -> T {
-        look(&self.dispatcher.borrow())
+    /// Calls a function with read access to the dispatcher.
+    pub fn with_dispatcher<T>(&self, read: impl FnOnce(&Dispatcher) -> T) -> T {
+        read(&self.dispatcher.borrow())
     }
 }
--- a/src/instance/inbox.rs
+++ b/src/instance/inbox.rs
@@ -1,4 +1,4 @@
-//! Which envelopes of peers have come before, over another connection.
+//! Detects envelopes of peers that were received before.
 
 use std::collections::HashMap;
 
@@ -7,55 +7,57 @@
     prelude::*, //
 };
 
-/// The last envelope of a session.
+/// The position of the last envelope that was received from a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Last {
+struct Position {
     incarnation: u64,
     session: u32,
     serial: u64,
 }
 
-/// What has come from peers.
+/// The last envelopes received from peers, for deduplication.
 ///
-/// An envelope whose acknowledgement was lost is sent again over a new connection, and must not count twice. Serials begin
-/// anew with every session and every life of the receiver. What is meant for a former life says nothing of this one: while its
-/// serial counted, as many envelopes of the present session as the former one had had were acknowledged and dropped,
-/// and jobs that were sent to a restarted instance hung until their callers had gone.
+/// An envelope whose acknowledgement was lost is sent again over a new connection, and must not count twice. Serials
+/// restart with every session and with every incarnation of the receiver. Envelopes for a former incarnation are
+/// therefore kept apart: if their serials counted, as many envelopes of the present session would be acknowledged and
+/// dropped, and jobs sent to a restarted instance would hang until their callers disconnect.
 #[derive(Debug)]
 pub struct Inbox {
-    /// The life of this instance.
-    own: u64,
-    /// By peer, and by the receiver's life that the peer had in mind; zero where it knew none.
-    last: HashMap<(Instance, u64), Last>,
+    /// The incarnation of this instance.
+    own_incarnation: u64,
+    /// By peer and by the receiver's incarnation that the peer named, which is zero if it knew none.
+    last_envelopes: HashMap<(Instance, u64), Position>,
 }
 
 impl Inbox {
-    /// Makes an inbox for one life of an instance.
-    pub fn new(own: u64) -> Self {
+    /// Creates an empty inbox for one incarnation of an instance.
+    pub fn new(own_incarnation: u64) -> Self {
         Self {
-            own,
-            last: HashMap::new(),
+            own_incarnation,
+            last_envelopes: HashMap::new(),
         }
     }
 
-    /// Tells whether an envelope came before; else it counts from now on.
+    /// Returns whether an envelope was received before, and records it if not. An envelope for a former incarnation
+    /// is neither recorded nor a duplicate.
     pub fn check_duplicate(&mut self, sender: &Sender, serial: u64) -> bool {
-        if sender.receiver_incarnation != 0 && sender.receiver_incarnation != self.own {
+        if sender.receiver_incarnation != 0 && sender.receiver_incarnation != self.own_incarnation {
             return false;
         }
-        let last = Last {
+        let position = Position {
             incarnation: sender.incarnation,
             session: sender.session,
             serial,
         };
         let key = (sender.contact.name.clone(), sender.receiver_incarnation);
-        if let Some(known) = self.last.get(&key) {
-            let same = (known.incarnation, known.session) == (last.incarnation, last.session);
-            if same && serial <= known.serial {
+        if let Some(previous) = self.last_envelopes.get(&key) {
+            let same = (previous.incarnation, previous.session)
+                == (position.incarnation, position.session);
+            if same && serial <= previous.serial {
                 return true;
             }
         }
-        self.last.insert(key, last);
+        self.last_envelopes.insert(key, position);
         false
     }
 }
--- a/src/instance/journal.rs
+++ b/src/instance/journal.rs
@@ -1,4 +1,4 @@
-//! The structured log: one JSON object a line on standard output, bounded, and never waited for.
+//! The structured log: one JSON object per line on standard output, limited in rate and never blocking.
 
 use std::{
     io::{
@@ -24,21 +24,21 @@
     prelude::*, //
 };
 
-/// Routine lines a second; any more are counted and left out. A job writes four, so that all of a hundred jobs a
-/// second can be followed.
-const ROUTINE: u32 = 800;
+/// The most routine lines per second; any more are counted and left out. A job writes four, so that a hundred jobs
+/// per second can be followed, with a reserve.
+const MAX_ROUTINE_LINES_PER_SECOND: u32 = 800;
 
-/// Other lines a second; any more are counted and left out.
-const LINES: u32 = 400;
+/// The most other lines per second; any more are counted and left out.
+const MAX_OTHER_LINES_PER_SECOND: u32 = 400;
 
-/// Batches of lines that wait for a reader of standard output that has fallen behind.
-const BATCHES: usize = 64;
+/// The most batches that wait for the writer, while the reader of standard output has fallen behind.
+const MAX_QUEUED_BATCHES: usize = 64;
 
-/// Bytes after which a batch leaves before its time.
-const BATCH: usize = 32 << 10;
+/// The size in bytes at which a batch is written ahead of [`FLUSH_INTERVAL`].
+const MAX_BATCH_BYTES: usize = 32 << 10;
 
-/// Between batches: each costs a wake-up of the writer and a system call.
-pub const FLUSH: Span = Span::millis(200);
+/// Interval at which a batch is passed to the writer. Each batch costs a wake-up of the writer and a system call.
+pub const FLUSH_INTERVAL: Span = Span::millis(200);
 
 /// The log of an instance.
 #[derive(Debug)]
@@ -53,16 +53,16 @@
 }
 
 impl Journal {
-    /// Opens the log, with a thread of its own that writes: a reader that falls behind must not hold up the
-    /// instance.
+    /// Opens the log and starts its writer, a thread of its own so that a slow reader of standard output can't block
+    /// the instance.
     ///
     /// # Errors
     ///
-    /// Fails where the thread can't be started.
+    /// Returns an error if the thread can't be started.
     pub fn open(name: Instance) -> Result<Self, Error> {
-        let (writer, batches) = sync_channel(BATCHES);
+        let (writer, batches) = sync_channel(MAX_QUEUED_BATCHES);
         let thread = std::thread::Builder::new().name("log".to_owned());
-        let thread = thread.spawn(move || write(&batches));
+        let thread = thread.spawn(move || write_batches(&batches));
         thread.map_err(|source| Error::Thread {
             what: "log",
             source,
@@ -78,35 +78,35 @@
         })
     }
 
-    /// Writes a line, or counts it as left out.
+    /// Appends a line to the batch, or counts it as left out if the rate limit is reached.
     pub fn log(&mut self, record: &Record) {
         let time = wall();
         if time / 1_000 != self.second {
             self.second = time / 1_000;
             (self.routine, self.lines) = (0, 0);
-            self.tell_left_out(time);
+            self.log_left_out(time);
         }
-        let (count, most) = match record.routine {
-            true => (&mut self.routine, ROUTINE),
-            false => (&mut self.lines, LINES),
+        let (count, limit) = match record.routine {
+            true => (&mut self.routine, MAX_ROUTINE_LINES_PER_SECOND),
+            false => (&mut self.lines, MAX_OTHER_LINES_PER_SECOND),
         };
         *count += 1;
-        if *count > most {
+        if *count > limit {
             self.left_out += 1;
             return;
         }
-        self.line(time, record);
+        self.append_line(time, record);
     }
 
-    fn tell_left_out(&mut self, time: u64) {
+    fn log_left_out(&mut self, time: u64) {
         if self.left_out > 0 {
             let record = Record::new("lines_left_out").with("count", self.left_out);
             self.left_out = 0;
-            self.line(time, &record);
+            self.append_line(time, &record);
         }
     }
 
-    fn line(&mut self, time: u64, record: &Record) {
+    fn append_line(&mut self, time: u64, record: &Record) {
         let mut line = Map::new();
         line.insert("time_ms".to_owned(), time.into());
         line.insert("instance".to_owned(), self.name.as_str().into());
@@ -115,19 +115,19 @@
             line.insert("job".to_owned(), job.to_string().into());
         }
         for (name, value) in &record.fields {
-            // Numbers and texts always serialise.
+            // Numbers and strings can always be serialised.
             let value = serde_json::to_value(value).unwrap_or_default();
             line.insert((*name).to_owned(), value);
         }
         // Writing to memory can't fail.
         serde_json::to_writer(&mut self.batch, &Value::Object(line)).ok();
         self.batch.push(b'\n');
-        if self.batch.len() >= BATCH {
+        if self.batch.len() >= MAX_BATCH_BYTES {
             self.flush();
         }
     }
 
-    /// Hands what was written to the writer; where that is full, the lines are counted as left out.
+    /// Passes the batch to the writer without blocking; counts its lines as left out if the queue is full.
     pub fn flush(&mut self) {
         if self.batch.is_empty() {
             return;
@@ -140,10 +140,10 @@
     }
 }
 
-fn write(batches: &Receiver<Vec<u8>>) {
+fn write_batches(batches: &Receiver<Vec<u8>>) {
     let mut output = io::stdout();
     while let Ok(batch) = batches.recv() {
-        // Nobody is left to be told when nobody reads the log.
+        // Standard output is closed, and there is no other place to report that.
         if output
             .write_all(&batch)
             .and_then(|()| output.flush())
--- a/src/instance/gauges.rs
+++ b/src/instance/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of an instance on the platform, in the OpenMetrics text format.
+//! Metrics of an instance on the platform, in the OpenMetrics text format.
 
 use std::fmt;
 
@@ -28,69 +28,76 @@
     prelude::*,
 };
 
-/// The first bucket of latencies in seconds, their ratio and number: from 1 ms to 16 s.
-const BUCKETS: (f64, f64, u16) = (0.001, 2.0, 15);
+/// The first latency bucket in seconds, the ratio between buckets, and their number: 1 ms to 16 s.
+const LATENCY_BUCKETS: (f64, f64, u16) = (0.001, 2.0, 15);
 
 #[derive(Debug, Clone, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct Kind {
+struct KindLabel {
     kind: String,
 }
 
 #[derive(Debug, Clone, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct Called {
+struct CallLabels {
     order: String,
     reply: String,
 }
 
-/// All counters of an instance.
+/// All metrics of an instance.
 #[derive(Debug)]
-pub struct Gauges {
+pub struct Metrics {
     registry: Registry,
-    answers: Family<Kind, Counter>,
-    answered: Histogram,
-    calls: Family<Called, Counter>,
-    starts: Histogram,
+    answers: Family<KindLabel, Counter>,
+    answer_latency: Histogram,
+    calls: Family<CallLabels, Counter>,
+    start_latency: Histogram,
     connections: Counter,
     messages: Counter,
-    store: Family<Kind, Counter>,
+    store: Family<KindLabel, Counter>,
     malformed: Counter,
-    events: Family<Kind, Counter>,
-    standing: Family<Kind, Gauge>,
+    events: Family<KindLabel, Counter>,
+    standing: Family<KindLabel, Gauge>,
 }
 
-impl Gauges {
-    /// Makes counters at zero.
+impl Metrics {
+    /// Creates the metrics, all at zero.
     pub fn new() -> Self {
         let mut registry = Registry::new();
         let r = &mut registry;
-        let (first, ratio, count) = BUCKETS;
+        let (first, ratio, count) = LATENCY_BUCKETS;
         let buckets = || exponential_buckets(first, ratio, count);
         Self {
             answers: r.add("answers", "Answers to callers"),
-            answered: r.histogram("answer_seconds", "From a request to its answer", buckets()),
+            answer_latency: r.histogram(
+                "answer_seconds",
+                "Time from a caller's request to its answer",
+                buckets(),
+            ),
             calls: r.add("calls", "Calls to endpoints"),
-            starts: r.histogram(
+            start_latency: r.histogram(
                 "start_seconds",
-                "From a start to the endpoint's answer",
+                "Time from a start order to the endpoint's reply",
                 buckets(),
             ),
             connections: r.add("connections", "Connections opened to endpoints"),
             messages: r.add("messages", "Messages to peers"),
             store: r.add("store_calls", "Calls to the store"),
-            malformed: r.add("malformed_rows", "Rows of the store that were left out"),
-            events: r.add("events", "Lines of the log by event"),
-            standing: r.add("standing", "What it has and does"),
+            malformed: r.add(
+                "malformed_rows",
+                "Store rows skipped because they can't be read",
+            ),
+            events: r.add("events", "Log lines by event, including those left out"),
+            standing: r.add("standing", "Current counts of the dispatcher by kind"),
             registry,
         }
     }
 
-    /// Counts rows of the store that can't be used.
-    pub fn malformed(&self, count: usize) {
+    /// Counts store rows that can't be used.
+    pub fn count_malformed_rows(&self, count: usize) {
         self.malformed.inc_by(count as u64);
     }
 
-    /// Counts an answer.
-    pub fn answer(&self, answer: Answer, took: Span) {
+    /// Counts an answer to a caller, and observes its latency.
+    pub fn count_answer(&self, answer: Answer, took: Span) {
         let kind = match answer {
             Answer::Completed => "completed",
             Answer::Failed => "failed",
@@ -102,19 +109,19 @@
             Answer::NoRoute => "no_route",
             Answer::Unready => "unready",
         };
-        self.answers.get_or_create(&kind_of(kind)).inc();
-        self.answered.observe(seconds(took));
+        self.answers.get_or_create(&kind_label(kind)).inc();
+        self.answer_latency.observe(seconds(took));
     }
 
-    /// Counts a call to an endpoint.
-    pub fn call(&self, order: &Order, reply: &Reply, took: Span) {
+    /// Counts a call to an endpoint, and observes the latency of a start.
+    pub fn count_call(&self, order: &Order, reply: &Reply, took: Span) {
         let name = match order {
             Order::Start { .. } => "start",
             Order::Stop { .. } => "stop",
             Order::Look { .. } => "look",
         };
         if matches!(order, Order::Start { .. }) {
-            self.starts.observe(seconds(took));
+            self.start_latency.observe(seconds(took));
         }
         let reply = match reply {
             Reply::Done { .. } | Reply::Looked(_) => "done",
@@ -125,7 +132,7 @@
             Reply::Unsent => "unsent",
             Reply::Silent => "silent",
         };
-        let label = Called {
+        let label = CallLabels {
             order: name.to_owned(),
             reply: reply.to_owned(),
         };
@@ -133,56 +140,56 @@
     }
 
     /// Counts a connection that is opened to an endpoint.
-    pub fn connected(&self) {
+    pub fn count_connection(&self) {
         self.connections.inc();
     }
 
-    /// Counts messages to a peer.
-    pub fn messages(&self, count: usize) {
+    /// Counts messages sent to a peer.
+    pub fn count_messages(&self, count: usize) {
         self.messages.inc_by(count as u64);
     }
 
-    /// Counts a call to the store by how it ended.
-    pub fn store(&self, ended: &'static str) {
-        self.store.get_or_create(&kind_of(ended)).inc();
+    /// Counts a call to the store by its result.
+    pub fn count_store_call(&self, result: &'static str) {
+        self.store.get_or_create(&kind_label(result)).inc();
     }
 
-    /// Counts a line of the log, also one that is left out.
-    pub fn event(&self, event: &'static str) {
-        self.events.get_or_create(&kind_of(event)).inc();
+    /// Counts a log line, also one that is left out.
+    pub fn count_log_line(&self, event: &'static str) {
+        self.events.get_or_create(&kind_label(event)).inc();
     }
 
-    /// Takes what the instance has and does, and writes everything.
+    /// Updates the gauges from the dispatcher's state, and returns all metrics as text.
     ///
     /// # Errors
     ///
-    /// Fails where the writer does.
-    pub fn render(&self, standing: Stats) -> Result<String, fmt::Error> {
+    /// Returns an error if the text can't be formatted.
+    pub fn render(&self, stats: Stats) -> Result<String, fmt::Error> {
         let set = |kind: &str, value: usize| {
             self.standing
-                .get_or_create(&kind_of(kind))
+                .get_or_create(&kind_label(kind))
                 .set(value as i64);
         };
-        set("jobs", standing.jobs);
-        set("waiting_tasks", standing.waiting_tasks);
-        set("runs", standing.runs);
-        set("open_endpoints", standing.open_endpoints);
-        set("racks", standing.racks);
-        set("peers", standing.peers);
-        set("configuration", standing.configuration_version as usize);
-        set("evacuated", standing.evacuated_centres);
+        set("jobs", stats.jobs);
+        set("waiting_tasks", stats.waiting_tasks);
+        set("runs", stats.runs);
+        set("open_endpoints", stats.open_endpoints);
+        set("racks", stats.racks);
+        set("peers", stats.peers);
+        set("configuration", stats.configuration_version as usize);
+        set("evacuated", stats.evacuated_centres);
         self.registry.render()
     }
 }
 
-impl Default for Gauges {
+impl Default for Metrics {
     fn default() -> Self {
         Self::new()
     }
 }
 
-fn kind_of(kind: &str) -> Kind {
-    Kind {
+fn kind_label(kind: &str) -> KindLabel {
+    KindLabel {
         kind: kind.to_owned(),
     }
 }
--- a/src/instance/peers.rs
+++ b/src/instance/peers.rs
@@ -1,4 +1,4 @@
-//! Messages between instances over capnp-rpc: in order, each once, in sessions.
+//! Sends and receives messages between instances over capnp-rpc: in order, and each once per session.
 
 use std::{
     cell::RefCell,
@@ -58,71 +58,72 @@
     rpc::network,
 };
 
-/// How long a connection to a peer may take to open: some round trips, below the silence that ends a session.
-const CONNECT: Duration = Duration::from_millis(250);
+/// How long connecting to a peer may take: some round trips, and less than the silence that ends a session.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long a delivery may take: after that its connection counts as silent, and what was on it is sent again
-/// over a new one, while the peer still waits for it.
-const DELIVERY: Duration = Duration::from_millis(250);
+/// How long a delivery may take. After that its connection counts as failed, and the envelope is sent again over a
+/// new one while the peer still waits for it.
+const DELIVERY_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Between attempts to reach a peer.
-const AGAIN: Duration = Duration::from_millis(60);
+/// Delay between attempts to connect to a peer.
+const RECONNECT_DELAY: Duration = Duration::from_millis(60);
 
-/// Bytes that wait for one peer: a second of a link of 25 Mbit/s, after which its session is given up anyway. Counted in
-/// messages alone, large ones took all of a process's memory.
-const WAITING: usize = 3 << 20;
+/// The most bytes that are queued for one peer: a second of a 25 Mbit/s link, after which the session ends anyway. A
+/// limit on the number of messages alone would let large ones exhaust the memory.
+const MAX_QUEUED_BYTES: usize = 3 << 20;
 
-/// Bytes of the messages in one envelope, as far as they are several: a tenth of [`DELIVERY`] on a link of 25 Mbit/s.
-const ENVELOPE: usize = 64 << 10;
+/// The most bytes of messages in one envelope that holds several: a tenth of [`DELIVERY_TIMEOUT`] on a 25 Mbit/s
+/// link.
+const MAX_ENVELOPE_BYTES: usize = 64 << 10;
 
-/// What travels: messages with their sender and their place in the session.
+/// Messages with their sender and their position in the session. The order of the fields is the wire format.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Envelope {
-    /// Who sends them.
+    /// The instance that sends the messages.
     pub sender: Sender,
-    /// Counts the envelopes of a session, from one.
+    /// The number of the envelope in its session, from one.
     pub serial: u64,
-    /// The messages.
+    /// The messages, in their order.
     pub messages: Vec<Message>,
 }
 
-/// The outgoing side towards one peer.
+/// The queue of outgoing messages to one peer.
 struct Link {
     address: String,
     incarnation: u64,
     session: u32,
-    /// Counts the sessions as this side began them, so that a delivery knows when its own has ended.
+    /// Counts the sessions that this side has begun, so that a delivery notices that its session has ended.
     epoch: u64,
     serial: u64,
-    /// What waits, as it is sent.
+    /// The encoded messages that wait.
     messages: VecDeque<Vec<u8>>,
-    /// How many bytes that is.
+    /// The bytes of `messages` in total.
     bytes: usize,
     wake: Rc<Notify>,
     task: Option<JoinHandle<()>>,
 }
 
-/// Messages to peers and from them.
+/// The links to peers, and the messages received from them.
 pub struct Peers {
     identity: Identity,
-    /// Its own address.
-    own: IpAddr,
+    /// The IP address of this instance.
+    own_ip: IpAddr,
     links: RefCell<HashMap<Instance, Link>>,
     inbox: RefCell<Inbox>,
 }
 
 impl Peers {
-    /// Makes a side that has no links yet.
-    pub fn new(identity: Identity, own: IpAddr) -> Self {
+    /// Creates the state of an instance that has no links yet.
+    pub fn new(identity: Identity, own_ip: IpAddr) -> Self {
         Self {
             inbox: RefCell::new(Inbox::new(identity.incarnation)),
             identity,
-            own,
+            own_ip,
             links: RefCell::default(),
         }
     }
 
-    /// Lets a message leave after all before it.
+    /// Queues a message to a peer, after those sent before it. Drops it if [`MAX_QUEUED_BYTES`] are queued.
     pub fn send(&self, hub: &Rc<Hub>, to: &Contact, message: Message) {
         let mut links = self.links.borrow_mut();
         let link = links
@@ -138,8 +139,8 @@
                 return hub.log(&record);
             }
         };
-        if link.bytes + message.len() > WAITING {
-            // Its peer takes the batch for lost when it asks for it, or gives the session up.
+        if link.bytes + message.len() > MAX_QUEUED_BYTES {
+            // The peer treats the batch as lost when it asks for it, or ends the session.
             hub.log(&Record::new("message_dropped").with("member", to.name.as_str()));
         } else {
             link.bytes += message.len();
@@ -147,13 +148,15 @@
         }
         if link.task.is_none() {
             let (hub, name) = (hub.clone(), to.name.clone());
-            link.task = Some(spawn_local(async move { deliver(hub, name).await }));
+            link.task = Some(spawn_local(
+                async move { deliver_messages(hub, name).await },
+            ));
         }
         link.wake.notify_one();
     }
 
-    /// Forgets what has not left, and speaks in another session from now on.
-    pub fn session(&self, to: &Contact, incarnation: u64, session: u32) {
+    /// Begins a new session with a peer and drops the messages that still wait.
+    pub fn begin_session(&self, to: &Contact, incarnation: u64, session: u32) {
         let mut links = self.links.borrow_mut();
         let link = links
             .entry(to.name.clone())
@@ -167,7 +170,7 @@
         link.bytes = 0;
     }
 
-    /// Names this instance to a peer, in the session with it, in what leaves now.
+    /// Returns the sender of what is sent to a peer now, with the session that both are in.
     pub fn sender(&self, to: &Instance, now: Time) -> Sender {
         let links = self.links.borrow();
         let link = links.get(to);
@@ -181,24 +184,24 @@
         }
     }
 
-    /// Takes the next envelope for a peer.
-    fn next(&self, name: &Instance) -> Option<Sealed> {
+    /// Removes messages from a peer's queue and encodes them as the next envelope; returns `None` if none wait.
+    fn take_envelope(&self, name: &Instance) -> Option<EncodedEnvelope> {
         let sender = self.sender(name, now());
         let mut links = self.links.borrow_mut();
         let link = links.get_mut(name)?;
-        let count = link.fitting();
+        let count = link.count_fitting();
         if count == 0 {
             return None;
         }
         link.serial += 1;
-        // Plain data always has a form on the wire. The fields of an envelope follow each other without anything between, and
-        // a list begins with its length.
+        // Plain data can always be encoded. postcard has no separators between fields, and prefixes a list with its
+        // length, so that the bytes make an `Envelope`.
         let mut bytes = postcard::to_stdvec(&(sender, link.serial, count)).unwrap_or_default();
         for message in link.messages.drain(..count) {
             link.bytes -= message.len();
             bytes.extend_from_slice(&message);
         }
-        Some(Sealed {
+        Some(EncodedEnvelope {
             bytes,
             count,
             address: link.address.clone(),
@@ -206,36 +209,36 @@
         })
     }
 
-    fn wake(&self, name: &Instance) -> Option<Rc<Notify>> {
+    fn wake_signal(&self, name: &Instance) -> Option<Rc<Notify>> {
         let links = self.links.borrow();
         links.get(name).map(|link| link.wake.clone())
     }
 
-    fn current(&self, name: &Instance, epoch: u64) -> bool {
+    fn is_current(&self, name: &Instance, epoch: u64) -> bool {
         let links = self.links.borrow();
         links.get(name).is_some_and(|link| link.epoch == epoch)
     }
 }
 
-/// An envelope as it is sent.
-struct Sealed {
+/// An encoded envelope.
+struct EncodedEnvelope {
     bytes: Vec<u8>,
-    /// How many messages are in it.
+    /// The number of messages in it.
     count: usize,
-    /// Where it goes.
+    /// The address of the peer.
     address: String,
     /// The epoch of its session.
     epoch: u64,
 }
 
 impl Link {
-    /// Counts the messages that go into the next envelope.
-    fn fitting(&self) -> usize {
+    /// Returns how many messages go into the next envelope: at least one, if any wait.
+    fn count_fitting(&self) -> usize {
         let mut bytes = 0;
         let fits = |message: &&Vec<u8>| {
             let first = bytes == 0;
             bytes += message.len();
-            first || bytes <= ENVELOPE
+            first || bytes <= MAX_ENVELOPE_BYTES
         };
         self.messages.iter().take_while(fits).count()
     }
@@ -255,8 +258,8 @@
     }
 }
 
-/// A connection to a peer. It closes when it is given up: an RPC system by itself keeps its connection, with what lies in its
-/// buffers at both ends, for as long as the peer does.
+/// A connection to a peer, which closes when it is dropped. The RPC system alone would keep the connection open, with
+/// the data in its buffers at both ends, for as long as the peer does.
 struct Connection {
     address: String,
     client: mailbox::Client,
@@ -264,16 +267,19 @@
 }
 
 impl Connection {
-    /// Connects from the instance's own address, by which the peer knows it.
-    async fn open(own: IpAddr, address: &str) -> Option<Self> {
+    /// Connects from the instance's own IP address, so that the peer can tell which instance a connection is from.
+    async fn open(own_ip: IpAddr, address: &str) -> Option<Self> {
         let peer: SocketAddr = address.parse().ok()?;
         let socket = TcpSocket::new_v4().ok()?;
-        socket.bind(SocketAddr::new(own, 0)).ok()?;
-        let stream = timeout(CONNECT, socket.connect(peer)).await.ok()?.ok()?;
+        socket.bind(SocketAddr::new(own_ip, 0)).ok()?;
+        let stream = timeout(CONNECT_TIMEOUT, socket.connect(peer))
+            .await
+            .ok()?
+            .ok()?;
         let mut system = RpcSystem::new(network(stream, Side::Client), None);
         let client = system.bootstrap(Side::Server);
         let driver = spawn_local(async move {
-            // It ends with the connection, which the next delivery finds.
+            // An error shows in the next delivery.
             system.await.ok();
         });
         Some(Self {
@@ -290,33 +296,33 @@
     }
 }
 
-/// Delivers a peer's messages, one envelope after the other, each until it is acknowledged.
-async fn deliver(hub: Rc<Hub>, name: Instance) {
-    let mut link: Option<Connection> = None;
-    let Some(wake) = hub.peers.wake(&name) else {
+/// Delivers a peer's messages for good: one envelope after the other, each until it is acknowledged.
+async fn deliver_messages(hub: Rc<Hub>, name: Instance) {
+    let mut connection: Option<Connection> = None;
+    let Some(wake) = hub.peers.wake_signal(&name) else {
         return;
     };
     loop {
-        let Some(envelope) = hub.peers.next(&name) else {
+        let Some(envelope) = hub.peers.take_envelope(&name) else {
             wake.notified().await;
             continue;
         };
-        hub.gauges.messages(envelope.count);
-        // An envelope of a session that has ended meanwhile is void.
-        while hub.peers.current(&name, envelope.epoch) {
-            if link
+        hub.metrics.count_messages(envelope.count);
+        // An envelope is dropped once its session has ended.
+        while hub.peers.is_current(&name, envelope.epoch) {
+            if connection
                 .as_ref()
-                .is_none_or(|known| known.address != envelope.address)
+                .is_none_or(|open| open.address != envelope.address)
             {
-                link = Connection::open(hub.peers.own, &envelope.address).await;
+                connection = Connection::open(hub.peers.own_ip, &envelope.address).await;
             }
-            let Some(connection) = &link else {
-                sleep(AGAIN).await;
+            let Some(open) = &connection else {
+                sleep(RECONNECT_DELAY).await;
                 continue;
             };
-            let mut request = connection.client.deliver_request();
+            let mut request = open.client.deliver_request();
             request.get().set_envelope(&envelope.bytes);
-            match timeout(DELIVERY, request.send().promise).await {
+            match timeout(DELIVERY_TIMEOUT, request.send().promise).await {
                 Ok(Ok(_)) => break,
                 Ok(Err(error)) => {
                     let record = Record::new("messages_broken").with("member", name.as_str());
@@ -327,41 +333,41 @@
                     hub.log(&record);
                 }
             }
-            link = None;
+            connection = None;
             sleep(Duration::from_millis(2)).await;
         }
     }
 }
 
-/// Serves peers that connect, one connection for each: a peer that connects anew has given the former one up, and what
-/// tells so may be lost on the way.
+/// Serves the peers that connect. A new connection replaces the former one from the same IP address: the peer has
+/// abandoned that one, and the packet that closes it may be lost.
 pub async fn serve(hub: Rc<Hub>, listener: TcpListener) {
-    let mut served: HashMap<IpAddr, JoinHandle<()>> = HashMap::new();
+    let mut connections: HashMap<IpAddr, JoinHandle<()>> = HashMap::new();
     loop {
         let Ok((stream, from)) = listener.accept().await else {
             sleep(Duration::from_millis(10)).await;
             continue;
         };
-        served.retain(|_, connection| !connection.is_finished());
+        connections.retain(|_, connection| !connection.is_finished());
         let hub = hub.clone();
         let connection = spawn_local(async move {
-            let client: mailbox::Client = capnp_rpc::new_client(Served { hub });
+            let client: mailbox::Client = capnp_rpc::new_client(MailboxServer { hub });
             let network = network(stream, Side::Server);
-            // A connection ends with its peer, which says so itself or falls silent.
+            // The connection ends when the peer closes it, or is replaced by the next one.
             RpcSystem::new(network, Some(client.client)).await.ok();
         });
-        if let Some(former) = served.insert(from.ip(), connection) {
-            former.abort();
+        if let Some(previous) = connections.insert(from.ip(), connection) {
+            previous.abort();
         }
     }
 }
 
-/// What an instance offers to its peers.
-struct Served {
+/// The mailbox that an instance serves to its peers.
+struct MailboxServer {
     hub: Rc<Hub>,
 }
 
-impl mailbox::Server for Served {
+impl mailbox::Server for MailboxServer {
     async fn deliver(
         self: Rc<Self>,
         params: mailbox::DeliverParams,
@@ -377,7 +383,7 @@
         let repeated = inbox.check_duplicate(&envelope.sender, envelope.serial);
         drop(inbox);
         if !repeated {
-            self.hub.feed(Input::Received {
+            self.hub.handle(Input::Received {
                 from: envelope.sender,
                 messages: envelope.messages,
             });
--- a/src/instance/rows.rs
+++ b/src/instance/rows.rs
@@ -1,4 +1,4 @@
-//! Calls to the store for stored jobs.
+//! Reads and writes stored jobs in the store.
 
 use std::{
     cell::RefCell,
@@ -35,57 +35,57 @@
     },
 };
 
-/// How long a call may take: a coordinator whose lock can't be confirmed gives its shards up after a second, which
-/// leaves time for a second try.
-const PATIENCE: Duration = Duration::from_millis(400);
+/// How long a call may take. A coordinator that can't confirm its lock releases its shards after a second, which
+/// leaves time for a retry.
+const CALL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long an idle connection to the store is used.
-const TRUST: Duration = Duration::from_secs(10);
+/// How long an idle connection to the store may be reused.
+const MAX_IDLE: Duration = Duration::from_secs(10);
 
-/// Connections to the store for rows of stored jobs.
-pub struct Rows {
+/// A client for the store's rows of stored jobs, with a pool of connections.
+pub struct JobStore {
     address: String,
     pool: RefCell<Pool>,
 }
 
-impl Rows {
-    /// Takes the store's address.
+impl JobStore {
+    /// Creates a client for the store at an address.
     pub fn new(address: impl Into<String>) -> Self {
         Self {
             address: address.into(),
-            pool: RefCell::new(Pool::new(TRUST)),
+            pool: RefCell::new(Pool::new(MAX_IDLE)),
         }
     }
 
-    /// Begins a call; its answer goes to the dispatcher.
-    pub fn begin(&self, hub: &Rc<Hub>, call: StoreCallId, request: StoreRequest) {
+    /// Starts a call in a task of its own, which passes the reply to the dispatcher.
+    pub fn start_call(&self, hub: &Rc<Hub>, call: StoreCallId, request: StoreRequest) {
         let hub = hub.clone();
         spawn_local(async move {
-            let attempt = hub.rows.exchange(&request);
-            let reply = timeout(PATIENCE, attempt).await;
+            let attempt = hub.job_store.send(&request);
+            let reply = timeout(CALL_TIMEOUT, attempt).await;
             let reply = match reply {
-                Ok(Some(reply)) => read(&hub, &request, &reply),
+                Ok(Some(reply)) => read_reply(&hub, &request, &reply),
                 _ => StoreReply::Silent,
             };
-            hub.gauges.store(match reply {
+            hub.metrics.count_store_call(match reply {
                 StoreReply::Rows(..) | StoreReply::Written(_) => "done",
                 StoreReply::Conflict => "conflict",
                 StoreReply::Refused => "refused",
                 StoreReply::Silent => "silent",
             });
-            hub.feed(Input::StoreReplied { call, reply });
+            hub.handle(Input::StoreReplied { call, reply });
         });
     }
 
-    async fn exchange(&self, request: &StoreRequest) -> Option<http::Reply> {
+    async fn send(&self, request: &StoreRequest) -> Option<http::Reply> {
         let (method, path, body) = match request {
             StoreRequest::Read { shard, after } => {
                 let part = shard.to_string();
-                let path = store::range(record::JOBS, &part, after.as_deref());
+                let path = store::range_path(record::JOB_TABLE, &part, after.as_deref());
                 (Method::GET, path, Vec::new())
             }
             StoreRequest::Find { shard, key } => {
-                let path = store::find(record::JOBS, &shard.to_string(), key);
+                let path = store::row_path(record::JOB_TABLE, &shard.to_string(), key);
                 (Method::GET, path, Vec::new())
             }
             StoreRequest::Write {
@@ -95,7 +95,8 @@
                 remove,
             } => {
                 let part = shard.to_string();
-                let (path, body) = store::change(record::JOBS, &part, guard, set, remove);
+                let (path, body) =
+                    store::build_change(record::JOB_TABLE, &part, guard, set, remove);
                 (Method::POST, path, body)
             }
         };
@@ -108,13 +109,13 @@
     }
 }
 
-fn read(hub: &Hub, request: &StoreRequest, reply: &http::Reply) -> StoreReply {
+fn read_reply(hub: &Hub, request: &StoreRequest, reply: &http::Reply) -> StoreReply {
     let status = reply.status.as_u16();
-    match store::outcome(status) {
+    match store::classify_status(status) {
         store::Outcome::Done => {}
         store::Outcome::Conflict => return StoreReply::Conflict,
         store::Outcome::Refused => return StoreReply::Refused,
-        store::Outcome::Wrong => {
+        store::Outcome::Invalid => {
             hub.log(&Record::new("store_rejected").with("status", u64::from(status)));
             return StoreReply::Refused;
         }
@@ -124,16 +125,16 @@
         StoreReply::Silent
     };
     if let StoreRequest::Write { .. } = request {
-        return store::version(&reply.body).map_or_else(malformed, StoreReply::Written);
+        return store::parse_version(&reply.body).map_or_else(malformed, StoreReply::Written);
     }
-    match store::page(&reply.body) {
+    match store::parse_page(&reply.body) {
         Ok(page) => {
             let row = |row: store::Row| {
                 let value = match row.content {
                     Content::Value(value) => value,
-                    Content::Dropped => return None,
-                    // Left out, a page of such rows would have no last key, and be read for ever. The shard tells of a
-                    // record that is none.
+                    Content::Deleted => return None,
+                    // Kept with an empty value: a page without rows would have no last key, and the same page would
+                    // be read for ever. The shard reports that the record is malformed.
                     Content::Unreadable(_) => Vec::new(),
                 };
                 Some((row.key, value, row.version))
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,6 +1,7 @@
-//! The adapter to the platform: its names, formats and calls, decoded once into the project's types.
+//! The adapter to the platform: decodes its names, formats and calls into the types of the dispatcher, and encodes
+//! them.
 //!
-//! Nothing here decides anything, and nothing outside knows the platform's words.
+//! It makes no decisions, and nothing else depends on the platform's formats.
 
 pub mod ingress;
 pub mod order;
@@ -10,13 +11,13 @@
 
 use serde::de::DeserializeOwned;
 
-/// Why a text of the platform can't be read: the field, and what is wrong with it.
+/// Why data from the platform can't be read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {reason}")]
 pub struct Fault {
-    /// The field's path.
+    /// The path of the field.
     pub field: String,
-    /// What is wrong with it.
+    /// What is wrong with the field.
     pub reason: String,
 }
 
@@ -29,8 +30,12 @@
     }
 }
 
-/// Reads JSON; the fault names the field.
-fn json<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Fault> {
+/// Parses JSON.
+///
+/// # Errors
+///
+/// Returns a fault with the path of the field that is missing or wrong.
+fn parse_json<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Fault> {
     let mut from = serde_json::Deserializer::from_slice(bytes);
     let read = serde_path_to_error::deserialize(&mut from);
     let value = read.map_err(|e| Fault::new(e.path().to_string(), e.inner()))?;
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -1,4 +1,4 @@
-//! What callers send and get.
+//! The HTTP interface to callers: headers, paths and bodies.
 
 use serde::{
     Deserialize,
@@ -6,7 +6,7 @@
 };
 
 use super::{
-    json,
+    parse_json,
     Fault, //
 };
 use crate::{
@@ -22,24 +22,24 @@
     prelude::*,
 };
 
-/// The header that tells how long a caller waits, in milliseconds.
-pub const DEADLINE: &str = "x-poplarknot-deadline-ms";
+/// The header with the time for which a caller waits, in milliseconds.
+pub const DEADLINE_HEADER: &str = "x-poplarknot-deadline-ms";
 
-/// Where the platform asks whether an instance takes callers.
-pub const READY: &str = "/api/ready";
+/// The path at which the platform checks readiness.
+pub const READY_PATH: &str = "/api/ready";
 
-/// The most bytes of a job's text.
-const LONGEST_SPEC: usize = 4_000;
+/// The most bytes of a job's `spec`.
+const MAX_SPEC_BYTES: usize = 4_000;
 
-/// The most tasks of a step, as many as there can be endpoints that run one each.
-const MOST_TASKS: u32 = 100_000;
+/// The most tasks of a step: as many as there can be endpoints, with one task each.
+const MAX_TASKS_PER_STEP: u32 = 100_000;
 
 #[derive(Deserialize)]
 struct JobBody {
     #[serde(default)]
     spec: String,
     steps: Vec<StepBody>,
-    /// The job may be lost and run again; its POST is answered at its end.
+    /// The job isn't stored: it may be lost and run again, and its POST is answered when it ends.
     #[serde(default)]
     best_effort: bool,
     #[serde(default)]
@@ -54,17 +54,17 @@
 #[serde(default)]
 struct StepBody {
     count: u32,
-    /// Thousandths of a core.
+    /// In thousandths of a core.
     cpu: u64,
     mem_mb: u64,
     gpu: u64,
-    /// A rough estimate of one task's duration.
+    /// A rough estimate of the duration of one task.
     estimated_ms: f64,
     after: Vec<u32>,
     required_label: Option<String>,
-    /// The rack where the data lies.
+    /// The rack that holds the data.
     affinity: Option<String>,
-    /// Of tasks of this step on one endpoint.
+    /// The most tasks of this step on one endpoint, or zero for no limit.
     max_per_server: u32,
     gang: bool,
     long_running: bool,
@@ -90,23 +90,23 @@
     }
 }
 
-/// Reads a job.
+/// Parses a job.
 ///
 /// # Errors
 ///
-/// Names the field that is wrong.
-pub fn job(id: JobId, body: &[u8]) -> Result<Submission, Fault> {
-    let body: JobBody = json(body)?;
-    if body.spec.len() > LONGEST_SPEC {
-        let reason = format!("has {} bytes; at most {LONGEST_SPEC}", body.spec.len());
+/// Returns a fault with the field that is missing or wrong.
+pub fn parse_job(id: JobId, body: &[u8]) -> Result<Submission, Fault> {
+    let body: JobBody = parse_json(body)?;
+    if body.spec.len() > MAX_SPEC_BYTES {
+        let reason = format!("has {} bytes; at most {MAX_SPEC_BYTES}", body.spec.len());
         return Err(Fault::new("spec", reason));
     }
     if body.steps.is_empty() {
-        return Err(Fault::new("steps", "there must be at least one"));
+        return Err(Fault::new("steps", "must have at least one step"));
     }
     let mut steps = Vec::with_capacity(body.steps.len());
     for (index, step) in body.steps.into_iter().enumerate() {
-        steps.push(read_step(index as u32, step)?);
+        steps.push(parse_step(index as u32, step)?);
     }
     let lasting = body.long_running.then_some("long_running");
     let timed = (body.repeat_count > 0 || body.start_at_ms > 0).then_some("repeat_count");
@@ -119,14 +119,14 @@
     })
 }
 
-fn read_step(index: u32, step: StepBody) -> Result<Step, Fault> {
+fn parse_step(index: u32, step: StepBody) -> Result<Step, Fault> {
     let field = |name: &str| format!("steps[{index}].{name}");
-    if step.count == 0 || step.count > MOST_TASKS {
-        let reason = format!("is {}; must be 1 to {MOST_TASKS}", step.count);
+    if step.count == 0 || step.count > MAX_TASKS_PER_STEP {
+        let reason = format!("is {}; must be 1 to {MAX_TASKS_PER_STEP}", step.count);
         return Err(Fault::new(field("count"), reason));
     }
     if let Some(later) = step.after.iter().find(|before| **before >= index) {
-        let reason = format!("{later} is no earlier step");
+        let reason = format!("{later} is not an earlier step");
         return Err(Fault::new(field("after"), reason));
     }
     let kinds = [
@@ -166,8 +166,8 @@
     error: &'a str,
 }
 
-/// Writes a job's state.
-pub fn state(state: JobState) -> Vec<u8> {
+/// Encodes a job's state.
+pub fn state_body(state: JobState) -> Vec<u8> {
     let state = match state {
         JobState::Queued => "queued",
         JobState::Running => "running",
@@ -175,20 +175,20 @@
         JobState::Failed => "failed",
         JobState::Cancelled => "cancelled",
     };
-    write(&StateBody { state })
+    encode(&StateBody { state })
 }
 
-/// Writes the number of a queue's jobs of which nothing has started.
-pub fn queue(pending: u32) -> Vec<u8> {
-    write(&QueueBody { pending })
+/// Encodes the number of a queue's jobs of which no task has started.
+pub fn queue_body(pending: u32) -> Vec<u8> {
+    encode(&QueueBody { pending })
 }
 
-/// Writes why a request was not served.
-pub fn error(error: &str) -> Vec<u8> {
-    write(&ErrorBody { error })
+/// Encodes why a request was not served.
+pub fn error_body(error: &str) -> Vec<u8> {
+    encode(&ErrorBody { error })
 }
 
-fn write(body: &impl Serialize) -> Vec<u8> {
-    // Plain structs of text and numbers always serialise.
+fn encode(body: &impl Serialize) -> Vec<u8> {
+    // Plain structs of strings and numbers can always be serialised.
     serde_json::to_vec(body).unwrap_or_default()
 }
--- a/src/platform/order.rs
+++ b/src/platform/order.rs
@@ -1,4 +1,4 @@
-//! Orders to endpoints, and their answers.
+//! Encodes orders to endpoints, and decodes their replies.
 
 use serde::{
     Deserialize,
@@ -6,7 +6,7 @@
 };
 
 use super::{
-    json,
+    parse_json,
     Fault, //
 };
 use crate::dispatch::{
@@ -28,18 +28,18 @@
     },
 };
 
-/// The header that names the life of the endpoint that is meant.
-pub const EXPECTED: &str = "x-poplarknot-expected-instance";
+/// The header that names the endpoint that the order is for.
+pub const EXPECTED_HEADER: &str = "x-poplarknot-expected-instance";
 
-/// The occurrence of a task of a job that is run once.
-const ONCE: &str = "0";
+/// The occurrence in the name of a task whose job runs once.
+const OCCURRENCE: &str = "0";
 
 #[derive(Serialize)]
 struct StartBody<'a> {
     task: String,
     run: u32,
     spec: &'a str,
-    /// Until when everything on the endpoint may run, on its clock: no deadline of the task.
+    /// The lease, on the endpoint's clock: how long everything on it may run. It isn't the task's deadline.
     deadline_ms: u64,
     fencing_token: u64,
 }
@@ -56,7 +56,7 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     deadline_ms: Option<u64>,
     fencing_token: u64,
-    /// Ends up to this one are forgotten, for every reader.
+    /// The endpoint deletes ended runs up to this serial, for all readers.
     last_seen: u64,
     #[serde(skip_serializing_if = "is_zero")]
     wait_ms: u64,
@@ -83,19 +83,25 @@
     finished: Vec<FinishedRow>,
 }
 
-/// Task, run, checkpoint, percent, and what else may come. The percent is a help only: one that is no number is left out.
+/// Task, run, checkpoint, percent, and any later field. The percent is informative, and ignored if it isn't a number.
 #[derive(Deserialize)]
-struct RunningRow(String, u32, Rest, serde_json::Value, #[serde(default)] Rest);
-
-/// Number, task, run, how it ended, checkpoint.
+struct RunningRow(
+    String,
+    u32,
+    Ignored,
+    serde_json::Value,
+    #[serde(default)] Ignored,
+);
+
+/// Serial, task, run, how the run ended, checkpoint.
 #[derive(Deserialize)]
-struct FinishedRow(u64, String, u32, String, Rest);
+struct FinishedRow(u64, String, u32, String, Ignored);
 
-type Rest = serde::de::IgnoredAny;
+type Ignored = serde::de::IgnoredAny;
 
-/// Writes an order: its path and body.
-pub fn write(order: &Order) -> (&'static str, Vec<u8>) {
-    // Plain structs of text and numbers always serialise.
+/// Encodes an order; returns its path and body.
+pub fn encode(order: &Order) -> (&'static str, Vec<u8>) {
+    // Plain structs of strings and numbers can always be serialised.
     match order {
         Order::Start {
             task,
@@ -105,7 +111,7 @@
             token,
         } => {
             let body = StartBody {
-                task: task_name(*task),
+                task: format_task(*task),
                 run: run.0,
                 spec,
                 deadline_ms: *lease,
@@ -118,7 +124,7 @@
         }
         Order::Stop { task, run, token } => {
             let body = StopBody {
-                task: name(task),
+                task: format_name(task),
                 run: run.0,
                 fencing_token: token.0,
             };
@@ -144,16 +150,16 @@
     }
 }
 
-/// Reads the answer to an order.
-pub fn read(order: &Order, status: u16, body: &[u8]) -> Reply {
+/// Decodes the reply to an order.
+pub fn decode(order: &Order, status: u16, body: &[u8]) -> Reply {
     let reply = match (status, order) {
-        (200, Order::Look { .. }) => lists(body),
-        (200, _) => json(body).map(|body: ClockBody| Reply::Done {
+        (200, Order::Look { .. }) => decode_lists(body),
+        (200, _) => parse_json(body).map(|body: ClockBody| Reply::Done {
             clock: body.clock_ms,
         }),
-        (409, _) => json(body).map(|body: ClockBody| Reply::Refused {
+        (409, _) => parse_json(body).map(|body: ClockBody| Reply::Refused {
             clock: body.clock_ms,
-            refusal: refusal(&body.reason),
+            refusal: parse_refusal(&body.reason),
         }),
         (421, _) => Ok(Reply::Reborn),
         (429 | 503, _) => Ok(Reply::Unwell),
@@ -162,10 +168,10 @@
     reply.unwrap_or_else(|fault| Reply::Malformed(fault.to_string()))
 }
 
-fn lists(body: &[u8]) -> Result<Reply, Fault> {
-    let body: ListsBody = json(body)?;
+fn decode_lists(body: &[u8]) -> Result<Reply, Fault> {
+    let body: ListsBody = parse_json(body)?;
     let running = body.running.into_iter().map(|row| Running {
-        task: parse(row.0),
+        task: parse_name(row.0),
         run: Run(row.1),
         percent: row
             .3
@@ -174,9 +180,9 @@
     });
     let ended = body.finished.into_iter().map(|row| Ended {
         serial: row.0,
-        task: parse(row.1),
+        task: parse_name(row.1),
         run: Run(row.2),
-        end: end(&row.3),
+        end: parse_end(&row.3),
     });
     Ok(Reply::Looked(Lists {
         clock: body.clock_ms,
@@ -186,7 +192,7 @@
     }))
 }
 
-fn refusal(reason: &str) -> Refusal {
+fn parse_refusal(reason: &str) -> Refusal {
     match reason {
         "fence" => Refusal::Fenced,
         "old" => Refusal::Old,
@@ -196,7 +202,7 @@
     }
 }
 
-fn end(how: &str) -> End {
+fn parse_end(how: &str) -> End {
     match how {
         "done" => End::Done,
         "failed" => End::Failed,
@@ -206,23 +212,23 @@
     }
 }
 
-fn task_name(task: TaskId) -> String {
-    format!("{}.{ONCE}.{}.{}", task.job, task.step, task.index)
+fn format_task(task: TaskId) -> String {
+    format!("{}.{OCCURRENCE}.{}.{}", task.job, task.step, task.index)
 }
 
-fn name(task: &Name) -> String {
+fn format_name(task: &Name) -> String {
     match task {
-        Name::Known(task) => task_name(*task),
+        Name::Known(task) => format_task(*task),
         Name::Foreign(name) => name.clone(),
     }
 }
 
-/// Reads a task's name: job, occurrence, step and index with dots between.
-fn parse(name: String) -> Name {
+/// Parses a task's name: job, occurrence, step and index with dots between. Any other name is foreign.
+fn parse_name(name: String) -> Name {
     let mut parts = name.split('.');
     let mut next = || parts.next();
     let job = next().and_then(|part| part.parse::<JobId>().ok());
-    let once = next() == Some(ONCE);
+    let once = next() == Some(OCCURRENCE);
     let step = next().and_then(|part| part.parse().ok());
     let index = next().and_then(|part| part.parse().ok());
     match (job, step, index, next()) {
--- a/src/platform/record.rs
+++ b/src/platform/record.rs
@@ -1,4 +1,5 @@
-//! Rows of the store that others write: the configuration and the endpoints; and the row of an instance.
+//! Parses the store's rows that others write, which are the configuration and the endpoints, and encodes the row of
+//! an instance.
 
 use std::net::SocketAddr;
 
@@ -8,7 +9,7 @@
 };
 
 use super::{
-    json,
+    parse_json,
     Fault, //
 };
 use crate::{
@@ -29,23 +30,23 @@
     prelude::*,
 };
 
-/// The operator's table, and the key of the configuration in it.
-pub const OPERATOR: &str = "op";
+/// The operator's table.
+pub const OPERATOR_TABLE: &str = "op";
 
-/// See [`OPERATOR`].
-pub const CONFIGURATION: &str = "config";
+/// The key of the configuration in [`OPERATOR_TABLE`].
+pub const CONFIGURATION_KEY: &str = "config";
 
-/// Begins the key of a row in the operator's table that evacuates a data centre for as long as it stands, whatever it holds.
-const EVACUATE: &str = "evacuate/";
+/// The prefix of keys in [`OPERATOR_TABLE`] that evacuate a data centre. The row's existence counts, not its value.
+const EVACUATION_PREFIX: &str = "evacuate/";
 
-/// The table in which every endpoint keeps a row.
-pub const ENDPOINTS: &str = "servers";
+/// The table with a row for each endpoint.
+pub const ENDPOINT_TABLE: &str = "servers";
 
-/// The table in which every instance keeps a row.
-pub const INSTANCES: &str = "instances";
+/// The table with a row for each instance.
+pub const INSTANCE_TABLE: &str = "instances";
 
 /// The table of stored jobs, with a part for each shard.
-pub const JOBS: &str = "jobs";
+pub const JOB_TABLE: &str = "jobs";
 
 #[derive(Deserialize)]
 struct ConfigBody {
@@ -66,35 +67,35 @@
     service: String,
     #[serde(default)]
     priority: u32,
-    #[serde(default = "once")]
+    #[serde(default = "default_max_attempts")]
     max_attempts: u32,
     #[serde(default)]
     timeout_ms: f64,
-    #[serde(default = "one")]
+    #[serde(default = "default_stretch")]
     stretch: f64,
-    /// How much longer than its stretched work a job may take: no target for the whole.
+    /// How much longer than its stretched work a job may take. It isn't a limit for the job as a whole.
     #[serde(default)]
     target_duration_ms: f64,
-    /// Times of the adviser, where the queue has one.
+    /// Timeouts from the adviser, if the queue has one.
     #[serde(default)]
     advice: Option<serde::de::IgnoredAny>,
 }
 
-fn once() -> u32 {
+fn default_max_attempts() -> u32 {
     1
 }
 
-fn one() -> f64 {
+fn default_stretch() -> f64 {
     1.0
 }
 
 #[derive(Deserialize)]
 struct ServiceBody {
     name: String,
-    /// Whether endpoints refuse what doesn't fit.
+    /// Whether endpoints refuse tasks that exceed their capacity.
     #[serde(default)]
     admission_check: bool,
-    /// At one endpoint, of all instances together.
+    /// The most connections to one endpoint, of all instances together.
     #[serde(default)]
     max_connections: u32,
 }
@@ -107,24 +108,24 @@
     idle_timeout_ms: Option<u64>,
 }
 
-/// Returns the data centre that a row of the operator's table evacuates, if it is such a row.
-pub fn evacuated(key: &str) -> Option<&str> {
-    key.strip_prefix(EVACUATE)
+/// Returns the data centre that a row of the operator's table evacuates, or `None` if it isn't such a row.
+pub fn evacuated_centre(key: &str) -> Option<&str> {
+    key.strip_prefix(EVACUATION_PREFIX)
 }
 
-/// Reads a configuration.
+/// Parses a configuration.
 ///
 /// # Errors
 ///
-/// Names the field that is missing or wrong.
-pub fn configuration(value: &[u8]) -> Result<Configuration, Fault> {
-    let body: ConfigBody = json(value)?;
+/// Returns a fault with the field that is missing or wrong.
+pub fn parse_configuration(value: &[u8]) -> Result<Configuration, Fault> {
+    let body: ConfigBody = parse_json(value)?;
     let default = Limits::default();
     let limits = body.limits;
     Ok(Configuration {
         version: body.version,
-        routes: body.routes.into_iter().map(route).collect(),
-        services: body.services.into_iter().map(pool).collect(),
+        routes: body.routes.into_iter().map(build_route).collect(),
+        services: body.services.into_iter().map(build_service).collect(),
         limits: Limits {
             max_header_bytes: limits.max_header_bytes.unwrap_or(default.max_header_bytes),
             max_body_bytes: limits.max_body_bytes.unwrap_or(default.max_body_bytes),
@@ -138,7 +139,7 @@
     })
 }
 
-fn route(body: RouteBody) -> Route {
+fn build_route(body: RouteBody) -> Route {
     Route {
         name: body.name,
         host: body.hostname,
@@ -146,14 +147,14 @@
         service: body.service,
         priority: body.priority,
         attempts: body.max_attempts,
-        timeout: span(body.timeout_ms),
+        timeout: span_from_millis(body.timeout_ms),
         stretch: body.stretch,
-        target: span(body.target_duration_ms),
+        target: span_from_millis(body.target_duration_ms),
         advised: body.advice.is_some(),
     }
 }
 
-fn pool(body: ServiceBody) -> Service {
+fn build_service(body: ServiceBody) -> Service {
     Service {
         name: body.name,
         guarded: body.admission_check,
@@ -161,7 +162,7 @@
     }
 }
 
-fn span(millis: f64) -> Span {
+fn span_from_millis(millis: f64) -> Span {
     Span((millis.max(0.0) * 1_000.0) as u64)
 }
 
@@ -172,14 +173,15 @@
     zone: String,
     state: StateBody,
     capacity: CapacityBody,
-    /// When its life began, in milliseconds since 1970.
+    /// When the endpoint's process started, in milliseconds since 1970.
     #[serde(default)]
     born: u64,
-    /// Its kind, and then its rack.
+    /// The kind of the endpoint, then its rack.
     labels: Vec<String>,
 }
 
-/// Whether an endpoint stays. A state that isn't named here is that of no endpoint: nobody knows what it can be asked for.
+/// Whether an endpoint stays. A row with any other state is malformed, because it doesn't tell what its endpoint may
+/// be asked for.
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum StateBody {
@@ -195,15 +197,15 @@
     gpu: u64,
 }
 
-/// Reads the row of an endpoint; its key names one life of it.
+/// Parses the row of an endpoint, whose key is the endpoint's identifier.
 ///
 /// # Errors
 ///
-/// Names the field that is missing or wrong.
-pub fn endpoint(key: &str, value: &[u8]) -> Result<Listing, Fault> {
-    let body: EndpointBody = json(value)?;
+/// Returns a fault with the field that is missing or wrong.
+pub fn parse_endpoint(key: &str, value: &[u8]) -> Result<Listing, Fault> {
+    let body: EndpointBody = parse_json(value)?;
     if body.service.is_empty() {
-        return Err(Fault::new("service", "it is empty"));
+        return Err(Fault::new("service", "is empty"));
     }
     let address: SocketAddr = body.address.parse().map_err(|e| Fault::new("address", e))?;
     Ok(Listing {
@@ -228,20 +230,20 @@
     address: String,
 }
 
-/// Writes the row of an instance.
-pub fn write_instance(contact: &Contact) -> Vec<u8> {
+/// Encodes the row of an instance.
+pub fn encode_instance(contact: &Contact) -> Vec<u8> {
     let address = contact.address.clone();
-    // A struct of one text always serialises.
+    // A struct of one string can always be serialised.
     serde_json::to_vec(&InstanceBody { address }).unwrap_or_default()
 }
 
-/// Reads the row of an instance.
+/// Parses the row of an instance.
 ///
 /// # Errors
 ///
-/// Names the field that is missing or wrong.
-pub fn instance(key: &str, value: &[u8]) -> Result<Contact, Fault> {
-    let body: InstanceBody = json(value)?;
+/// Returns a fault with the field that is missing or wrong.
+pub fn parse_instance(key: &str, value: &[u8]) -> Result<Contact, Fault> {
+    let body: InstanceBody = parse_json(value)?;
     Ok(Contact {
         name: key.parse().map_err(|e| Fault::new("key", e))?,
         address: body.address,
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file that the platform writes for every process.
+//! The settings file that the platform writes for each process.
 
 use std::{
     env,
@@ -10,36 +10,36 @@
 use super::Fault;
 use crate::prelude::*;
 
-/// The variable that holds the path of the settings file.
-const VARIABLE: &str = "POPLARKNOT_SETTINGS";
+/// The environment variable with the path of the settings file.
+const PATH_VARIABLE: &str = "POPLARKNOT_SETTINGS";
 
-/// Descriptors that the platform reserves for files.
-const RESERVED: usize = 200;
+/// File descriptors that are reserved for files and never used for sockets.
+const RESERVED_DESCRIPTORS: usize = 200;
 
-/// What an instance is told about itself and its surroundings.
+/// The settings of an instance.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// The instance's name.
     pub name: Instance,
-    /// Its data centre.
+    /// The instance's data centre.
     pub centre: String,
-    /// Its own address, without a port.
+    /// The instance's IP address.
     pub ip: String,
-    /// Where callers connect.
+    /// The address at which callers connect.
     pub callers: SocketAddr,
-    /// Where the platform asks whether the instance takes callers.
+    /// The address at which the platform checks readiness.
     pub ready: SocketAddr,
-    /// Where peers connect.
+    /// The address at which peers connect and heartbeats arrive.
     pub peers: SocketAddr,
-    /// Some peers, which may have gone.
+    /// Addresses of some peers, which may have left.
     pub seeds: Vec<String>,
-    /// The store.
+    /// The address of the store.
     pub store: String,
-    /// Sockets that may be open at once.
+    /// The most sockets that may be open at once.
     pub sockets: usize,
-    /// The processor share, in thousandths of a core.
+    /// The instance's share of the processor, in thousandths of a core.
     pub share: u32,
-    /// After SIGTERM, how long until the process is killed.
+    /// The time between SIGTERM and SIGKILL.
     pub grace: Span,
 }
 
@@ -48,10 +48,10 @@
     node: String,
     zone: String,
     ip: String,
-    /// The first and the last port that instances may use among themselves.
+    /// The first and the last port for connections among instances.
     #[serde(default)]
     port_range: Vec<u16>,
-    /// Addresses at which some instances of the role that serves the control plane listen.
+    /// Addresses of some instances of the role that serves the control plane.
     #[serde(default)]
     seeds: Vec<String>,
     listen_addrs: Listen,
@@ -66,8 +66,8 @@
 struct Listen {
     front: SocketAddr,
     ready: SocketAddr,
-    /// Only there where the role serves the control plane. Nobody outside calls it, so peers use it: the seeds
-    /// are then addresses of peers.
+    /// Set only if the role serves the control plane. No other process connects there, so that peers use it; `seeds`
+    /// then holds addresses of peers.
     control: Option<SocketAddr>,
 }
 
@@ -75,9 +75,9 @@
 #[serde(default)]
 struct Limits {
     max_fds: usize,
-    /// Of one core of usual speed.
+    /// In cores of standard speed.
     cpu_share: f64,
-    /// How many times as fast as that the machine's cores are together.
+    /// The speed of all cores of the machine together, in cores of standard speed.
     cores: f64,
 }
 
@@ -106,24 +106,24 @@
 
 #[derive(Deserialize)]
 struct Platform {
-    /// The store's address.
+    /// The address of the store.
     address: String,
 }
 
-/// Returns the path of the settings file.
+/// Returns the path of the settings file from the environment.
 ///
 /// # Errors
 ///
-/// Fails where the variable isn't set.
+/// Returns an error if the variable isn't set.
 pub fn path_from_env() -> Result<String, Fault> {
-    env::var(VARIABLE).map_err(|e| Fault::new(VARIABLE, e))
+    env::var(PATH_VARIABLE).map_err(|e| Fault::new(PATH_VARIABLE, e))
 }
 
-/// Reads the text of a settings file. Fields that are not known are left alone.
+/// Parses a settings file. Unknown fields are ignored.
 ///
 /// # Errors
 ///
-/// Names the field that is missing or wrong.
+/// Returns a fault with the field that is missing or wrong.
 pub fn parse(text: &str) -> Result<Settings, Fault> {
     let from = toml::Deserializer::parse(text).map_err(|e| Fault::new("TOML", e.message()))?;
     let read: Result<File, _> = serde_path_to_error::deserialize(from);
@@ -143,13 +143,13 @@
         ip: file.ip,
         callers: file.listen_addrs.front,
         ready: file.listen_addrs.ready,
-        peers: peers.ok_or_else(|| Fault::new("port_range", "no port for peers"))?,
+        peers: peers.ok_or_else(|| Fault::new("port_range", "has no port for peers"))?,
         seeds: match file.listen_addrs.control {
             Some(_) => file.seeds,
             None => Vec::new(),
         },
         store: file.platform.address,
-        sockets: file.limits.max_fds.saturating_sub(RESERVED),
+        sockets: file.limits.max_fds.saturating_sub(RESERVED_DESCRIPTORS),
         share: (file.limits.cpu_share * file.limits.cores * 1_000.0) as u32,
         grace: Span(grace),
     })
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! Calls to the store: rows under a condition, ranges of rows, and what has changed.
+//! Calls to the store: conditional writes, reads of rows, and feeds of changes.
 
 use base64::{
     prelude::BASE64_STANDARD,
@@ -15,66 +15,66 @@
 };
 
 use super::{
-    json,
+    parse_json,
     Fault, //
 };
 use crate::prelude::*;
 
-/// What stands for itself in a query (RFC 3986, unreserved). Other programs choose their keys, and one with a blank or an
-/// ampersand in it made a path that is none.
-const QUERY: &AsciiSet = &NON_ALPHANUMERIC
+/// The characters that are percent-encoded in a query: all but the unreserved ones (RFC 3986). Other programs choose
+/// their keys, and a space or an ampersand in one would make an invalid path.
+const ESCAPED: &AsciiSet = &NON_ALPHANUMERIC
     .remove(b'-')
     .remove(b'.')
     .remove(b'_')
     .remove(b'~');
 
-/// A row as it was read.
+/// A row of a table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
-    /// Its key within the table.
+    /// The key within the table and part.
     pub key: String,
-    /// What it holds.
+    /// The content of the row.
     pub content: Content,
-    /// The version of the store at which it changed last.
+    /// The version of the store at which the row changed last.
     pub version: u64,
 }
 
-/// What a row holds.
+/// The content of a row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Content {
-    /// This value.
+    /// A value.
     Value(Vec<u8>),
-    /// Nothing: the row was dropped.
-    Dropped,
-    /// Something that can't be read. Other programs write into the same tables, and taken for a fault of the whole answer,
-    /// one such row hid all others.
+    /// Nothing: the row was deleted.
+    Deleted,
+    /// Content that can't be read. Other programs write into the same tables; if such a row made the whole response
+    /// invalid, it would hide all others.
     Unreadable(Fault),
 }
 
-/// Rows as of one moment.
+/// The rows of one response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Page {
-    /// The rows.
+    /// The rows, in the order of the response.
     pub rows: Vec<Row>,
-    /// Whether more follow.
+    /// Whether more rows follow.
     pub more: bool,
-    /// How many rows had no key that can be read.
-    pub nameless: usize,
-    /// The version of the store at that moment.
+    /// The number of rows without a readable key.
+    pub missing_keys: usize,
+    /// The version of the store that the rows show.
     pub version: u64,
 }
 
-/// What a status of the store says of a call.
+/// What a status code of the store says about a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was carried out.
+    /// The call was carried out.
     Done,
-    /// Its condition doesn't hold; nothing was changed.
+    /// The condition doesn't hold; nothing was changed.
     Conflict,
-    /// The store has no time for it; nothing was changed.
+    /// The store is overloaded; nothing was changed.
     Refused,
-    /// The store can't make anything of it.
-    Wrong,
+    /// The store can't process the call.
+    Invalid,
 }
 
 #[derive(Serialize)]
@@ -89,7 +89,7 @@
     table: &'a str,
     part: &'a str,
     key: &'a str,
-    /// The version that the row must have; zero where there must be none.
+    /// The version that the row must have, or zero if it must not exist.
     ver: u64,
 }
 
@@ -105,7 +105,7 @@
     table: &'a str,
     part: &'a str,
     key: &'a str,
-    /// Base64.
+    /// In base64.
     value: String,
 }
 
@@ -130,7 +130,7 @@
 
 #[derive(Deserialize)]
 struct RowBody {
-    /// Base64.
+    /// In base64.
     #[serde(default)]
     value: String,
     #[serde(default)]
@@ -139,8 +139,8 @@
     deleted: bool,
 }
 
-/// Writes the call that sets one row whatever it was: its path and body.
-pub fn set(table: &str, key: &str, value: &[u8]) -> (String, Vec<u8>) {
+/// Builds the call that sets one row unconditionally; returns its path and body.
+pub fn build_set(table: &str, key: &str, value: &[u8]) -> (String, Vec<u8>) {
     let body = ChangeBody {
         expected_rev: Vec::new(),
         set_keys: vec![SetBody {
@@ -151,11 +151,12 @@
         }],
         remove: Vec::new(),
     };
-    transaction(&body)
+    build_transaction(&body)
 }
 
-/// Writes the call that changes rows of one part of a table if the row `guard` has its version still.
-pub fn change(
+/// Builds the call that changes rows of one part of a table if the row `guard` still has its version; returns its
+/// path and body.
+pub fn build_change(
     table: &str,
     part: &str,
     guard: &(String, u64),
@@ -179,90 +180,90 @@
         set_keys: set.collect(),
         remove: remove.collect(),
     };
-    transaction(&body)
+    build_transaction(&body)
 }
 
-fn transaction(body: &ChangeBody<'_>) -> (String, Vec<u8>) {
-    // Plain structs of text and numbers always serialise.
+fn build_transaction(body: &ChangeBody<'_>) -> (String, Vec<u8>) {
+    // Plain structs of strings and numbers can always be serialised.
     let body = serde_json::to_vec(body).unwrap_or_default();
     ("/api/rows-tx".to_owned(), body)
 }
 
-/// Reads the version that a change was made as.
+/// Parses the version of the store that a change led to.
 ///
 /// # Errors
 ///
-/// Names the field that is missing or wrong.
-pub fn version(body: &[u8]) -> Result<u64, Fault> {
-    let body: VersionBody = json(body)?;
+/// Returns a fault with the field that is missing or wrong.
+pub fn parse_version(body: &[u8]) -> Result<u64, Fault> {
+    let body: VersionBody = parse_json(body)?;
     Ok(body.ver)
 }
 
-/// Tells what a status says of a call.
-pub fn outcome(status: u16) -> Outcome {
+/// Returns what a status code says about a call.
+pub fn classify_status(status: u16) -> Outcome {
     match status {
         200 => Outcome::Done,
         412 => Outcome::Conflict,
         429 | 503 => Outcome::Refused,
-        _ => Outcome::Wrong,
+        _ => Outcome::Invalid,
     }
 }
 
-/// Writes the path that reads rows of one part of a table after the key `after`, or from its beginning.
-pub fn range(table: &str, part: &str, after: Option<&str>) -> String {
+/// Returns the path that reads the rows of one part of a table, from its beginning or after the key `after`.
+pub fn range_path(table: &str, part: &str, after: Option<&str>) -> String {
     let from = after.map_or(String::new(), |key| {
-        format!("&from={}%20", utf8_percent_encode(key, QUERY))
+        format!("&from={}%20", utf8_percent_encode(key, ESCAPED))
     });
     format!("/api/rows-get?table={table}&part={part}{from}")
 }
 
-/// Writes the path that reads one row.
-pub fn find(table: &str, part: &str, key: &str) -> String {
-    let key = utf8_percent_encode(key, QUERY);
-    // A range leaves its last key out.
+/// Returns the path that reads one row.
+pub fn row_path(table: &str, part: &str, key: &str) -> String {
+    let key = utf8_percent_encode(key, ESCAPED);
+    // A range excludes the key `target`.
     format!("/api/rows-get?table={table}&part={part}&from={key}&target={key}%20")
 }
 
-/// Writes the path that reads a table's rows after the key `after`, or from its beginning.
-pub fn get(table: &str, after: Option<&str>) -> String {
-    // A range begins with its first key; no key can lie between `after` and `after` with a blank.
-    range(table, "", after)
+/// Returns the path that reads a table's rows, from its beginning or after the key `after`.
+pub fn table_path(table: &str, after: Option<&str>) -> String {
+    // A range includes the key `from`; no key lies between `after` and `after` with a space.
+    range_path(table, "", after)
 }
 
-/// Writes the path that waits for changes of a table after a version.
-pub fn feed(table: &str, after: u64, wait: Span) -> String {
+/// Returns the path of a long poll for changes of a table after a version.
+pub fn feed_path(table: &str, after: u64, wait: Span) -> String {
     let wait = wait.as_millis();
     format!("/api/rows-feed?table={table}&after={after}&wait_ms={wait}")
 }
 
-/// Tells whether a status says that the history that was asked for is gone.
-pub fn lacks_history(status: u16) -> bool {
+/// Returns whether a status code says that the requested history was compacted.
+pub fn is_compacted(status: u16) -> bool {
     status == 410
 }
 
-/// Reads rows; one that can't be read says so, and leaves the others as they are.
+/// Parses a page of rows. A row that can't be read has [`Content::Unreadable`], and the others are unaffected.
 ///
 /// # Errors
 ///
-/// Names the field of the answer as a whole that is missing or wrong.
-pub fn page(body: &[u8]) -> Result<Page, Fault> {
-    let body: RowsBody = json(body)?;
+/// Returns a fault if the response as a whole is malformed, with the field that is missing or wrong.
+pub fn parse_page(body: &[u8]) -> Result<Page, Fault> {
+    let body: RowsBody = parse_json(body)?;
     let all = body.rows.len();
-    let rows: Vec<Row> = body.rows.into_iter().filter_map(row).collect();
+    let rows: Vec<Row> = body.rows.into_iter().filter_map(parse_row).collect();
     Ok(Page {
-        nameless: all - rows.len(),
+        missing_keys: all - rows.len(),
         rows,
         more: body.has_more,
         version: body.ver,
     })
 }
 
-/// Reads a row; there is none without a key.
-fn row(body: serde_json::Value) -> Option<Row> {
+/// Parses a row; returns `None` if it has no readable key.
+fn parse_row(body: serde_json::Value) -> Option<Row> {
     let key = KeyOnly::deserialize(&body).ok()?.key;
     let unreadable = |reason: String| Content::Unreadable(Fault::new(format!("row {key}"), reason));
     let (content, version) = match RowBody::deserialize(&body) {
-        Ok(row) if row.deleted => (Content::Dropped, row.ver),
+        Ok(row) if row.deleted => (Content::Deleted, row.ver),
         Ok(row) => match BASE64_STANDARD.decode(&row.value) {
             Ok(value) => (Content::Value(value), row.ver),
             Err(error) => (unreadable(error.to_string()), row.ver),
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -78,13 +78,13 @@
         {"count": 4, "cpu": 500, "mem_mb": 256, "estimated_ms": 900, "affinity": "r1-3"},
         {"count": 2, "cpu": 2000, "after": [0], "max_per_server": 1, "required_label": "b"},
     ]});
-    let job = ingress::job(JobId(7), body.to_string().as_bytes()).unwrap();
+    let job = ingress::parse_job(JobId(7), body.to_string().as_bytes()).unwrap();
     assert_eq!(job.steps[0].estimate, Span::millis(900));
     assert_eq!(job.steps[0].affinity.as_deref(), Some("r1-3"));
     assert_eq!(job.steps[1].per_endpoint, Some(1));
     assert_eq!(job.chain(), Span::millis(900));
     let fault = |body: Value| {
-        let read = ingress::job(JobId(7), body.to_string().as_bytes());
+        let read = ingress::parse_job(JobId(7), body.to_string().as_bytes());
         read.unwrap_err().field
     };
     assert_eq!(fault(json!({"steps": [{"count": 0}]})), "steps[0].count");
@@ -99,7 +99,7 @@
         "spec"
     );
     let gang = json!({"best_effort": true, "steps": [{"count": 2, "gang": true}]});
-    let job = ingress::job(JobId(7), gang.to_string().as_bytes()).unwrap();
+    let job = ingress::parse_job(JobId(7), gang.to_string().as_bytes()).unwrap();
     assert_eq!(job.steps[0].unsupported.as_deref(), Some("gang"));
 }
 
@@ -118,7 +118,7 @@
         lease: 486_000,
         token: Token(7),
     };
-    let (path, body) = order::write(&start);
+    let (path, body) = order::encode(&start);
     let body: Value = serde_json::from_slice(&body).unwrap();
     let expected = json!({"task": "5c0e7a21d94b36f8.0.1.17", "run": 2, "spec": "text",
         "deadline_ms": 486_000, "fencing_token": 7});
@@ -128,16 +128,16 @@
         clock: 482_113,
         refusal: Refusal::Fenced,
     };
-    assert_eq!(order::read(&start, 409, refused), fenced);
-    assert_eq!(order::read(&start, 421, b""), Reply::Reborn);
-    assert_eq!(order::read(&start, 503, b""), Reply::Unwell);
+    assert_eq!(order::decode(&start, 409, refused), fenced);
+    assert_eq!(order::decode(&start, 421, b""), Reply::Reborn);
+    assert_eq!(order::decode(&start, 503, b""), Reply::Unwell);
     let look = Order::Look {
         lease: None,
         token: Token(7),
         seen: 57,
         wait: Span(0),
     };
-    let (_, body) = order::write(&look);
+    let (_, body) = order::encode(&look);
     let body: Value = serde_json::from_slice(&body).unwrap();
     assert_eq!(body, json!({"fencing_token": 7, "last_seen": 57}));
     let lists = json!({"clock_ms": 9, "born": 1_700_000_000_123_u64, "running": [["5c0e7a21d94b36f8.0.1.17", 2, "", 41, 3]],
@@ -147,7 +147,7 @@
         running,
         ended,
         ..
-    }) = order::read(&look, 200, lists.to_string().as_bytes())
+    }) = order::decode(&look, 200, lists.to_string().as_bytes())
     else {
         panic!("the lists are not read");
     };
@@ -156,7 +156,7 @@
     // A task of another occurrence is none that an instance of this build can have started.
     assert!(matches!(&ended[0].task, Name::Foreign(name) if name.contains(".3.")));
     assert_eq!(ended[0].end, End::Done);
-    let Reply::Malformed(fault) = order::read(&look, 200, br#"{"clock_ms":"x"}"#) else {
+    let Reply::Malformed(fault) = order::decode(&look, 200, br#"{"clock_ms":"x"}"#) else {
         panic!("a malformed answer is taken");
     };
     assert!(fault.contains("clock_ms"), "{fault}");
@@ -167,27 +167,28 @@
 fn records_are_read() {
     let body = br#"{"rows":[{"table":"t","part":"","key":"k","value":"eA==","ver":3},
         {"table":"t","part":"","key":"gone","ver":4,"deleted":true}],"has_more":true,"ver":5}"#;
-    let page = store::page(body).unwrap();
+    let page = store::parse_page(body).unwrap();
     assert_eq!(page.rows[0].content, Content::Value(b"x".to_vec()));
     assert_eq!(
         (&page.rows[1].content, page.more, page.version),
-        (&Content::Dropped, true, 5)
+        (&Content::Deleted, true, 5)
     );
     assert_eq!(
-        store::get("servers", Some("i-1")),
+        store::table_path("servers", Some("i-1")),
         "/api/rows-get?table=servers&part=&from=i-1%20"
     );
     let configuration = json!({"version": 7, "routes": [{"name": "r", "hostname": "h", "prefix": "/p/",
         "service": "s", "timeout_ms": 1500, "target_duration_ms": 60, "stretch": 1.6}]});
-    let read = record::configuration(configuration.to_string().as_bytes()).unwrap();
+    let read = record::parse_configuration(configuration.to_string().as_bytes()).unwrap();
     let (route, rest) = read.find_route("H:8161", "/p/5c").unwrap();
     assert_eq!((route.timeout, rest), (Span::millis(1_500), "5c"));
     assert_eq!(route.objective(Span::millis(100)), Span::millis(220));
-    let fault = record::configuration(br#"{"version":7,"routes":[{"name":"r"}]}"#).unwrap_err();
+    let fault =
+        record::parse_configuration(br#"{"version":7,"routes":[{"name":"r"}]}"#).unwrap_err();
     assert!(fault.to_string().contains("routes[0]"), "{fault}");
     let row = json!({"service": "s", "address": "10.0.0.9:80", "zone": "a", "state": "draining",
         "capacity": {"cpu": 16000, "mem_mb": 1, "gpu": 0}, "labels": ["a", "r1-3"]});
-    let listing = record::endpoint("i-1", row.to_string().as_bytes()).unwrap();
+    let listing = record::parse_endpoint("i-1", row.to_string().as_bytes()).unwrap();
     assert!(listing.draining);
     assert_eq!(
         (listing.rack.as_str(), listing.capacity.cpu),
@@ -203,7 +204,7 @@
     let body = br#"{"rows":[{"key":"a","value":"eA==","ver":3},{"key":"b","value":"?","ver":4},
         {"key":"c","value":7,"ver":4},{"key":"d","value":"eA==","ver":"5"},{"value":"eA==","ver":5},
         "row",{"key":"e","value":null,"ver":5},{"key":"f","value":"eQ==","ver":6}],"ver":6}"#;
-    let page = store::page(body).unwrap();
+    let page = store::parse_page(body).unwrap();
     let keys: Vec<&str> = page.rows.iter().map(|row| row.key.as_str()).collect();
     assert_eq!(keys, ["a", "b", "c", "d", "e", "f"]);
     for row in &page.rows {
@@ -213,9 +214,9 @@
             assert!(fault.field.contains(&row.key), "{fault}");
         }
     }
-    assert_eq!(page.nameless, 2);
-    assert!(store::page(br#"{"rows":7,"ver":5}"#).is_err());
-    assert!(store::page(b"{}").is_err());
+    assert_eq!(page.missing_keys, 2);
+    assert!(store::parse_page(br#"{"rows":7,"ver":5}"#).is_err());
+    assert!(store::parse_page(b"{}").is_err());
 }
 
 /// A row in the table of endpoints names one only where it is whole and says a state that is known. A state that is not
@@ -224,7 +225,7 @@
 fn rows_that_name_no_endpoint() {
     let whole = json!({"service": "s", "address": "10.0.0.9:80", "zone": "a", "state": "ready",
         "capacity": {"cpu": 16000, "mem_mb": 1, "gpu": 0}, "labels": ["a", "r1-3"]});
-    let read = |row: &Value| record::endpoint("i-1", row.to_string().as_bytes());
+    let read = |row: &Value| record::parse_endpoint("i-1", row.to_string().as_bytes());
     assert!(read(&whole).is_ok());
     let wrong = [
         ("state", json!("resting")),
@@ -258,11 +259,11 @@
 #[test]
 fn decoders_bear_any_bytes() {
     fn all(bytes: &[u8]) {
-        let _ = store::page(bytes);
-        let _ = store::version(bytes);
-        let _ = record::configuration(bytes);
-        let _ = record::endpoint("i-1", bytes);
-        let _ = record::instance("edge-1", bytes);
+        let _ = store::parse_page(bytes);
+        let _ = store::parse_version(bytes);
+        let _ = record::parse_configuration(bytes);
+        let _ = record::parse_endpoint("i-1", bytes);
+        let _ = record::parse_instance("edge-1", bytes);
         let look = Order::Look {
             lease: None,
             token: Token(7),
@@ -270,7 +271,7 @@
             wait: Span(0),
         };
         for status in [200, 409, 421, 503] {
-            let _ = order::read(&look, status, bytes);
+            let _ = order::decode(&look, status, bytes);
         }
     }
     fn random(bytes: Vec<u8>) -> bool {
@@ -307,7 +308,7 @@
 fn rows_are_changed_under_a_condition() {
     let guard = ("lock".to_owned(), 7);
     let set = [("a".to_owned(), b"value".to_vec())];
-    let (path, body) = store::change("jobs", "shard-03", &guard, &set, &["b".to_owned()]);
+    let (path, body) = store::build_change("jobs", "shard-03", &guard, &set, &["b".to_owned()]);
     assert_eq!(path, "/api/rows-tx");
     let body: Value = serde_json::from_slice(&body).unwrap();
     let row = |key: &str| json!({"table": "jobs", "part": "shard-03", "key": key});
@@ -317,9 +318,12 @@
     changed["value"] = json!("dmFsdWU=");
     let whole = json!({"expected_rev": [expected], "set_keys": [changed], "remove": [row("b")]});
     assert_eq!(body, whole);
-    assert_eq!(store::version(br#"{"ver":412,"now_ms":5}"#).unwrap(), 412);
-    assert_eq!(store::version(b"{}").unwrap_err().field, ".");
-    let outcomes = [200, 412, 429, 503, 400].map(store::outcome);
+    assert_eq!(
+        store::parse_version(br#"{"ver":412,"now_ms":5}"#).unwrap(),
+        412
+    );
+    assert_eq!(store::parse_version(b"{}").unwrap_err().field, ".");
+    let outcomes = [200, 412, 429, 503, 400].map(store::classify_status);
     assert_eq!(
         outcomes,
         [
@@ -327,10 +331,10 @@
             store::Outcome::Conflict,
             store::Outcome::Refused,
             store::Outcome::Refused,
-            store::Outcome::Wrong, //
+            store::Outcome::Invalid, //
         ]
     );
-    let find = store::find("jobs", "shard-03", "lock");
+    let find = store::row_path("jobs", "shard-03", "lock");
     assert_eq!(
         find,
         "/api/rows-get?table=jobs&part=shard-03&from=lock&target=lock%20"
