--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter to the platform: what it reads and writes, and that a fault names its field.
+//! The adapter to the platform: what it decodes and encodes, and which field a fault names.
 
 use poplarknot::{
     dispatch::{
@@ -35,7 +35,7 @@
     Value, //
 };
 
-const BOOT: &str = r#"
+const SETTINGS: &str = r#"
 node = "edge-a-1"
 zone = "a"
 ip = "10.1.0.13"
@@ -54,24 +54,24 @@
 address = "10.200.1.7:8169"
 "#;
 
-/// The settings are read as they come; what is not known is left alone, and a missing field is named.
+/// Settings are parsed, unknown fields are ignored, and a missing or malformed field is named.
 #[test]
 fn settings_are_read() {
-    let site = settings::parse(BOOT).unwrap();
+    let site = settings::parse(SETTINGS).unwrap();
     assert_eq!(site.peers.port(), 7720);
     assert_eq!((site.share, site.sockets), (250, 3_900));
     assert_eq!(site.grace, Span::seconds(6));
     assert!(site.seeds.is_empty());
-    let control = BOOT.replace("front =", "control = \"10.1.0.13:8166\"\nfront =");
+    let control = SETTINGS.replace("front =", "control = \"10.1.0.13:8166\"\nfront =");
     let site = settings::parse(&control).unwrap();
     assert_eq!((site.peers.port(), site.seeds.len()), (8166, 2));
-    let fault = settings::parse(&BOOT.replace("address", "adress")).unwrap_err();
+    let fault = settings::parse(&SETTINGS.replace("address", "adress")).unwrap_err();
     assert!(fault.to_string().contains("platform"), "{fault}");
-    let fault = settings::parse(&BOOT.replace("10.1.0.13:8167", "nowhere")).unwrap_err();
+    let fault = settings::parse(&SETTINGS.replace("10.1.0.13:8167", "nowhere")).unwrap_err();
     assert!(fault.to_string().contains("listen_addrs.ready"), "{fault}");
 }
 
-/// A job's fields get their meaning; what this build can't run is named, and so is what is malformed.
+/// A job is parsed, and the field that is unsupported or malformed is named.
 #[test]
 fn jobs_are_read() {
     let body = json!({"spec": "x", "best_effort": true, "steps": [
@@ -103,7 +103,7 @@
     assert_eq!(job.steps[0].unsupported.as_deref(), Some("gang"));
 }
 
-/// Orders bear the names of the wire, and answers are read by status and reason.
+/// Orders are encoded with the field names of the wire, and replies are decoded by status and reason.
 #[test]
 fn orders_are_written_and_answers_read() {
     let task = TaskId {
@@ -153,7 +153,7 @@
     };
     assert_eq!(life, Life(1_700_000_000_123));
     assert_eq!(running[0].task, Name::Known(task));
-    // A task of another occurrence is none that an instance of this build can have started.
+    // No instance of this build starts a task of another occurrence.
     assert!(matches!(&ended[0].task, Name::Foreign(name) if name.contains(".3.")));
     assert_eq!(ended[0].end, End::Done);
     let Reply::Malformed(fault) = order::decode(&look, 200, br#"{"clock_ms":"x"}"#) else {
@@ -162,7 +162,7 @@
     assert!(fault.contains("clock_ms"), "{fault}");
 }
 
-/// Rows of the store are read with their base64, dropped ones too; the configuration and endpoints get their meaning.
+/// Rows of the store are decoded from base64, deleted ones included; configurations and endpoints are parsed.
 #[test]
 fn records_are_read() {
     let body = br#"{"rows":[{"table":"t","part":"","key":"k","value":"eA==","ver":3},
@@ -196,9 +196,8 @@
     );
 }
 
-/// Another program writes into a table that instances read: a value that is no base64, one that is a number, a version
-/// that is a text, a row that has no key. Taken for a fault of the whole answer, such a row hid all others: no endpoint
-/// was known any more, and no job served. It is told apart with its key, and the others hold.
+/// A malformed row leaves the others readable: a value that isn't base64 or a string, a version that is a string, a
+/// row without a key. If it made the whole response invalid, no endpoint would be known and no job served.
 #[test]
 fn unreadable_rows_leave_the_others() {
     let body = br#"{"rows":[{"key":"a","value":"eA==","ver":3},{"key":"b","value":"?","ver":4},
@@ -219,8 +218,8 @@
     assert!(store::parse_page(b"{}").is_err());
 }
 
-/// A row in the table of endpoints names one only where it is whole and says a state that is known. A state that is not
-/// known was taken for that of an endpoint that leaves, and its rack was claimed and looked at.
+/// A row names an endpoint only if it is complete and has a known state. An unknown state taken for draining would
+/// have the rack of another program's row claimed and polled.
 #[test]
 fn rows_that_name_no_endpoint() {
     let whole = json!({"service": "s", "address": "10.0.0.9:80", "zone": "a", "state": "ready",
@@ -254,11 +253,10 @@
     }
 }
 
-/// Whatever bytes another program writes, every decoder tells a fault or a meaning, and none panics: random bytes, and
-/// valid texts of which some bytes were changed.
+/// No decoder panics on what another program writes: random bytes, or valid texts with some bytes changed.
 #[test]
 fn decoders_bear_any_bytes() {
-    fn all(bytes: &[u8]) {
+    fn decode_all(bytes: &[u8]) {
         let _ = store::parse_page(bytes);
         let _ = store::parse_version(bytes);
         let _ = record::parse_configuration(bytes);
@@ -275,7 +273,7 @@
         }
     }
     fn random(bytes: Vec<u8>) -> bool {
-        all(&bytes);
+        decode_all(&bytes);
         true
     }
     fn changed(which: usize, changes: Vec<(usize, u8)>) -> bool {
@@ -290,7 +288,7 @@
             let at = at % bytes.len();
             bytes[at] = byte;
         }
-        all(&bytes);
+        decode_all(&bytes);
         true
     }
     let trials = std::env::var("DECODER_TRIALS").ok();
@@ -302,8 +300,8 @@
     check.quickcheck(changed as fn(usize, Vec<(usize, u8)>) -> bool);
 }
 
-/// Rows of stored jobs are changed under the condition that the lock row has its version, in one part of one table; the
-/// statuses that change nothing are told apart from those that leave it open.
+/// Rows of stored jobs are changed on condition that the lock row has its version, in one part of one table. Statuses
+/// that rule out a change are told apart from the others.
 #[test]
 fn rows_are_changed_under_a_condition() {
     let guard = ("lock".to_owned(), 7);
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -1,4 +1,4 @@
-//! An instance's log loses lines, and never requests, when nobody takes what it writes.
+//! When nobody reads an instance's log, lines are lost, and never requests.
 
 #[path = "platform/fleet.rs"]
 #[allow(dead_code)] // The platform's own tests use the rest.
@@ -53,13 +53,13 @@
     timeout, //
 };
 
-const TASK: Duration = Duration::from_millis(20);
-/// Longer than 64 batches of lines take that leave every 200 ms, which is what waits for a reader at the most.
-const STALLED: Duration = Duration::from_secs(15);
-const PAUSE: Duration = Duration::from_millis(50);
+const TASK_DURATION: Duration = Duration::from_millis(20);
+/// Longer than it takes to fill the log's queue of 64 batches, with one batch each 200 ms.
+const STALL_DURATION: Duration = Duration::from_secs(15);
+const SUBMIT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Writes a program that runs the instance with its standard output elsewhere.
-fn redirected(folder: &TempDir, to: &str) -> Result<PathBuf> {
+/// Writes a program that runs the instance with its standard output write_redirecting_program.
+fn write_redirecting_program(folder: &TempDir, to: &str) -> Result<PathBuf> {
     let path = folder.path().join("program");
     let real = env!("CARGO_BIN_EXE_poplarknot");
     let script = format!("#!/usr/bin/env bash\nexec '{real}' \"$@\" {to}\n");
@@ -68,18 +68,18 @@
     Ok(path)
 }
 
-/// Makes a pipe with a name and fills it.
-fn full_pipe(path: &Path) -> Result<File> {
+/// Creates a named pipe and fills it.
+fn create_full_pipe(path: &Path) -> Result<File> {
     let made = std::process::Command::new("mkfifo").arg(path).status()?;
     assert!(made.success());
     let mut options = OpenOptions::new();
     options.read(true).write(true).custom_flags(O_NONBLOCK);
     let mut pipe = options.open(path)?;
-    fill(&mut pipe)?;
+    fill_pipe(&mut pipe)?;
     Ok(pipe)
 }
 
-fn fill(pipe: &mut File) -> Result {
+fn fill_pipe(pipe: &mut File) -> Result {
     loop {
         match pipe.write(b"\n") {
             Ok(_) => {}
@@ -89,8 +89,8 @@
     }
 }
 
-/// Takes what is in a pipe.
-fn take(pipe: &mut File) -> Result<String> {
+/// Reads what is in a pipe, without blocking.
+fn read_pipe(pipe: &mut File) -> Result<String> {
     let mut bytes = Vec::new();
     let mut buffer = [0; 4_096];
     loop {
@@ -104,8 +104,8 @@
     Ok(String::from_utf8(bytes)?)
 }
 
-/// Hands jobs in one after the other for a while; returns how many, all of them complete.
-async fn hand_in(fleet: &Fleet, span: Duration) -> Result<u64> {
+/// Submits jobs one after the other for a time; asserts that all complete and returns their number.
+async fn submit_jobs_for(fleet: &Fleet, span: Duration) -> Result<u64> {
     let begun = Instant::now();
     let mut jobs = 0;
     while begun.elapsed() < span {
@@ -113,38 +113,38 @@
         let answer = timeout(PATIENCE, answer).await??;
         assert_eq!(answer.status, 200, "job {jobs}");
         jobs += 1;
-        sleep(PAUSE).await;
+        sleep(SUBMIT_INTERVAL).await;
     }
     Ok(jobs)
 }
 
-/// Returns how many lines an event wrote or would have written.
-async fn counted(fleet: &Fleet, event: &str) -> Result<u64> {
+/// Returns how many lines of an event were written or left out.
+async fn count_log_lines(fleet: &Fleet, event: &str) -> Result<u64> {
     let metrics = fleet.nodes[0].metrics().await?;
     let name = format!("poplarknot_events_total{{kind=\"{event}\"}} ");
     let count = metrics.lines().find_map(|line| line.strip_prefix(&name));
     Ok(count.ok_or("no such counter")?.parse()?)
 }
 
-/// Whoever reads the log stands still: the pipe is full before the instance starts, and stays so until more lines wait than
-/// are kept. Every job is answered all the while. Then the reader goes on: it gets the oldest lines, and is told how many are missing.
+/// A reader that stalls until the log's queue is full delays no request. Once it reads again, it gets the oldest
+/// lines and the number of those left out.
 #[tokio::test(flavor = "multi_thread")]
 async fn full_pipe_loses_lines_and_no_requests() -> Result {
     let folder = tempfile::tempdir()?;
     let path = folder.path().join("pipe");
-    let mut pipe = full_pipe(&path)?;
-    let program = redirected(&folder, &format!("1<>'{}'", path.display()))?;
-    let mut fleet = Fleet::start(&program, 1, 1, TASK).await?;
-    let jobs = hand_in(&fleet, STALLED).await?;
+    let mut pipe = create_full_pipe(&path)?;
+    let program = write_redirecting_program(&folder, &format!("1<>'{}'", path.display()))?;
+    let mut fleet = Fleet::start(&program, 1, 1, TASK_DURATION).await?;
+    let jobs = submit_jobs_for(&fleet, STALL_DURATION).await?;
     assert!(jobs > 50, "only {jobs} jobs");
-    assert_eq!(counted(&fleet, "job_answered").await?, jobs);
+    assert_eq!(count_log_lines(&fleet, "job_answered").await?, jobs);
 
     let mut log = String::new();
     let begun = Instant::now();
-    while !log.contains("lines_left_out") && begun.elapsed() < STALLED {
-        log += &take(&mut pipe)?;
-        // A line in a later second carries the count.
-        hand_in(&fleet, PAUSE).await?;
+    while !log.contains("lines_left_out") && begun.elapsed() < STALL_DURATION {
+        log += &read_pipe(&mut pipe)?;
+        // The number is logged with the first line of a later second.
+        submit_jobs_for(&fleet, SUBMIT_INTERVAL).await?;
     }
     let lines = log.lines().filter(|line| !line.is_empty());
     let lines: Vec<Value> = lines.filter_map(|l| serde_json::from_str(l).ok()).collect();
@@ -152,26 +152,26 @@
     assert_eq!(of("started").count(), 1);
     let told = of("lines_left_out").filter_map(|line| line["count"].as_u64());
     assert!(told.sum::<u64>() > 0, "{log}");
-    assert!((of("job_answered").count() as u64) < counted(&fleet, "job_answered").await?);
+    assert!((of("job_answered").count() as u64) < count_log_lines(&fleet, "job_answered").await?);
 
-    // A pipe that is full again holds up no drain.
-    fill(&mut pipe)?;
+    // A pipe that is full again doesn't delay the drain.
+    fill_pipe(&mut pipe)?;
     fleet.nodes[0].signal(Signal::SIGTERM)?;
     assert!(fleet.nodes[0].wait_for_exit().await?.success());
     Ok(())
 }
 
-/// Whoever read the log is gone: each write fails. The instance goes on without a log, counts what it would have written, and
-/// ends as ever.
+/// A reader that has closed the pipe makes each write fail. The instance runs on without a log, counts the lines, and
+/// exits as usual.
 #[tokio::test(flavor = "multi_thread")]
 async fn closed_pipe_loses_lines_and_no_requests() -> Result {
     let folder = tempfile::tempdir()?;
-    let program = redirected(&folder, "> >(exec true)")?;
-    let mut fleet = Fleet::start(&program, 1, 1, TASK).await?;
-    let jobs = hand_in(&fleet, Duration::from_secs(2)).await?;
+    let program = write_redirecting_program(&folder, "> >(exec true)")?;
+    let mut fleet = Fleet::start(&program, 1, 1, TASK_DURATION).await?;
+    let jobs = submit_jobs_for(&fleet, Duration::from_secs(2)).await?;
     assert!(jobs > 5, "only {jobs} jobs");
     until("the jobs are counted", || async {
-        let answered = counted(&fleet, "job_answered").await.ok()?;
+        let answered = count_log_lines(&fleet, "job_answered").await.ok()?;
         (answered == jobs).then_some(())
     })
     .await?;
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -1,4 +1,4 @@
-//! Real instances on stand-ins of the platform: a store with rows and feeds, and endpoints that run leased tasks.
+//! Real instances with stand-ins of the platform: a store with rows and feeds, and endpoints that run leased tasks.
 
 #[path = "platform/fleet.rs"]
 mod fleet;
@@ -57,26 +57,29 @@
     Path::new(env!("CARGO_BIN_EXE_poplarknot"))
 }
 
-fn state(response: &client::Response) -> String {
+fn job_state(response: &client::Response) -> String {
     let body: serde_json::Value = serde_json::from_slice(&response.body).unwrap_or_default();
     body["state"].as_str().unwrap_or_default().to_owned()
 }
 
-/// Callers hand jobs in at every instance; each gets its answer when its last task has ended. Each task ran once.
+/// Jobs submitted at every instance are answered once their last task has ended, and each task runs once.
 #[tokio::test(flavor = "multi_thread")]
 async fn jobs_complete() -> Result {
     let fleet = Fleet::start(program(), 3, 4, SHORT).await?;
     for id in 0..12 {
         let node = &fleet.nodes[id % 3];
         let answer = node.submit(id as u64, 3, 60).await?;
-        assert_eq!((answer.status, state(&answer).as_str()), (200, "completed"));
+        assert_eq!(
+            (answer.status, job_state(&answer).as_str()),
+            (200, "completed")
+        );
     }
     assert_eq!(fleet.assert_no_overlapping_runs(), 36);
     Ok(())
 }
 
-/// What a request must not be is told at once with a status of its own, and nothing runs: no such queue, a body that is
-/// malformed or too long, a job whose tasks must run together.
+/// An invalid request is refused at once with a status of its own, and nothing runs: an unknown route, a malformed or
+/// too long body, a job whose tasks must run together.
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_requests_are_told() -> Result {
     let fleet = Fleet::start(program(), 1, 1, SHORT).await?;
@@ -106,8 +109,8 @@
     Ok(())
 }
 
-/// A new configuration adds a queue and drops another. It is in force at every instance within its time, although the
-/// store has just forgotten its history; and while the store turns everybody away, the last one stays in force.
+/// A new configuration is in force at every instance in time, even if the store has just compacted its history. While
+/// the store refuses all calls or doesn't answer, the last configuration stays in force.
 #[tokio::test(flavor = "multi_thread")]
 async fn configuration_is_followed() -> Result {
     let fleet = Fleet::start(program(), 2, 2, SHORT).await?;
@@ -122,27 +125,27 @@
     for behaviour in [Behaviour::Refuse, Behaviour::Ignore] {
         fleet.store.set_behaviour(behaviour);
         let answer = fleet.nodes[1].submit(behaviour as u64, 2, 60).await?;
-        assert_eq!(state(&answer), "completed");
+        assert_eq!(job_state(&answer), "completed");
     }
     Ok(())
 }
 
-/// A peer stands still again and again, each time for longer than a delivery may take. Each time what was on the connection
-/// is sent again over a new one. The old one stayed open at both ends, with all that lay in its buffers: an instance on a
-/// slow link had 79 open files to each of its 33 peers, and ended for its memory.
+/// A peer that stalls for longer than a delivery may take gets its envelopes again over a new connection, and the old
+/// one is closed at both ends. Open connections with their buffers would exhaust descriptors and memory.
 #[tokio::test(flavor = "multi_thread")]
 async fn given_up_connections_are_closed() -> Result {
     const STALLS: u64 = 10;
-    /// Above the time of a delivery, below the pause after which an instance takes all that it holds as lapsed.
+    /// Longer than the delivery timeout, and shorter than the pause after which an instance treats all its leases as
+    /// expired.
     const STALL: Duration = Duration::from_millis(400);
     let fleet = Fleet::start(program(), 2, 4, SHORT).await?;
     for id in 0..4 {
         let answer = fleet.nodes[0].submit(id, 8, 60).await?;
-        assert_eq!(state(&answer), "completed");
+        assert_eq!(job_state(&answer), "completed");
     }
     for stall in 0..STALLS {
         fleet.nodes[1].signal(Signal::SIGSTOP)?;
-        // Some of its tasks go to racks of the peer that stands still.
+        // Some of its tasks go to racks of the peer that is stopped.
         let job = fleet.nodes[0].submit(100 + stall, 24, 60);
         let ((), answer) = tokio::join!(tokio::time::sleep(STALL), async {
             tokio::time::timeout(STALL, job).await
@@ -158,10 +161,9 @@
     Ok(())
 }
 
-/// Another program writes into the table of endpoints while callers come: values that are no base64 and no text, states,
-/// services and types that nobody knows. Where one such row was taken for a fault of the whole answer, an instance that
-/// started then knew no endpoint at all, and never became ready. An endpoint whose own row turns unreadable gets nothing
-/// new; the others serve.
+/// Rows of other programs in the endpoint table don't hide the endpoints: neither unreadable values nor unknown
+/// states, services and types. If one such row made the whole response invalid, an instance that starts would know no
+/// endpoint and never become ready. An endpoint whose own row becomes unreadable gets no new tasks.
 #[tokio::test(flavor = "multi_thread")]
 async fn rows_of_other_programs_name_no_endpoint() -> Result {
     let fleet = Fleet::start(program(), 1, 4, SHORT).await?;
@@ -184,32 +186,29 @@
         .set(table, "i-94", &row("cells", "ready", "somewhere"));
     fleet.store.set(table, "i-95", &json!(["cells"]));
     fleet.store.set_raw(table, "i-0", json!("?"));
-    let late = Node::start(program(), "instance-9", "ulemiste", &fleet.store.address()).await?;
-    late.wait_until_ready().await?;
+    let new_node = Node::start(program(), "instance-9", "ulemiste", &fleet.store.address()).await?;
+    new_node.wait_until_ready().await?;
     tokio::time::sleep(Duration::from_secs(2)).await;
     let before = fleet.runners[0].history().len();
     for id in 0..8 {
-        let node = [&fleet.nodes[0], &late][id % 2];
+        let node = [&fleet.nodes[0], &new_node][id % 2];
         let answer = node.submit(id as u64, 8, 60).await?;
-        assert_eq!(state(&answer), "completed", "{}", late.log());
+        assert_eq!(job_state(&answer), "completed", "{}", new_node.log());
     }
     assert_eq!(fleet.assert_no_overlapping_runs(), 64);
     assert_eq!(fleet.runners[0].history().len(), before);
-    assert!(!late.log().contains("cellars"), "{}", late.log());
+    assert!(!new_node.log().contains("cellars"), "{}", new_node.log());
     Ok(())
 }
 
-/// An operator shortens the time for which callers' connections may be idle. An instance that is short of processor time
-/// finds a request in a connection's buffer and its idle time passed in the same moment. Where it goes by the time first,
-/// the caller has sent a whole request and gets neither an answer nor a refusal.
-///
-/// Of 24 connections 18 to 24 were cut, and the log had just as many lines like
-/// `{"caller":"127.0.0.1:41130","event":"connection_closed","idle_ms":567,"reason":"it was idle"}`.
+/// A request that arrives as the idle timeout passes is answered. An instance short of processor time finds both in
+/// the same turn; if the timeout went first, a caller that has sent a complete request would get neither an answer
+/// nor a refusal.
 #[tokio::test(flavor = "multi_thread")]
 async fn request_goes_before_the_idle_timeout() -> Result {
     const CONNECTIONS: usize = 24;
     const IDLE: Duration = Duration::from_millis(400);
-    /// Below the pause after which an instance takes all that it holds as lapsed.
+    /// Shorter than the pause after which an instance treats all its leases as expired.
     const STALL: Duration = Duration::from_millis(300);
     let fleet = Fleet::start(program(), 1, 1, SHORT).await?;
     let node = &fleet.nodes[0];
@@ -229,11 +228,11 @@
     }
     tokio::time::sleep(IDLE - STALL / 2).await;
     node.signal(Signal::SIGSTOP)?;
-    let asked: Vec<_> = clients
+    let requests: Vec<_> = clients
         .into_iter()
         .map(|mut client| {
             tokio::spawn(async move {
-                // A connection that was used again isn't idle any more.
+                // A connection that has been used again is no longer idle.
                 for _ in 0..5 {
                     let answer = client.send(Method::GET, PREFIX, &headers, Vec::new());
                     if !answer.await.is_ok_and(|answer| answer.status == 200) {
@@ -247,16 +246,16 @@
         .collect();
     tokio::time::sleep(STALL).await;
     node.signal(Signal::SIGCONT)?;
-    let mut cut = 0;
-    for answer in asked {
-        cut += usize::from(!answer.await?);
+    let mut unanswered = 0;
+    for answer in requests {
+        unanswered += usize::from(!answer.await?);
     }
-    assert_eq!(cut, 0, "of {CONNECTIONS} requests; {}", node.log());
+    assert_eq!(unanswered, 0, "of {CONNECTIONS} requests; {}", node.log());
     Ok(())
 }
 
-/// A caller sends half of a request's head and no more. Its connection is closed like an idle one, some seconds later: kept
-/// for good, such connections would take the places of all others.
+/// A connection with half a request head is closed some seconds after the idle timeout. Otherwise such connections
+/// would take the places of all others.
 #[tokio::test(flavor = "multi_thread")]
 async fn half_a_request_keeps_no_connection() -> Result {
     let fleet = Fleet::start(program(), 1, 1, SHORT).await?;
@@ -273,8 +272,8 @@
     Ok(())
 }
 
-/// An instance is killed while tasks of its callers run. They come again elsewhere after 1.3 s; what ran for the first
-/// attempt has been stopped by then, so that no task runs twice at a time, and the second attempt completes.
+/// A caller whose instance is killed retries at another one after 1.3 s. By then the tasks of the first attempt are
+/// stopped, so that none runs twice at a time, and the second attempt completes.
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_instance_is_outlived() -> Result {
     let fleet = Fleet::start(program(), 3, 4, LONG).await?;
@@ -285,13 +284,13 @@
         fleet.nodes[1].submit(5, 4, 900).await
     });
     assert!(first.is_err());
-    assert_eq!(state(&second?), "completed", "{}", fleet.logs());
+    assert_eq!(job_state(&second?), "completed", "{}", fleet.logs());
     fleet.assert_no_overlapping_runs();
     Ok(())
 }
 
-/// An instance gets SIGTERM while its callers' jobs run on endpoints that it owns. Its racks go to others with what runs
-/// there; every caller gets its complete answer, nothing is run again, and the instance ends in time.
+/// An instance that gets SIGTERM hands over its racks with the tasks that run there. Every caller gets its complete
+/// answer, nothing runs again, and the instance exits in time.
 #[tokio::test(flavor = "multi_thread")]
 async fn drain_cuts_nothing_off() -> Result {
     let mut fleet = Fleet::start(program(), 3, 4, LONG).await?;
@@ -307,26 +306,26 @@
         }
     );
     for answer in [one?, two?, three?] {
-        assert_eq!(state(&answer), "completed");
+        assert_eq!(job_state(&answer), "completed");
     }
     assert!(fleet.nodes[0].wait_for_exit().await?.success());
     assert_eq!(fleet.assert_no_overlapping_runs(), 9, "{}", fleet.logs());
     Ok(())
 }
 
-/// An instance is paused for two seconds and goes on. Others have taken its racks over meanwhile; it does nothing by what
-/// it believed before, and serves again afterwards.
+/// An instance that resumes after a pause of 1.5 s, in which others have taken over its racks, doesn't act on its old
+/// state, and serves again.
 #[tokio::test(flavor = "multi_thread")]
 async fn paused_instance_recovers() -> Result {
     let fleet = Fleet::start(program(), 3, 4, SHORT).await?;
     fleet.nodes[1].signal(Signal::SIGSTOP)?;
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let answer = fleet.nodes[0].submit(1, 6, 60).await?;
-    assert_eq!(state(&answer), "completed", "{}", fleet.logs());
+    assert_eq!(job_state(&answer), "completed", "{}", fleet.logs());
     fleet.nodes[1].signal(Signal::SIGCONT)?;
-    until("it has heard the others again", || async {
+    until("the paused instance serves again", || async {
         let answer = fleet.nodes[1].submit(2, 6, 60).await.ok()?;
-        (state(&answer) == "completed").then_some(())
+        (job_state(&answer) == "completed").then_some(())
     })
     .await?;
     assert!(fleet.nodes[1].log().contains("\"event\":\"awoke\""));
@@ -334,31 +333,31 @@
     Ok(())
 }
 
-/// An endpoint carries starts out and answers none of them. They are sent again over new connections, which it
-/// confirms; each task runs once.
+/// Starts that an endpoint carries out without answering are sent again over new connections and confirmed; each task
+/// runs once.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_answers_are_asked_again() -> Result {
     let fleet = Fleet::start(program(), 1, 1, SHORT).await?;
     fleet.runners[0].drop_responses(2);
     let answer = fleet.nodes[0].submit(1, 3, 60).await?;
-    assert_eq!(state(&answer), "completed", "{}", fleet.nodes[0].log());
+    assert_eq!(job_state(&answer), "completed", "{}", fleet.nodes[0].log());
     assert_eq!(fleet.assert_no_overlapping_runs(), 3);
     Ok(())
 }
 
-/// An endpoint says that it leaves. From then on nothing new starts there, and jobs run elsewhere.
+/// A draining endpoint gets no new tasks, and jobs run elsewhere.
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_endpoint_gets_nothing_new() -> Result {
     let fleet = Fleet::start(program(), 2, 4, SHORT).await?;
     fleet.runners[0].start_draining(&fleet.store);
-    until("all owners know", || async {
+    until("an owner has noticed", || async {
         fleet.logs().contains("endpoint_leaving").then_some(())
     })
     .await?;
     let before = fleet.runners[0].history().len();
     for id in 0..8 {
         assert_eq!(
-            state(&fleet.nodes[id % 2].submit(id as u64, 3, 60).await?),
+            job_state(&fleet.nodes[id % 2].submit(id as u64, 3, 60).await?),
             "completed"
         );
     }
@@ -368,36 +367,36 @@
     Ok(())
 }
 
-/// The operator evacuates a data centre. From then on nothing new starts there, also when an instance is killed and reads
-/// of it at its start, and when the store has forgotten its history; what runs there ends by itself. Taken back, it works again.
+/// An evacuated data centre gets no new tasks, even if an instance restarts or the store compacts its history, while
+/// tasks that run there end by themselves. It is used again once the evacuation is withdrawn.
 #[tokio::test(flavor = "multi_thread")]
 async fn evacuated_centre_gets_nothing_new() -> Result {
     let mut fleet = Fleet::start(program(), 2, 4, LONG).await?;
     let first = fleet.nodes[0].submit(90, 12, 900);
-    let here = |fleet: &Fleet| -> usize {
+    let runs_in_centre = |fleet: &Fleet| -> usize {
         [0, 2]
             .map(|i| fleet.runners[i].history().len())
             .iter()
             .sum()
     };
     let evacuate = async {
-        until("it runs there", || async {
-            (here(&fleet) > 0).then_some(())
+        until("tasks run in the data centre", || async {
+            (runs_in_centre(&fleet) > 0).then_some(())
         })
         .await?;
         fleet.store.set("op", "evacuate/ulemiste", &json!({}));
-        until("all know", || async {
-            let told = |node: &Node| node.log().contains("centre_evacuated");
-            fleet.nodes.iter().all(told).then_some(())
+        until("all instances have noticed", || async {
+            let noticed = |node: &Node| node.log().contains("centre_evacuated");
+            fleet.nodes.iter().all(noticed).then_some(())
         })
         .await
     };
-    let (answer, told) = tokio::join!(first, evacuate);
-    told?;
-    assert_eq!(state(&answer?), "completed", "{}", fleet.logs());
-    let before = here(&fleet);
+    let (answer, noticed) = tokio::join!(first, evacuate);
+    noticed?;
+    assert_eq!(job_state(&answer?), "completed", "{}", fleet.logs());
+    let before = runs_in_centre(&fleet);
     assert_eq!(
-        state(&fleet.nodes[1].submit(91, 6, 900).await?),
+        job_state(&fleet.nodes[1].submit(91, 6, 900).await?),
         "completed"
     );
     fleet.nodes[0].signal(Signal::SIGKILL)?;
@@ -407,22 +406,22 @@
     fleet.store.compact();
     for id in 92..96 {
         assert_eq!(
-            state(&fleet.nodes[id % 2].submit(id as u64, 2, 900).await?),
+            job_state(&fleet.nodes[id % 2].submit(id as u64, 2, 900).await?),
             "completed"
         );
     }
-    assert_eq!(here(&fleet), before, "{}", fleet.logs());
+    assert_eq!(runs_in_centre(&fleet), before, "{}", fleet.logs());
     fleet.store.remove("op", "evacuate/ulemiste");
-    until("all know", || async {
-        let told = |node: &Node| node.log().contains("centre_returned");
-        fleet.nodes.iter().all(told).then_some(())
+    until("all instances have noticed", || async {
+        let noticed = |node: &Node| node.log().contains("centre_returned");
+        fleet.nodes.iter().all(noticed).then_some(())
     })
     .await?;
     assert_eq!(
-        state(&fleet.nodes[0].submit(97, 12, 900).await?),
+        job_state(&fleet.nodes[0].submit(97, 12, 900).await?),
         "completed"
     );
-    assert!(here(&fleet) > before);
+    assert!(runs_in_centre(&fleet) > before);
     let metrics = fleet.nodes[0].metrics().await?;
     assert!(
         metrics.contains(r#"poplarknot_standing{kind="evacuated"} 0"#),
@@ -432,35 +431,34 @@
     Ok(())
 }
 
-/// An endpoint starts again under its name while tasks run on it, with its clock and the numbers of its ends at the beginning. What it had
-/// runs again; what it starts from then on is heard of, though its ends have numbers that were seen before.
+/// An endpoint restarts under its name, with its clock and the serials of ended runs reset. The tasks that it ran are
+/// run again, and the ends of later ones are noticed although their serials were seen before.
 #[tokio::test(flavor = "multi_thread")]
 async fn endpoint_starts_again_under_its_name() -> Result {
     let mut fleet = Fleet::start(program(), 2, 2, LONG).await?;
     for id in 0..3 {
         let answer = fleet.nodes[0].submit(id, 4, 900).await?;
-        assert_eq!(state(&answer), "completed", "{}", fleet.logs());
+        assert_eq!(job_state(&answer), "completed", "{}", fleet.logs());
     }
     let job = fleet.nodes[0].submit(10, 8, 900);
     let mut runners = std::mem::take(&mut fleet.runners);
-    let reborn = async {
+    let restart = async {
         tokio::time::sleep(LONG / 3).await;
         for runner in &mut runners {
             runner.restart(&fleet.store);
         }
     };
-    let (answer, ()) = tokio::join!(job, reborn);
-    assert_eq!(state(&answer?), "completed", "{}", fleet.logs());
+    let (answer, ()) = tokio::join!(job, restart);
+    assert_eq!(job_state(&answer?), "completed", "{}", fleet.logs());
     let answer = fleet.nodes[1].submit(11, 8, 900).await?;
-    assert_eq!(state(&answer), "completed", "{}", fleet.logs());
+    assert_eq!(job_state(&answer), "completed", "{}", fleet.logs());
     fleet.runners = runners;
     assert_eq!(fleet.assert_no_overlapping_runs(), 12 + 8 + 8 + 8);
     Ok(())
 }
 
-/// A task crashes each endpoint that starts it; an endpoint is back after 1.5 s. After two crashes, of one endpoint or of two, its caller
-/// is told that the job has failed; after three, where it shared the second with another job's run, which goes on to be completed. Others
-/// are served all the while.
+/// A task that crashes each endpoint on which it starts fails its job after two crashes, or after three if a run of
+/// another job, which must not fail, shared the second. Other jobs are served in the meantime.
 #[tokio::test(flavor = "multi_thread")]
 async fn task_that_crashes_endpoints_fails_its_job() -> Result {
     let fleet = Fleet::start(program(), 2, 3, SHORT).await?;
@@ -468,15 +466,15 @@
     let others = async {
         for id in 2..12 {
             let answer = fleet.nodes[1].submit(id, 1, 60).await?;
-            assert_eq!(state(&answer), "completed", "{}", fleet.logs());
+            assert_eq!(job_state(&answer), "completed", "{}", fleet.logs());
             tokio::time::sleep(SHORT * 4).await;
         }
         Result::Ok(())
     };
     let (answer, others) = tokio::join!(crash, others);
     others?;
-    assert_eq!(state(&answer?), "failed", "{}", fleet.logs());
-    // What ran beside it is lost too, and runs again.
+    assert_eq!(job_state(&answer?), "failed", "{}", fleet.logs());
+    // Tasks that ran on the same endpoint are lost too, and run again.
     let of_each = fleet.runners.iter();
     let mut crashes: Vec<Crash> = of_each
         .flat_map(|runner| runner.crashes_of_job("0000000000000001."))
@@ -489,8 +487,8 @@
     Ok(())
 }
 
-/// An endpoint that doesn't guard its capacity shrinks to half of it while full. Nothing new starts there before what runs has ended that
-/// far; grown again, it is filled again.
+/// An endpoint that doesn't check its capacity loses half of it while full. No task starts there until enough have
+/// ended, and it is filled again once the capacity is back.
 #[tokio::test(flavor = "multi_thread")]
 async fn capacity_that_shrinks_is_kept_to() -> Result {
     let mut fleet = Fleet::start(program(), 1, 1, LONG).await?;
@@ -501,24 +499,26 @@
         runner.resize(&fleet.store, 2);
     };
     let (answer, ()) = tokio::join!(job, resize);
-    assert_eq!(state(&answer?), "completed", "{}", fleet.logs());
-    let past = runner.history();
-    let shrunk = past[0].started + LONG;
-    let beside = |at: Instant| {
-        past.iter()
+    assert_eq!(job_state(&answer?), "completed", "{}", fleet.logs());
+    let runs = runner.history();
+    let shrunk = runs[0].started + LONG;
+    let running_at = |at: Instant| {
+        runs.iter()
             .filter(|p| p.started <= at && p.ended.is_none_or(|u| u > at))
             .count()
     };
-    for run in past.iter().filter(|run| run.started > shrunk) {
-        assert!(beside(run.started) <= 2, "{past:?}");
+    for run in runs.iter().filter(|run| run.started > shrunk) {
+        assert!(running_at(run.started) <= 2, "{runs:?}");
     }
     runner.resize(&fleet.store, 4);
-    assert_eq!(state(&fleet.nodes[0].submit(2, 8, 900).await?), "completed");
+    assert_eq!(
+        job_state(&fleet.nodes[0].submit(2, 8, 900).await?),
+        "completed"
+    );
     Ok(())
 }
 
-/// All instances are killed at once and started again: nothing but the store has survived. They find each other and
-/// serve.
+/// All instances are killed at once, so that only the store survives. Once restarted they find each other and serve.
 #[tokio::test(flavor = "multi_thread")]
 async fn all_are_killed() -> Result {
     let mut fleet = Fleet::start(program(), 2, 2, SHORT).await?;
@@ -526,27 +526,27 @@
         node.signal(Signal::SIGKILL)?;
         node.wait_for_exit().await?;
     }
-    let mut again = Vec::new();
+    let mut restarted = Vec::new();
     for node in &fleet.nodes {
-        again.push(node.restart(program()).await?);
+        restarted.push(node.restart(program()).await?);
     }
-    fleet.nodes = again;
+    fleet.nodes = restarted;
     for (id, node) in fleet.nodes.iter().enumerate() {
         node.wait_until_ready().await?;
         let answer = node.submit(id as u64, 2, 60).await?;
-        assert_eq!(state(&answer), "completed");
+        assert_eq!(job_state(&answer), "completed");
     }
     Ok(())
 }
 
-/// A failed request's id leads through the log from its arrival to its cause, and the metrics count it.
+/// The log leads from a refused job's ID to the cause, and the metrics count the refusal.
 #[tokio::test(flavor = "multi_thread")]
 async fn log_and_metrics_tell_the_cause() -> Result {
     let fleet = Fleet::start(program(), 1, 1, SHORT).await?;
     let node = &fleet.nodes[0];
     let answer = node.submit(0xabc, 1, 60_000).await?;
     assert_eq!(answer.status, 503);
-    until("the log tells it", || async {
+    until("the log names the cause", || async {
         let log = node.log();
         let line = log.lines().find(|line| line.contains("0000000000000abc"))?;
         line.contains("it would end too late").then_some(())
@@ -560,14 +560,16 @@
     Ok(())
 }
 
-/// A job is accepted, and all instances are killed while its first step runs. Nothing but the store and the endpoints is
-/// left. The instances that start read what was accepted and run the rest; its caller is told when it is complete. A run that
-/// ended unheard counts unless its endpoint's lease had passed before an owner came: that task may run again, after it.
+/// An accepted job survives the kill of all instances in its first step: those that start read it from the store and
+/// run the rest. A run whose end nobody noticed counts, unless the endpoint's lease expired before a new owner came;
+/// then the task may run again, after the lease.
 #[tokio::test(flavor = "multi_thread")]
 async fn stored_job_outlives_all_instances() -> Result {
     let mut fleet = Fleet::start(program(), 2, 2, LONG).await?;
     let path = format!("{PREFIX}{:016x}", 0x51);
-    let answer = fleet.nodes[0].post(&path, &stored(3, &[0])).await?;
+    let answer = fleet.nodes[0]
+        .post(&path, &stored_job_body(3, &[0]))
+        .await?;
     assert_eq!(answer.status, 200, "{}", fleet.logs());
     for node in &fleet.nodes {
         node.signal(Signal::SIGKILL)?;
@@ -582,54 +584,58 @@
     }
     until("the job is complete", || async {
         let answer = fleet.nodes[1].get(&path).await.ok()?;
-        (state(&answer) == "completed").then_some(())
+        (job_state(&answer) == "completed").then_some(())
     })
     .await?;
     fleet.assert_no_overlapping_runs();
-    let past = fleet.runners.iter().flat_map(|runner| runner.history());
-    let done: Vec<_> = past.filter(|p| p.outcome == "done").collect();
+    let runs = fleet.runners.iter().flat_map(|runner| runner.history());
+    let done: Vec<_> = runs.filter(|p| p.outcome == "done").collect();
     let tasks: HashSet<&str> = done.iter().map(|p| p.task.as_str()).collect();
     assert_eq!(tasks.len(), 6, "{done:?}");
     for run in &done {
-        let again = done
+        let rerun = done
             .iter()
             .find(|p| p.task == run.task && p.started > run.started);
-        let lapsed = again.is_none_or(|again| again.started > killed + LEASE);
-        assert!(lapsed, "{run:?} and {again:?}");
+        let lapsed = rerun.is_none_or(|rerun| rerun.started > killed + LEASE);
+        assert!(lapsed, "{run:?} and {rerun:?}");
     }
     Ok(())
 }
 
-/// A caller cancels a stored job through another instance than the one that took it. Its runs are stopped, its state can
-/// be asked for at both, and a job that nobody handed in is unknown.
+/// A stored job is cancelled through another instance than the one that accepted it. Its runs are stopped, both
+/// instances return its state, and a job that was never submitted is unknown.
 #[tokio::test(flavor = "multi_thread")]
 async fn stored_job_is_cancelled() -> Result {
     let fleet = Fleet::start(program(), 2, 2, Duration::from_secs(30)).await?;
     let path = format!("{PREFIX}{:016x}", 0x52);
     assert_eq!(
-        fleet.nodes[0].post(&path, &stored(2, &[])).await?.status,
+        fleet.nodes[0]
+            .post(&path, &stored_job_body(2, &[]))
+            .await?
+            .status,
         200
     );
     until("a task runs", || async {
-        let mut past = fleet.runners.iter().flat_map(|runner| runner.history());
-        past.next().map(|_| ())
+        let mut runs = fleet.runners.iter().flat_map(|runner| runner.history());
+        runs.next().map(|_| ())
     })
     .await?;
     assert_eq!(fleet.nodes[1].delete(&path).await?.status, 200);
     for node in &fleet.nodes {
-        assert_eq!(state(&node.get(&path).await?), "cancelled");
+        assert_eq!(job_state(&node.get(&path).await?), "cancelled");
         let unknown = format!("{PREFIX}{:016x}", 0x99);
         assert_eq!(node.get(&unknown).await?.status, 410);
     }
     until("nothing runs", || async {
-        let mut past = fleet.runners.iter().flat_map(|runner| runner.history());
-        past.all(|p| p.ended.is_some()).then_some(())
+        let mut runs = fleet.runners.iter().flat_map(|runner| runner.history());
+        runs.all(|p| p.ended.is_some()).then_some(())
     })
     .await
 }
 
-/// A job that must be stored: a step of `count` tasks, and another such after it for each of `after`.
-fn stored(count: u32, after: &[u32]) -> serde_json::Value {
+/// Builds the body of a job that must be stored: a step of `count` tasks, and one more for each step index in
+/// `after`, which it depends on.
+fn stored_job_body(count: u32, after: &[u32]) -> serde_json::Value {
     let step = json!({"count": count, "cpu": 1000, "mem_mb": 64, "estimated_ms": 900});
     let mut steps = vec![step.clone()];
     for before in after {
--- a/tests/platform/fleet.rs
+++ b/tests/platform/fleet.rs
@@ -52,15 +52,15 @@
     PATIENCE, //
 };
 
-/// The host that jobs name.
+/// The host of the route to which jobs are submitted.
 pub(crate) const HOST: &str = "cells.example";
-/// The port at which instances meet.
-const PEERS: u16 = 8_166;
-/// What the paths of jobs begin with.
+/// The port for connections between instances.
+const PEER_PORT: u16 = 8_166;
+/// The path prefix of the route.
 pub(crate) const PREFIX: &str = "/q/";
 
-/// Hands out addresses of the loopback network; each process of tests has 250 of its own.
-fn address() -> String {
+/// Returns an unused loopback address; each test process has 250 of its own.
+fn next_address() -> String {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let (id, n) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     format!("127.{}.{}.{n}", id >> 8 & 0x7f | 0x80, id & 0xff)
@@ -83,7 +83,7 @@
         centre: &str,
         store: &str,
     ) -> Result<Self> {
-        Self::start_at(program, name, centre, store, address()).await
+        Self::start_at(program, name, centre, store, next_address()).await
     }
 
     async fn start_at(
@@ -95,7 +95,7 @@
     ) -> Result<Self> {
         let folder = tempfile::tempdir()?;
         let settings = folder.path().join("boot.toml");
-        std::fs::write(&settings, boot(name, centre, store, &ip))?;
+        std::fs::write(&settings, settings_file(name, centre, store, &ip))?;
         let log = File::create(folder.path().join("log"))?;
         let child = Command::new(program)
             .args(["dispatch", "--settings"])
@@ -115,7 +115,7 @@
         })
     }
 
-    /// Starts it again at the same address.
+    /// Starts the instance again at the same address.
     pub(crate) async fn restart(&self, program: &Path) -> Result<Self> {
         Self::start_at(
             program,
@@ -153,24 +153,24 @@
         Ok(String::from_utf8(answer.body.to_vec())?)
     }
 
-    /// Counts the connections with peers that its process has open, both ways.
+    /// Counts the connections to and from peers that the process has open.
     pub(crate) fn count_peer_connections(&self) -> Result<usize> {
         let pid = self.child.lock().unwrap().id().ok_or("it has ended")?;
-        let port = format!(":{PEERS:04X}");
+        let port = format!(":{PEER_PORT:04X}");
         let table = std::fs::read_to_string("/proc/net/tcp")?;
         let fields = table
             .lines()
             .map(|l| l.split_whitespace().collect::<Vec<_>>());
-        // Local and remote address, and the inode.
+        // The fields are the local address (1), the remote address (2) and the inode (9).
         let peers = fields.filter(|f| f[1].ends_with(&port) || f[2].ends_with(&port));
         let inodes: HashSet<String> = peers.map(|f| format!("socket:[{}]", f[9])).collect();
         let mut connections = 0;
         for entry in std::fs::read_dir(format!("/proc/{pid}/fd"))? {
-            // One that was closed since it was listed is none.
+            // The descriptor may have been closed since it was listed.
             let target = std::fs::read_link(entry?.path()).unwrap_or_default();
             connections += usize::from(inodes.contains(target.to_string_lossy().as_ref()));
         }
-        // The listener is none.
+        // One of them is the listener.
         Ok(connections.saturating_sub(1))
     }
 
@@ -180,8 +180,8 @@
         Ok(kill(Pid::from_raw(id.try_into()?), signal)?)
     }
 
-    #[allow(dead_code)] // Only the soak asks.
-    /// Tells whether the process runs, and takes note of its end.
+    #[allow(dead_code)] // Used by the soak only.
+    /// Returns whether the process runs, and reaps it if it has exited.
     pub(crate) fn is_running(&self) -> bool {
         let ended = self.child.lock().unwrap().try_wait();
         matches!(ended, Ok(None))
@@ -192,15 +192,15 @@
         Ok(tokio::time::timeout(PATIENCE, child.wait()).await??)
     }
 
-    /// Hands a job of equal tasks in and waits for its answer.
+    /// Submits a job of equal tasks and waits for its answer.
     pub(crate) async fn submit(&self, id: u64, tasks: u32, estimate: u64) -> Result<Response> {
         let mut client = Client::connect(self.caller_address()).await?;
         let body = job_body(tasks, estimate, true);
         self.submit_over(&mut client, id, &body).await
     }
 
-    #[allow(dead_code)] // Only some tests say what a task is told.
-    /// Hands a job in whose tasks are told `spec`.
+    #[allow(dead_code)] // Not used by every test.
+    /// Submits a job of one task with the given `spec`.
     pub(crate) async fn submit_spec(&self, id: u64, spec: &str) -> Result<Response> {
         let mut client = Client::connect(self.caller_address()).await?;
         let mut body = job_body(1, 60, true);
@@ -208,7 +208,7 @@
         self.submit_over(&mut client, id, &body).await
     }
 
-    /// Hands a job in over a connection that may have been used before.
+    /// Submits a job over a connection that may have been used before.
     pub(crate) async fn submit_over(
         &self,
         client: &mut Client,
@@ -220,15 +220,15 @@
         client.post(&path, &headers, body).await
     }
 
-    #[allow(dead_code)] // The example asks nothing.
-    /// Asks for a job.
+    #[allow(dead_code)] // Not used by the example.
+    /// Queries a job.
     pub(crate) async fn get(&self, path: &str) -> Result<Response> {
         let mut client = Client::connect(self.caller_address()).await?;
         let headers = [("host", HOST)];
         client.send(Method::GET, path, &headers, Vec::new()).await
     }
 
-    #[allow(dead_code)] // Only some tests cancel.
+    #[allow(dead_code)] // Not used by every test.
     /// Cancels a job.
     pub(crate) async fn delete(&self, path: &str) -> Result<Response> {
         let mut client = Client::connect(self.caller_address()).await?;
@@ -245,7 +245,7 @@
     }
 }
 
-fn boot(name: &str, centre: &str, store: &str, ip: &str) -> String {
+fn settings_file(name: &str, centre: &str, store: &str, ip: &str) -> String {
     format!(
         r#"node = "{name}"
 zone = "{centre}"
@@ -273,11 +273,11 @@
     pub(crate) store: Store,
     pub(crate) runners: Vec<Runner>,
     pub(crate) nodes: Vec<Node>,
-    /// In front of each endpoint, and of the store for each instance.
+    /// The proxies in front of each endpoint, and of the store for each instance.
     pub(crate) proxies: Proxies,
 }
 
-/// Proxies between the instances and what they call; none where nothing is to be harmed there.
+/// Proxies between the instances and what they call; empty if a test injects no faults there.
 #[derive(Default)]
 pub(crate) struct Proxies {
     pub(crate) endpoints: Vec<Proxy>,
@@ -285,32 +285,32 @@
 }
 
 impl Fleet {
-    /// Starts a fleet.
+    /// Starts a fleet, and waits until its instances are ready.
     pub(crate) async fn start(
         program: &Path,
         nodes: usize,
         runners: usize,
-        takes: Duration,
+        task_duration: Duration,
     ) -> Result<Self> {
-        Self::assemble(program, nodes, runners, takes, false).await
+        Self::assemble(program, nodes, runners, task_duration, false).await
     }
 
-    #[allow(dead_code)] // Only the soak asks.
+    #[allow(dead_code)] // Used by the soak only.
     /// Starts a fleet with proxies between the instances and what they call.
     pub(crate) async fn start_behind_proxies(
         program: &Path,
         nodes: usize,
         runners: usize,
-        takes: Duration,
+        task_duration: Duration,
     ) -> Result<Self> {
-        Self::assemble(program, nodes, runners, takes, true).await
+        Self::assemble(program, nodes, runners, task_duration, true).await
     }
 
     async fn assemble(
         program: &Path,
         nodes: usize,
         runners: usize,
-        takes: Duration,
+        task_duration: Duration,
         proxied: bool,
     ) -> Result<Self> {
         let store = Store::start()?;
@@ -324,7 +324,7 @@
         };
         for i in 0..runners {
             let (id, rack) = (format!("i-{i}"), format!("r{}", i % 2));
-            let mut runner = Runner::start(&id, centre(i), &rack, 4, takes)?;
+            let mut runner = Runner::start(&id, centre(i), &rack, 4, task_duration)?;
             if proxied {
                 let proxy = Proxy::start(runner.address())?;
                 runner = runner.with_proxy(&proxy);
@@ -350,17 +350,17 @@
         Ok(fleet)
     }
 
-    /// Checks that no task ever ran twice at the same time, and returns how many runs there were.
+    /// Asserts that no task ran twice at the same time, and returns the number of runs.
     pub(crate) fn assert_no_overlapping_runs(&self) -> usize {
-        let past: Vec<_> = self.runners.iter().flat_map(|r| r.history()).collect();
-        for (i, one) in past.iter().enumerate() {
-            for other in &past[i + 1..] {
-                let apart = one.ended.is_some_and(|u| u <= other.started)
+        let runs: Vec<_> = self.runners.iter().flat_map(|r| r.history()).collect();
+        for (i, one) in runs.iter().enumerate() {
+            for other in &runs[i + 1..] {
+                let disjoint = one.ended.is_some_and(|u| u <= other.started)
                     || other.ended.is_some_and(|u| u <= one.started);
-                assert!(one.task != other.task || apart, "{one:?} and {other:?}");
+                assert!(one.task != other.task || disjoint, "{one:?} and {other:?}");
             }
         }
-        past.len()
+        runs.len()
     }
 
     pub(crate) fn logs(&self) -> String {
@@ -368,7 +368,7 @@
     }
 }
 
-/// Writes a job of equal tasks.
+/// Builds the body of a job of equal tasks.
 pub(crate) fn job_body(tasks: u32, estimate: u64, best_effort: bool) -> Value {
     json!({
         "spec": "cell", "best_effort": best_effort,
@@ -376,12 +376,12 @@
     })
 }
 
-/// Puts a configuration in force with one queue.
+/// Writes a configuration with one route; `timeout` is in milliseconds.
 pub(crate) fn configure(store: &Store, version: u64, timeout: u64) {
     configure_with_idle_timeout(store, version, timeout, 15_000);
 }
 
-/// Puts a configuration in force that closes callers' connections when they have been idle for `idle` milliseconds.
+/// Writes a configuration that closes callers' connections after `idle` milliseconds without a request.
 pub(crate) fn configure_with_idle_timeout(store: &Store, version: u64, timeout: u64, idle: u64) {
     let configuration = json!({
         "version": version,
--- a/tests/platform/runner.rs
+++ b/tests/platform/runner.rs
@@ -1,4 +1,4 @@
-//! A stand-in for an endpoint of the platform: it runs leased tasks that sleep, and keeps a history of them.
+//! A stand-in for an endpoint of the platform: runs leased tasks that sleep, and keeps a history of them.
 
 use std::{
     collections::{
@@ -36,19 +36,19 @@
     }, //
 };
 
-/// What a task is told that crashes its endpoint.
+/// The `spec` of a task that crashes its endpoint.
 pub(crate) const CRASH: &str = "crash";
 
 /// How long an endpoint is down after a crash.
-const DOWN: Duration = Duration::from_millis(1_500);
+const CRASH_DOWNTIME: Duration = Duration::from_millis(1_500);
 
-/// What an endpoint's clock shows at its start, in milliseconds.
-const CLOCK: u64 = 5_000;
+/// The time on an endpoint's clock when it starts, in milliseconds.
+const INITIAL_CLOCK_MS: u64 = 5_000;
 
-/// When the first life of each endpoint began, in milliseconds since 1970.
-const BORN: u64 = 1_700_000_000_000;
+/// When an endpoint's first process started, in milliseconds since 1970.
+const FIRST_BORN_MS: u64 = 1_700_000_000_000;
 
-/// A run, as it was.
+/// A run of a task, with its start and end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Execution {
     pub(crate) task: String,
@@ -58,45 +58,45 @@
     pub(crate) outcome: &'static str,
 }
 
-/// How long after a run's end its owner may not have heard of it, so that it counts as running still.
-const END_HEARD: Duration = Duration::from_millis(150);
+/// How long an owner may be unaware of a run's end, so that it still counts the run.
+const END_REPORT_DELAY: Duration = Duration::from_millis(150);
 
-/// A crash under a job's task.
+/// A crash in a run of a job.
 pub(crate) struct Crash {
     pub(crate) at: Instant,
-    /// Whether another job's task ran there, as far as its owner can know.
+    /// Whether a task of another job ran there too, as far as the owner can know.
     pub(crate) shared: bool,
 }
 
 struct Active {
     run: u64,
-    ends: Instant,
-    place: usize,
+    ends_at: Instant,
+    history_index: usize,
 }
 
 #[derive(Default)]
 struct State {
     running: HashMap<String, Active>,
     finished: Vec<(u64, String, u64, &'static str)>,
-    barred: BTreeMap<String, u64>,
+    forbidden_runs: BTreeMap<String, u64>,
     history: Vec<Execution>,
-    /// Tasks that it was asked for while it was down, and when.
-    missed: Vec<(String, Instant)>,
+    /// Tasks of orders that arrived while the endpoint was down, with the times.
+    orders_while_down: Vec<(String, Instant)>,
     serial: u64,
     lease: u64,
     token: u64,
-    /// One life of it, in milliseconds since 1970, and when that began.
+    /// When the process started, in milliseconds since 1970 and on the test's clock.
     born: u64,
-    begun: Option<Instant>,
-    /// Until when it is down: it answers nothing, and begins anew then.
-    down: Option<Instant>,
-    /// Whether it starts what doesn't fit.
+    started_at: Option<Instant>,
+    /// Until when the endpoint is down: it answers nothing, and restarts then.
+    down_until: Option<Instant>,
+    /// Whether it starts tasks beyond its capacity.
     unguarded: bool,
     /// How long tasks run.
-    takes: Duration,
+    task_duration: Duration,
     /// How many tasks fit.
     slots: usize,
-    /// Orders that are left without an answer, after they were carried out.
+    /// How many of the next orders are carried out without an answer.
     responses_to_drop: usize,
 }
 
@@ -114,13 +114,13 @@
         centre: &str,
         rack: &str,
         slots: usize,
-        takes: Duration,
+        task_duration: Duration,
     ) -> std::io::Result<Self> {
         let state = Arc::new(Mutex::new(State {
-            takes,
+            task_duration,
             slots,
-            born: BORN,
-            begun: Some(Instant::now()),
+            born: FIRST_BORN_MS,
+            started_at: Some(Instant::now()),
             ..State::default()
         }));
         let ended = Arc::new(Notify::new());
@@ -134,7 +134,7 @@
             "service": "cells", "address": address, "zone": centre, "version": "v1",
             "slots": slots, "state": "ready", "cold_remaining_ms": 0,
             "capacity": {"cpu": slots * 1000, "mem_mb": 32768, "gpu": 0},
-            "labels": ["a", rack], "clock_ms": 5000, "sequence": 1, "born": BORN,
+            "labels": ["a", rack], "clock_ms": 5000, "sequence": 1, "born": FIRST_BORN_MS,
         });
         Ok(Self {
             id: id.to_owned(),
@@ -144,7 +144,7 @@
         })
     }
 
-    /// Lets instances reach it through a proxy.
+    /// Makes instances connect through a proxy.
     pub(crate) fn with_proxy(mut self, proxy: &Proxy) -> Self {
         self.row["address"] = json!(proxy.address().to_string());
         self
@@ -168,7 +168,7 @@
         self.state.lock().unwrap().history.clone()
     }
 
-    /// Finds its crashes under a job's tasks.
+    /// Returns the crashes in runs of a job's tasks.
     pub(crate) fn crashes_of_job(&self, job: &str) -> Vec<Crash> {
         let state = self.state.lock().unwrap();
         let own = |task: &str| task.starts_with(job);
@@ -177,18 +177,21 @@
                 .ended
                 .filter(|_| own(&past.task) && past.outcome == "crashed")?;
             let beside = |other: &Execution| {
-                let ended = other.ended.map_or(at, |until| until + END_HEARD);
+                let ended = other.ended.map_or(at, |until| until + END_REPORT_DELAY);
                 !own(&other.task) && other.started <= at && ended >= at
             };
-            let mut missed = state.missed.iter().filter(|(task, _)| !own(task));
-            let asked = missed.any(|(_, when)| *when >= at && *when <= at + DOWN);
-            let shared = asked || state.history.iter().any(beside);
+            let mut missed = state
+                .orders_while_down
+                .iter()
+                .filter(|(task, _)| !own(task));
+            let ordered = missed.any(|(_, when)| *when >= at && *when <= at + CRASH_DOWNTIME);
+            let shared = ordered || state.history.iter().any(beside);
             Some(Crash { at, shared })
         };
         state.history.iter().filter_map(crash).collect()
     }
 
-    /// Begins anew under its name, and says so in its row.
+    /// Restarts the endpoint under its name, and writes its new start time to its row.
     pub(crate) fn restart(&mut self, store: &Store) {
         let mut state = self.state.lock().unwrap();
         state.restart();
@@ -197,54 +200,54 @@
         self.register(store);
     }
 
-    /// Changes what it has, and doesn't guard it any more.
+    /// Changes the capacity in the row, and stops checking it.
     pub(crate) fn resize(&mut self, store: &Store, slots: usize) {
         self.state.lock().unwrap().unguarded = true;
         self.row["capacity"]["cpu"] = json!(slots * 1_000);
         self.register(store);
     }
 
-    #[allow(dead_code)] // Only some tests change it.
-    /// Changes how long tasks run that are started from now on.
-    pub(crate) fn set_task_duration(&self, takes: Duration) {
-        self.state.lock().unwrap().takes = takes;
+    #[allow(dead_code)] // Not used by every test.
+    /// Sets how long tasks run that are started from now on.
+    pub(crate) fn set_task_duration(&self, task_duration: Duration) {
+        self.state.lock().unwrap().task_duration = task_duration;
     }
 
-    /// Leaves the next orders without an answer, after they were carried out.
+    /// Carries out the next orders without answering them.
     pub(crate) fn drop_responses(&self, orders: usize) {
         self.state.lock().unwrap().responses_to_drop = orders;
     }
 }
 
 impl State {
-    /// Ends what runs without a word.
+    /// Ends all runs without reporting them.
     fn crash(&mut self) {
         for run in std::mem::take(&mut self.running).into_values() {
             (
-                self.history[run.place].ended,
-                self.history[run.place].outcome,
+                self.history[run.history_index].ended,
+                self.history[run.history_index].outcome,
             ) = (Some(Instant::now()), "crashed");
         }
     }
 
-    /// Forgets everything, as a process that starts again.
+    /// Resets the state to that of a new process.
     fn restart(&mut self) {
         self.crash();
         *self = Self {
             born: self.born + 1,
-            begun: Some(Instant::now()),
-            takes: self.takes,
+            started_at: Some(Instant::now()),
+            task_duration: self.task_duration,
             slots: self.slots,
             unguarded: self.unguarded,
             history: std::mem::take(&mut self.history),
-            missed: std::mem::take(&mut self.missed),
+            orders_while_down: std::mem::take(&mut self.orders_while_down),
             ..Self::default()
         };
     }
 
-    /// Tells whether it is down; one whose time has come begins anew.
+    /// Returns whether the endpoint is down; restarts it if its downtime has passed.
     fn is_down(&mut self) -> bool {
-        match self.down {
+        match self.down_until {
             Some(until) if until <= Instant::now() => {
                 self.restart();
                 false
@@ -254,23 +257,25 @@
     }
 
     fn clock(&self) -> u64 {
-        let begun = self.begun.map_or(Duration::ZERO, |begun| begun.elapsed());
-        CLOCK + begun.as_millis() as u64
+        let uptime = self
+            .started_at
+            .map_or(Duration::ZERO, |start| start.elapsed());
+        INITIAL_CLOCK_MS + uptime.as_millis() as u64
     }
 
-    /// Ends what has ended since the last call: at its own time, or when its lease passed before that.
-    fn pass(&mut self) {
+    /// Ends the runs that are due: at their own end, or earlier at that of the lease.
+    fn end_due_runs(&mut self) {
         let now = Instant::now();
-        let begun = self.begun.unwrap_or(now);
-        let lapse = begun + Duration::from_millis(self.lease.saturating_sub(CLOCK));
+        let started_at = self.started_at.unwrap_or(now);
+        let lapse = started_at + Duration::from_millis(self.lease.saturating_sub(INITIAL_CLOCK_MS));
         let over: Vec<(String, Instant)> = self
             .running
             .iter()
-            .map(|(task, run)| (task.clone(), run.ends.min(lapse)))
+            .map(|(task, run)| (task.clone(), run.ends_at.min(lapse)))
             .filter(|(_, end)| *end <= now)
             .collect();
         for (task, end) in over {
-            let done = self.running[&task].ends <= lapse;
+            let done = self.running[&task].ends_at <= lapse;
             self.end(&task, if done { "done" } else { "lapsed" }, end);
         }
     }
@@ -280,16 +285,16 @@
             return;
         };
         self.serial += 1;
-        let past = &mut self.history[run.place];
+        let past = &mut self.history[run.history_index];
         (past.ended, past.outcome) = (Some(at), how);
-        self.bar(task, run.run);
+        self.forbid_run(task, run.run);
         let row = (self.serial, task.to_owned(), run.run, how);
         self.finished.push(row);
     }
 
-    fn bar(&mut self, task: &str, run: u64) {
-        let barred = self.barred.entry(task.to_owned()).or_default();
-        *barred = (*barred).max(run);
+    fn forbid_run(&mut self, task: &str, run: u64) {
+        let last_forbidden = self.forbidden_runs.entry(task.to_owned()).or_default();
+        *last_forbidden = (*last_forbidden).max(run);
     }
 
     fn start(&mut self, body: &Value) -> Result<(), &'static str> {
@@ -304,7 +309,11 @@
         if self.running.get(task).is_some_and(|known| known.run == run) {
             return Ok(());
         }
-        if self.barred.get(task).is_some_and(|barred| run <= *barred) {
+        if self
+            .forbidden_runs
+            .get(task)
+            .is_some_and(|last_forbidden| run <= *last_forbidden)
+        {
             return Err("old");
         }
         if lease <= clock {
@@ -317,8 +326,8 @@
         let now = Instant::now();
         let active = Active {
             run,
-            ends: now + self.takes,
-            place: self.history.len(),
+            ends_at: now + self.task_duration,
+            history_index: self.history.len(),
         };
         self.history.push(Execution {
             task: task.to_owned(),
@@ -352,11 +361,13 @@
         let mut state = state.lock().unwrap();
         if state.is_down() {
             if let Some(task) = body["task"].as_str() {
-                state.missed.push((task.to_owned(), Instant::now()));
+                state
+                    .orders_while_down
+                    .push((task.to_owned(), Instant::now()));
             }
             return None;
         }
-        state.pass();
+        state.end_due_runs();
         let token = body["fencing_token"].as_u64().unwrap_or(0);
         if token < state.token {
             return answer(409, &json!({"clock_ms": state.clock(), "reason": "fence"}));
@@ -367,7 +378,7 @@
                 let started = state.start(&body);
                 if started.is_ok() && body["spec"] == CRASH {
                     state.crash();
-                    state.down = Some(Instant::now() + DOWN);
+                    state.down_until = Some(Instant::now() + CRASH_DOWNTIME);
                     return None;
                 }
                 let clock = state.clock();
@@ -386,7 +397,7 @@
                     state.end(task, "stopped", Instant::now());
                     ended.notify_waiters();
                 }
-                state.bar(task, run);
+                state.forbid_run(task, run);
                 Some(answer(200, &json!({"clock_ms": state.clock()})))
             }
             "/api/hold" => {
@@ -407,12 +418,12 @@
     };
     match response {
         Some(response) => response,
-        None => hold(state, ended, body["wait_ms"].as_u64().unwrap_or(0)).await,
+        None => long_poll(state, ended, body["wait_ms"].as_u64().unwrap_or(0)).await,
     }
 }
 
-/// Answers a look at the next end, or when its wait is over.
-async fn hold(state: &Mutex<State>, ended: &Notify, wait: u64) -> Response {
+/// Answers a long poll at the next end of a run, or when its wait is over.
+async fn long_poll(state: &Mutex<State>, ended: &Notify, wait: u64) -> Response {
     let until = Instant::now() + Duration::from_millis(wait);
     loop {
         let notified = ended.notified();
@@ -421,11 +432,11 @@
             if state.is_down() {
                 return None;
             }
-            state.pass();
+            state.end_due_runs();
             if !state.finished.is_empty() || Instant::now() >= until {
                 return answer(200, &state.lists());
             }
-            state.running.values().map(|run| run.ends).min()
+            state.running.values().map(|run| run.ends_at).min()
         };
         let wake = next.map_or(until, |next| next.min(until));
         let _ = timeout(wake.saturating_duration_since(Instant::now()), notified).await;
--- a/tests/platform/store.rs
+++ b/tests/platform/store.rs
@@ -32,15 +32,15 @@
     Server, //
 };
 
-/// How the store treats calls.
+/// How the store responds to calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) enum Behaviour {
     /// It serves them.
     #[default]
     Serve,
-    /// It refuses all of them.
+    /// It refuses them with 503.
     Refuse,
-    /// It leaves them without an answer.
+    /// It doesn't answer them.
     Ignore,
 }
 
@@ -50,15 +50,15 @@
 #[derive(Default)]
 struct Tables {
     version: u64,
-    /// By table, part and key; a row without a value is dropped. Values are texts in base64, but for those that another
-    /// program wrote.
+    /// Values with the version of their last change; a deleted row has no value. Values are base64 strings, except
+    /// those written by [`Store::set_raw`].
     rows: BTreeMap<Key, (Option<Value>, u64)>,
-    /// Versions up to this one are forgotten.
-    history: u64,
+    /// Changes up to this version are compacted.
+    compacted_version: u64,
     behaviour: Behaviour,
 }
 
-/// The store.
+/// A running store.
 #[derive(Clone)]
 pub(crate) struct Store {
     tables: Arc<Mutex<Tables>>,
@@ -73,7 +73,7 @@
         let (t, c) = (tables.clone(), changed.clone());
         let server = Server::start(1_024, move |request| {
             let (tables, changed) = (t.clone(), c.clone());
-            async move { serve(&tables, &changed, request).await }
+            async move { handle_request(&tables, &changed, request).await }
         })?;
         Ok(Self {
             tables,
@@ -91,15 +91,15 @@
         self.set_raw(table, key, value.into());
     }
 
-    /// Sets a row to a value as it stands, be it base64 or not.
+    /// Sets a row to a JSON value that need not be base64.
     pub(crate) fn set_raw(&self, table: &str, key: &str, value: Value) {
-        let key = whole(table, key);
-        write(&mut self.tables.lock().unwrap(), key, Some(value));
+        let key = row_key(table, key);
+        write_row(&mut self.tables.lock().unwrap(), key, Some(value));
         self.changed.notify_waiters();
     }
 
     pub(crate) fn remove(&self, table: &str, key: &str) {
-        write(&mut self.tables.lock().unwrap(), whole(table, key), None);
+        write_row(&mut self.tables.lock().unwrap(), row_key(table, key), None);
         self.changed.notify_waiters();
     }
 
@@ -115,35 +115,35 @@
         self.changed.notify_waiters();
     }
 
-    /// Forgets its history: feeds must read the tables anew.
+    /// Compacts the history: feeds must read whole tables again.
     pub(crate) fn compact(&self) {
         let mut tables = self.tables.lock().unwrap();
         tables.version += 1;
-        tables.history = tables.version;
+        tables.compacted_version = tables.version;
         drop(tables);
         self.changed.notify_waiters();
     }
 }
 
-fn whole(table: &str, key: &str) -> Key {
+fn row_key(table: &str, key: &str) -> Key {
     (table.to_owned(), String::new(), key.to_owned())
 }
 
-fn write(tables: &mut Tables, key: Key, value: Option<Value>) {
+fn write_row(tables: &mut Tables, key: Key, value: Option<Value>) {
     tables.version += 1;
     let version = tables.version;
     tables.rows.insert(key, (value, version));
 }
 
-/// Changes rows if those under a condition have the versions that it names.
-fn change(tables: &mut Tables, body: &Value) -> Response {
+/// Applies a transaction if all its guard rows have the expected versions.
+fn apply_transaction(tables: &mut Tables, body: &Value) -> Response {
     let key = |row: &Value| -> Option<Key> {
         let text = |name: &str| Some(row[name].as_str()?.to_owned());
         Some((text("table")?, text("part")?, text("key")?))
     };
     for row in body["expected_rev"].as_array()? {
-        let known = tables.rows.get(&key(row)?);
-        let version = known.map_or(0, |(value, version)| value.as_ref().map_or(0, |_| *version));
+        let current = tables.rows.get(&key(row)?);
+        let version = current.map_or(0, |(value, version)| value.as_ref().map_or(0, |_| *version));
         if row["ver"].as_u64()? != version {
             return answer(
                 412,
@@ -152,15 +152,15 @@
         }
     }
     for row in body["set_keys"].as_array()? {
-        write(tables, key(row)?, Some(row["value"].clone()));
+        write_row(tables, key(row)?, Some(row["value"].clone()));
     }
     for row in body["remove"].as_array()? {
-        write(tables, key(row)?, None);
+        write_row(tables, key(row)?, None);
     }
     answer(200, &json!({"ver": tables.version, "now_ms": 1}))
 }
 
-async fn serve(tables: &Mutex<Tables>, changed: &Notify, request: Request) -> Response {
+async fn handle_request(tables: &Mutex<Tables>, changed: &Notify, request: Request) -> Response {
     let behaviour = tables.lock().unwrap().behaviour;
     match behaviour {
         Behaviour::Serve => {}
@@ -173,7 +173,7 @@
     match request.path.as_str() {
         "/api/rows-tx" => {
             let body: Value = serde_json::from_slice(&request.body).ok()?;
-            let answer = change(&mut tables.lock().unwrap(), &body);
+            let answer = apply_transaction(&mut tables.lock().unwrap(), &body);
             changed.notify_waiters();
             answer
         }
@@ -183,7 +183,7 @@
             let part = request.parameter("part").unwrap_or_default();
             let from = request.parameter("from").unwrap_or_default();
             let target = request.parameter("target");
-            let mut rows = rows(&tables, &table, 0, false);
+            let mut rows = select_rows(&tables, &table, 0, false);
             rows.retain(|row| {
                 let key = row["key"].as_str().unwrap_or_default();
                 let before = target.as_ref().is_none_or(|target| key < target.as_str());
@@ -192,12 +192,12 @@
             let body = json!({"rows": rows, "has_more": false, "ver": tables.version, "now_ms": 1});
             answer(200, &body)
         }
-        "/api/rows-feed" => feed(tables, changed, &request).await,
+        "/api/rows-feed" => poll_changes(tables, changed, &request).await,
         _ => answer(404, &json!({})),
     }
 }
 
-async fn feed(tables: &Mutex<Tables>, changed: &Notify, request: &Request) -> Response {
+async fn poll_changes(tables: &Mutex<Tables>, changed: &Notify, request: &Request) -> Response {
     let table = request.parameter("table")?;
     let after: u64 = request.parameter("after")?.parse().ok()?;
     let wait: u64 = request.parameter("wait_ms")?.parse().ok()?;
@@ -206,10 +206,10 @@
         let notified = changed.notified();
         {
             let tables = tables.lock().unwrap();
-            if after < tables.history {
+            if after < tables.compacted_version {
                 return answer(410, &json!({}));
             }
-            let rows = rows(&tables, &table, after, true);
+            let rows = select_rows(&tables, &table, after, true);
             if !rows.is_empty() || Instant::now() >= end {
                 let body = json!({"rows": rows, "ver": tables.version, "now_ms": 1});
                 return answer(200, &body);
@@ -220,10 +220,10 @@
     }
 }
 
-fn rows(tables: &Tables, table: &str, after: u64, dropped: bool) -> Vec<Value> {
+fn select_rows(tables: &Tables, table: &str, after: u64, with_deleted: bool) -> Vec<Value> {
     let rows = tables.rows.iter();
     let rows = rows.filter(|((t, ..), (value, version))| {
-        t == table && *version > after && (dropped || value.is_some())
+        t == table && *version > after && (with_deleted || value.is_some())
     });
     rows.map(|((_, part, key), (value, version))| match value {
         Some(value) => {
