--- a/src/instance/peers.rs
+++ b/src/instance/peers.rs
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Queues a message to a peer, after those sent before it. Drops it if [`MAX_QUEUED_BYTES`] are queued.
+    /// Queues a message to a peer, after those sent before it. Drops it if too many bytes are queued.
     pub fn send(&self, hub: &Rc<Hub>, to: &Contact, message: Message) {
         let mut links = self.links.borrow_mut();
         let link = links
@@ -380,9 +380,9 @@
             capnp::Error::failed(error.to_string())
         })?;
         let mut inbox = self.hub.peers.inbox.borrow_mut();
-        let repeated = inbox.check_duplicate(&envelope.sender, envelope.serial);
+        let duplicate = inbox.check_duplicate(&envelope.sender, envelope.serial);
         drop(inbox);
-        if !repeated {
+        if !duplicate {
             self.hub.handle(Input::Received {
                 from: envelope.sender,
                 messages: envelope.messages,
