--- a/src/instance/feeds.rs
+++ b/src/instance/feeds.rs
@@ -237,9 +237,9 @@
     let mut version = None;
     loop {
         match client.fetch_changes(record::OPERATOR_TABLE, version).await {
-            Ok((rows, at)) => {
-                apply_evacuations(&hub, &rows, version.is_none().then_some(at));
-                version = Some(at);
+            Ok((rows, read_version)) => {
+                apply_evacuations(&hub, &rows, version.is_none().then_some(read_version));
+                version = Some(read_version);
                 for row in rows {
                     apply_configuration(&client, row);
                 }
@@ -302,7 +302,7 @@
         let read = client.fetch_changes(record::ENDPOINT_TABLE, version).await;
         hub.handle(Input::RosterRead(read.is_ok()));
         match read {
-            Ok((rows, at)) => {
+            Ok((rows, read_version)) => {
                 cache.borrow_mut().on_store_answer(now());
                 if version.is_none() {
                     hub.with_dispatcher(|dispatcher| {
@@ -310,7 +310,7 @@
                     });
                 }
                 apply_endpoints(&client, &cache, rows, version.is_none());
-                version = Some(at);
+                version = Some(read_version);
             }
             Err(Failure::Status(status)) if store::is_compacted(status) => version = None,
             Err(_) => cache.borrow_mut().on_store_failure(),
--- a/src/instance/front.rs
+++ b/src/instance/front.rs
@@ -347,9 +347,9 @@
         }
         Method::GET => query_stored_job(hub, id, Question::State).await,
         Method::DELETE => {
-            let known = hub.with_dispatcher(|d| d.has_job(id));
+            let has_job = hub.with_dispatcher(|d| d.has_job(id));
             hub.handle(Input::Cancelled(id));
-            match known {
+            match has_job {
                 true => json_response(StatusCode::OK, Vec::new()),
                 false => query_stored_job(hub, id, Question::Cancel).await,
             }
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -108,14 +108,14 @@
     for (index, step) in body.steps.into_iter().enumerate() {
         steps.push(parse_step(index as u32, step)?);
     }
-    let lasting = body.long_running.then_some("long_running");
-    let timed = (body.repeat_count > 0 || body.start_at_ms > 0).then_some("repeat_count");
+    let long_running = body.long_running.then_some("long_running");
+    let repeated = (body.repeat_count > 0 || body.start_at_ms > 0).then_some("repeat_count");
     Ok(Submission {
         id,
         spec: body.spec,
         steps,
         best_effort: body.best_effort,
-        unsupported: lasting.or(timed).map(str::to_owned),
+        unsupported: long_running.or(repeated).map(str::to_owned),
     })
 }
 
@@ -129,12 +129,12 @@
         let reason = format!("{later} is not an earlier step");
         return Err(Fault::new(field("after"), reason));
     }
-    let kinds = [
+    let unsupported_kinds = [
         (step.gang, "gang"),
         (step.long_running, "long_running"),
         (step.fills, "fills"),
     ];
-    let unsupported = kinds.iter().find(|(asked, _)| *asked);
+    let unsupported = unsupported_kinds.iter().find(|(asked, _)| *asked);
     Ok(Step {
         count: step.count,
         need: Resources {
--- a/src/platform/order.rs
+++ b/src/platform/order.rs
@@ -228,11 +228,11 @@
     let mut parts = name.split('.');
     let mut next = || parts.next();
     let job = next().and_then(|part| part.parse::<JobId>().ok());
-    let once = next() == Some(OCCURRENCE);
+    let is_once = next() == Some(OCCURRENCE);
     let step = next().and_then(|part| part.parse().ok());
     let index = next().and_then(|part| part.parse().ok());
     match (job, step, index, next()) {
-        (Some(job), Some(step), Some(index), None) if once => {
+        (Some(job), Some(step), Some(index), None) if is_once => {
             Name::Known(TaskId { job, step, index })
         }
         _ => Name::Foreign(name),
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -129,13 +129,13 @@
     let read: Result<File, _> = serde_path_to_error::deserialize(from);
     let file = read.map_err(|e| Fault::new(e.path().to_string(), e.inner().message()))?;
     let name = file.node.parse().map_err(|e| Fault::new("node", e))?;
-    let inner = file
+    let peer_address = file
         .port_range
         .first()
         .map(|port| format!("{}:{port}", file.ip));
-    let inner = inner.map(|address| address.parse()).transpose();
-    let inner: Option<SocketAddr> = inner.map_err(|e| Fault::new("ip", e))?;
-    let peers = file.listen_addrs.control.or(inner);
+    let peer_address = peer_address.map(|address| address.parse()).transpose();
+    let peer_address: Option<SocketAddr> = peer_address.map_err(|e| Fault::new("ip", e))?;
+    let peers = file.listen_addrs.control.or(peer_address);
     let grace = (file.bounds.grace_s * 1_000_000.0) as u64;
     Ok(Settings {
         name,
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -248,10 +248,10 @@
 /// Returns a fault if the response as a whole is malformed, with the field that is missing or wrong.
 pub fn parse_page(body: &[u8]) -> Result<Page, Fault> {
     let body: RowsBody = parse_json(body)?;
-    let all = body.rows.len();
+    let total = body.rows.len();
     let rows: Vec<Row> = body.rows.into_iter().filter_map(parse_row).collect();
     Ok(Page {
-        missing_keys: all - rows.len(),
+        missing_keys: total - rows.len(),
         rows,
         more: body.has_more,
         version: body.ver,
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -148,11 +148,13 @@
     }
     let lines = log.lines().filter(|line| !line.is_empty());
     let lines: Vec<Value> = lines.filter_map(|l| serde_json::from_str(l).ok()).collect();
-    let of = |event: &'static str| lines.iter().filter(move |line| line["event"] == event);
-    assert_eq!(of("started").count(), 1);
-    let told = of("lines_left_out").filter_map(|line| line["count"].as_u64());
-    assert!(told.sum::<u64>() > 0, "{log}");
-    assert!((of("job_answered").count() as u64) < count_log_lines(&fleet, "job_answered").await?);
+    let lines_of = |event: &'static str| lines.iter().filter(move |line| line["event"] == event);
+    assert_eq!(lines_of("started").count(), 1);
+    let left_out = lines_of("lines_left_out").filter_map(|line| line["count"].as_u64());
+    assert!(left_out.sum::<u64>() > 0, "{log}");
+    assert!(
+        (lines_of("job_answered").count() as u64) < count_log_lines(&fleet, "job_answered").await?
+    );
 
     // A pipe that is full again doesn't delay the drain.
     fill_pipe(&mut pipe)?;
