--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter to the platform: what it reads and writes, and that a fault names its field.
+//! The adapter to the platform: what it decodes and encodes, and which field a fault names.
 
 use poplarknot::{
     dispatch::{
@@ -35,7 +35,7 @@
     Value, //
 };
 
-const BOOT: &str = r#"
+const SETTINGS: &str = r#"
 node = "edge-a-1"
 zone = "a"
 ip = "10.1.0.13"
@@ -54,37 +54,37 @@
 address = "10.200.1.7:8169"
 "#;
 
-/// The settings are read as they come; what is not known is left alone, and a missing field is named.
+/// Settings are parsed, unknown fields are ignored, and a missing or malformed field is named.
 #[test]
 fn settings_are_read() {
-    let site = settings::parse(BOOT).unwrap();
+    let site = settings::parse(SETTINGS).unwrap();
     assert_eq!(site.peers.port(), 7720);
     assert_eq!((site.share, site.sockets), (250, 3_900));
     assert_eq!(site.grace, Span::seconds(6));
     assert!(site.seeds.is_empty());
-    let control = BOOT.replace("front =", "control = \"10.1.0.13:8166\"\nfront =");
+    let control = SETTINGS.replace("front =", "control = \"10.1.0.13:8166\"\nfront =");
     let site = settings::parse(&control).unwrap();
     assert_eq!((site.peers.port(), site.seeds.len()), (8166, 2));
-    let fault = settings::parse(&BOOT.replace("address", "adress")).unwrap_err();
+    let fault = settings::parse(&SETTINGS.replace("address", "adress")).unwrap_err();
     assert!(fault.to_string().contains("platform"), "{fault}");
-    let fault = settings::parse(&BOOT.replace("10.1.0.13:8167", "nowhere")).unwrap_err();
+    let fault = settings::parse(&SETTINGS.replace("10.1.0.13:8167", "nowhere")).unwrap_err();
     assert!(fault.to_string().contains("listen_addrs.ready"), "{fault}");
 }
 
-/// A job's fields get their meaning; what this build can't run is named, and so is what is malformed.
+/// A job is parsed, and the field that is unsupported or malformed is named.
 #[test]
 fn jobs_are_read() {
     let body = json!({"spec": "x", "best_effort": true, "steps": [
         {"count": 4, "cpu": 500, "mem_mb": 256, "estimated_ms": 900, "affinity": "r1-3"},
         {"count": 2, "cpu": 2000, "after": [0], "max_per_server": 1, "required_label": "b"},
     ]});
-    let job = ingress::job(JobId(7), body.to_string().as_bytes()).unwrap();
+    let job = ingress::parse_job(JobId(7), body.to_string().as_bytes()).unwrap();
     assert_eq!(job.steps[0].estimate, Span::millis(900));
     assert_eq!(job.steps[0].affinity.as_deref(), Some("r1-3"));
     assert_eq!(job.steps[1].per_endpoint, Some(1));
     assert_eq!(job.critical_path(), Span::millis(900));
     let fault = |body: Value| {
-        let read = ingress::job(JobId(7), body.to_string().as_bytes());
+        let read = ingress::parse_job(JobId(7), body.to_string().as_bytes());
         read.unwrap_err().field
     };
     assert_eq!(fault(json!({"steps": [{"count": 0}]})), "steps[0].count");
@@ -99,11 +99,11 @@
         "spec"
     );
     let gang = json!({"best_effort": true, "steps": [{"count": 2, "gang": true}]});
-    let job = ingress::job(JobId(7), gang.to_string().as_bytes()).unwrap();
+    let job = ingress::parse_job(JobId(7), gang.to_string().as_bytes()).unwrap();
     assert_eq!(job.steps[0].unsupported.as_deref(), Some("gang"));
 }
 
-/// Orders bear the names of the wire, and answers are read by status and reason.
+/// Orders are encoded with the field names of the wire, and replies are decoded by status and reason.
 #[test]
 fn orders_are_written_and_answers_read() {
     let task = TaskId {
@@ -118,7 +118,7 @@
         lease: 486_000,
         token: Token(7),
     };
-    let (path, body) = order::write(&start);
+    let (path, body) = order::encode(&start);
     let body: Value = serde_json::from_slice(&body).unwrap();
     let expected = json!({"task": "5c0e7a21d94b36f8.0.1.17", "run": 2, "spec": "text",
         "deadline_ms": 486_000, "fencing_token": 7});
@@ -128,16 +128,16 @@
         clock: 482_113,
         refusal: Refusal::Fenced,
     };
-    assert_eq!(order::read(&start, 409, refused), fenced);
-    assert_eq!(order::read(&start, 421, b""), Reply::Reborn);
-    assert_eq!(order::read(&start, 503, b""), Reply::Unwell);
+    assert_eq!(order::decode(&start, 409, refused), fenced);
+    assert_eq!(order::decode(&start, 421, b""), Reply::Reborn);
+    assert_eq!(order::decode(&start, 503, b""), Reply::Unwell);
     let look = Order::Look {
         lease: None,
         token: Token(7),
         seen: 57,
         wait: Span(0),
     };
-    let (_, body) = order::write(&look);
+    let (_, body) = order::encode(&look);
     let body: Value = serde_json::from_slice(&body).unwrap();
     assert_eq!(body, json!({"fencing_token": 7, "last_seen": 57}));
     let lists = json!({"clock_ms": 9, "born": 1_700_000_000_123_u64, "running": [["5c0e7a21d94b36f8.0.1.17", 2, "", 41, 3]],
@@ -147,47 +147,48 @@
         running,
         ended,
         ..
-    }) = order::read(&look, 200, lists.to_string().as_bytes())
+    }) = order::decode(&look, 200, lists.to_string().as_bytes())
     else {
         panic!("the lists are not read");
     };
     assert_eq!(life, Life(1_700_000_000_123));
     assert_eq!(running[0].task, Name::Known(task));
-    // A task of another occurrence is none that an instance of this build can have started.
+    // No instance of this build starts a task of another occurrence.
     assert!(matches!(&ended[0].task, Name::Foreign(name) if name.contains(".3.")));
     assert_eq!(ended[0].end, End::Done);
-    let Reply::Malformed(fault) = order::read(&look, 200, br#"{"clock_ms":"x"}"#) else {
+    let Reply::Malformed(fault) = order::decode(&look, 200, br#"{"clock_ms":"x"}"#) else {
         panic!("a malformed answer is taken");
     };
     assert!(fault.contains("clock_ms"), "{fault}");
 }
 
-/// Rows of the store are read with their base64, dropped ones too; the configuration and endpoints get their meaning.
+/// Rows of the store are decoded from base64, deleted ones included; configurations and endpoints are parsed.
 #[test]
 fn records_are_read() {
     let body = br#"{"rows":[{"table":"t","part":"","key":"k","value":"eA==","ver":3},
         {"table":"t","part":"","key":"gone","ver":4,"deleted":true}],"has_more":true,"ver":5}"#;
-    let page = store::page(body).unwrap();
+    let page = store::parse_page(body).unwrap();
     assert_eq!(page.rows[0].content, Content::Value(b"x".to_vec()));
     assert_eq!(
         (&page.rows[1].content, page.more, page.version),
-        (&Content::Dropped, true, 5)
+        (&Content::Deleted, true, 5)
     );
     assert_eq!(
-        store::get("servers", Some("i-1")),
+        store::table_path("servers", Some("i-1")),
         "/api/rows-get?table=servers&part=&from=i-1%20"
     );
     let configuration = json!({"version": 7, "routes": [{"name": "r", "hostname": "h", "prefix": "/p/",
         "service": "s", "timeout_ms": 1500, "target_duration_ms": 60, "stretch": 1.6}]});
-    let read = record::configuration(configuration.to_string().as_bytes()).unwrap();
+    let read = record::parse_configuration(configuration.to_string().as_bytes()).unwrap();
     let (route, rest) = read.find_route("H:8161", "/p/5c").unwrap();
     assert_eq!((route.timeout, rest), (Span::millis(1_500), "5c"));
     assert_eq!(route.objective(Span::millis(100)), Span::millis(220));
-    let fault = record::configuration(br#"{"version":7,"routes":[{"name":"r"}]}"#).unwrap_err();
+    let fault =
+        record::parse_configuration(br#"{"version":7,"routes":[{"name":"r"}]}"#).unwrap_err();
     assert!(fault.to_string().contains("routes[0]"), "{fault}");
     let row = json!({"service": "s", "address": "10.0.0.9:80", "zone": "a", "state": "draining",
         "capacity": {"cpu": 16000, "mem_mb": 1, "gpu": 0}, "labels": ["a", "r1-3"]});
-    let listing = record::endpoint("i-1", row.to_string().as_bytes()).unwrap();
+    let listing = record::parse_endpoint("i-1", row.to_string().as_bytes()).unwrap();
     assert!(listing.draining);
     assert_eq!(
         (listing.rack.as_str(), listing.capacity.cpu),
@@ -195,15 +196,14 @@
     );
 }
 
-/// Another program writes into a table that instances read: a value that is no base64, one that is a number, a version
-/// that is a text, a row that has no key. Taken for a fault of the whole answer, such a row hid all others: no endpoint
-/// was known any more, and no job served. It is told apart with its key, and the others hold.
+/// A malformed row leaves the others readable: a value that isn't base64 or a string, a version that is a string, a
+/// row without a key. If it made the whole response invalid, no endpoint would be known and no job served.
 #[test]
 fn unreadable_rows_leave_the_others() {
     let body = br#"{"rows":[{"key":"a","value":"eA==","ver":3},{"key":"b","value":"?","ver":4},
         {"key":"c","value":7,"ver":4},{"key":"d","value":"eA==","ver":"5"},{"value":"eA==","ver":5},
         "row",{"key":"e","value":null,"ver":5},{"key":"f","value":"eQ==","ver":6}],"ver":6}"#;
-    let page = store::page(body).unwrap();
+    let page = store::parse_page(body).unwrap();
     let keys: Vec<&str> = page.rows.iter().map(|row| row.key.as_str()).collect();
     assert_eq!(keys, ["a", "b", "c", "d", "e", "f"]);
     for row in &page.rows {
@@ -213,18 +213,18 @@
             assert!(fault.field.contains(&row.key), "{fault}");
         }
     }
-    assert_eq!(page.nameless, 2);
-    assert!(store::page(br#"{"rows":7,"ver":5}"#).is_err());
-    assert!(store::page(b"{}").is_err());
+    assert_eq!(page.missing_keys, 2);
+    assert!(store::parse_page(br#"{"rows":7,"ver":5}"#).is_err());
+    assert!(store::parse_page(b"{}").is_err());
 }
 
-/// A row in the table of endpoints names one only where it is whole and says a state that is known. A state that is not
-/// known was taken for that of an endpoint that leaves, and its rack was claimed and looked at.
+/// A row names an endpoint only if it is complete and has a known state. An unknown state taken for draining would
+/// have the rack of another program's row claimed and polled.
 #[test]
 fn rows_that_name_no_endpoint() {
     let whole = json!({"service": "s", "address": "10.0.0.9:80", "zone": "a", "state": "ready",
         "capacity": {"cpu": 16000, "mem_mb": 1, "gpu": 0}, "labels": ["a", "r1-3"]});
-    let read = |row: &Value| record::endpoint("i-1", row.to_string().as_bytes());
+    let read = |row: &Value| record::parse_endpoint("i-1", row.to_string().as_bytes());
     assert!(read(&whole).is_ok());
     let wrong = [
         ("state", json!("resting")),
@@ -253,16 +253,15 @@
     }
 }
 
-/// Whatever bytes another program writes, every decoder tells a fault or a meaning, and none panics: random bytes, and
-/// valid texts of which some bytes were changed.
+/// No decoder panics on what another program writes: random bytes, or valid texts with some bytes changed.
 #[test]
 fn decoders_bear_any_bytes() {
-    fn all(bytes: &[u8]) {
-        let _ = store::page(bytes);
-        let _ = store::version(bytes);
-        let _ = record::configuration(bytes);
-        let _ = record::endpoint("i-1", bytes);
-        let _ = record::instance("edge-1", bytes);
+    fn decode_all(bytes: &[u8]) {
+        let _ = store::parse_page(bytes);
+        let _ = store::parse_version(bytes);
+        let _ = record::parse_configuration(bytes);
+        let _ = record::parse_endpoint("i-1", bytes);
+        let _ = record::parse_instance("edge-1", bytes);
         let look = Order::Look {
             lease: None,
             token: Token(7),
@@ -270,11 +269,11 @@
             wait: Span(0),
         };
         for status in [200, 409, 421, 503] {
-            let _ = order::read(&look, status, bytes);
+            let _ = order::decode(&look, status, bytes);
         }
     }
     fn random(bytes: Vec<u8>) -> bool {
-        all(&bytes);
+        decode_all(&bytes);
         true
     }
     fn changed(which: usize, changes: Vec<(usize, u8)>) -> bool {
@@ -289,7 +288,7 @@
             let at = at % bytes.len();
             bytes[at] = byte;
         }
-        all(&bytes);
+        decode_all(&bytes);
         true
     }
     let trials = std::env::var("DECODER_TRIALS").ok();
@@ -301,13 +300,13 @@
     check.quickcheck(changed as fn(usize, Vec<(usize, u8)>) -> bool);
 }
 
-/// Rows of stored jobs are changed under the condition that the lock row has its version, in one part of one table; the
-/// statuses that change nothing are told apart from those that leave it open.
+/// Rows of stored jobs are changed on condition that the lock row has its version, in one part of one table. Statuses
+/// that rule out a change are told apart from the others.
 #[test]
 fn rows_are_changed_under_a_condition() {
     let guard = ("lock".to_owned(), 7);
     let set = [("a".to_owned(), b"value".to_vec())];
-    let (path, body) = store::change("jobs", "shard-03", &guard, &set, &["b".to_owned()]);
+    let (path, body) = store::build_change("jobs", "shard-03", &guard, &set, &["b".to_owned()]);
     assert_eq!(path, "/api/rows-tx");
     let body: Value = serde_json::from_slice(&body).unwrap();
     let row = |key: &str| json!({"table": "jobs", "part": "shard-03", "key": key});
@@ -317,9 +316,12 @@
     changed["value"] = json!("dmFsdWU=");
     let whole = json!({"expected_rev": [expected], "set_keys": [changed], "remove": [row("b")]});
     assert_eq!(body, whole);
-    assert_eq!(store::version(br#"{"ver":412,"now_ms":5}"#).unwrap(), 412);
-    assert_eq!(store::version(b"{}").unwrap_err().field, ".");
-    let outcomes = [200, 412, 429, 503, 400].map(store::outcome);
+    assert_eq!(
+        store::parse_version(br#"{"ver":412,"now_ms":5}"#).unwrap(),
+        412
+    );
+    assert_eq!(store::parse_version(b"{}").unwrap_err().field, ".");
+    let outcomes = [200, 412, 429, 503, 400].map(store::classify_status);
     assert_eq!(
         outcomes,
         [
@@ -327,10 +329,10 @@
             store::Outcome::Conflict,
             store::Outcome::Refused,
             store::Outcome::Refused,
-            store::Outcome::Wrong, //
+            store::Outcome::Invalid, //
         ]
     );
-    let find = store::find("jobs", "shard-03", "lock");
+    let find = store::row_path("jobs", "shard-03", "lock");
     assert_eq!(
         find,
         "/api/rows-get?table=jobs&part=shard-03&from=lock&target=lock%20"
--- a/tests/inbox.rs
+++ b/tests/inbox.rs
@@ -32,32 +32,32 @@
 #[test]
 fn envelopes_for_a_former_life_hide_none() {
     let mut inbox = Inbox::new(OWN);
-    assert!(!inbox.repeated(&sender(FORMER, 0), 900));
+    assert!(!inbox.check_duplicate(&sender(FORMER, 0), 900));
     for serial in 1..5 {
-        assert!(!inbox.repeated(&sender(OWN, 0), serial), "{serial}");
+        assert!(!inbox.check_duplicate(&sender(OWN, 0), serial), "{serial}");
     }
     // A delayed envelope changes nothing.
-    assert!(!inbox.repeated(&sender(FORMER, 0), 901));
-    assert!(inbox.repeated(&sender(OWN, 0), 4));
+    assert!(!inbox.check_duplicate(&sender(FORMER, 0), 901));
+    assert!(inbox.check_duplicate(&sender(OWN, 0), 4));
 }
 
 /// The same holds for envelopes that a peer sends before it knows any incarnation of the receiver.
 #[test]
 fn envelopes_for_no_life_hide_none() {
     let mut inbox = Inbox::new(OWN);
-    assert!(!inbox.repeated(&sender(0, 0), 7));
-    assert!(inbox.repeated(&sender(0, 0), 7));
-    assert!(!inbox.repeated(&sender(OWN, 0), 1));
-    assert!(inbox.repeated(&sender(0, 0), 7));
+    assert!(!inbox.check_duplicate(&sender(0, 0), 7));
+    assert!(inbox.check_duplicate(&sender(0, 0), 7));
+    assert!(!inbox.check_duplicate(&sender(OWN, 0), 1));
+    assert!(inbox.check_duplicate(&sender(0, 0), 7));
 }
 
 /// Retransmitted envelopes are dropped, and a new session counts from the first again.
 #[test]
 fn what_is_sent_again_counts_once() {
     let mut inbox = Inbox::new(OWN);
-    assert!(!inbox.repeated(&sender(OWN, 0), 1));
-    assert!(!inbox.repeated(&sender(OWN, 0), 2));
-    assert!(inbox.repeated(&sender(OWN, 0), 2));
-    assert!(inbox.repeated(&sender(OWN, 0), 1));
-    assert!(!inbox.repeated(&sender(OWN, 1), 1));
+    assert!(!inbox.check_duplicate(&sender(OWN, 0), 1));
+    assert!(!inbox.check_duplicate(&sender(OWN, 0), 2));
+    assert!(inbox.check_duplicate(&sender(OWN, 0), 2));
+    assert!(inbox.check_duplicate(&sender(OWN, 0), 1));
+    assert!(!inbox.check_duplicate(&sender(OWN, 1), 1));
 }
