--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -14,10 +14,10 @@
     error::Error,
     trace::{
         Source,
-        Story,
+        Trace,
         Tracer,
-        AROUND,
-        WIDEST, //
+        DEFAULT_CONTEXT_SPAN,
+        MAX_CONTEXT_SPAN, //
     },
 };
 
@@ -39,7 +39,7 @@
     let options = &mut syntax.options;
     let brief = format!(
         "Shows context up to SPAN before and after the job [{} s]",
-        AROUND.as_millis() / 1_000
+        DEFAULT_CONTEXT_SPAN.as_millis() / 1_000
     );
     options.optopt("", "around", &brief, "SPAN");
     options.optflag("", "json", "Prints the lines as they were written");
@@ -56,12 +56,14 @@
     if logs.is_empty() {
         return Err(Error::Usage("LOG is missing".to_owned()));
     }
-    let around = option(&matches, "around")?.unwrap_or(AROUND);
-    if around > WIDEST {
-        return Err(Error::Usage(format!("--around is {WIDEST} at the most")));
+    let around = option(&matches, "around")?.unwrap_or(DEFAULT_CONTEXT_SPAN);
+    if around > MAX_CONTEXT_SPAN {
+        return Err(Error::Usage(format!(
+            "--around is {MAX_CONTEXT_SPAN} at the most"
+        )));
     }
-    let tracer = Tracer::new(job).around(around);
-    let story = tracer.logs(logs.into_iter().map(source)).run()?;
+    let tracer = Tracer::new(job).with_context_span(around);
+    let story = tracer.with_logs(logs.into_iter().map(source)).run()?;
     warn(&story);
     match matches.opt_present("json") {
         true => print(&story.raw()),
@@ -77,15 +79,15 @@
 }
 
 /// Tells on standard error what may be missing.
-fn warn(story: &Story) {
+fn warn(story: &Trace) {
     for skip in &story.skipped {
         eprintln!("poplarknot: {skip}");
     }
     for gap in &story.gaps {
         eprintln!("poplarknot: {gap}");
     }
-    if story.unsearched > 0 {
-        let lines = story.unsearched;
+    if story.unsearched_lines > 0 {
+        let lines = story.unsearched_lines;
         eprintln!(
             "poplarknot: {lines} lines of a stream came too early to be kept as context; name the files instead"
         );
--- a/src/trace.rs
+++ b/src/trace.rs
@@ -24,10 +24,10 @@
 /// How long before a job's first line and after its last one other lines may explain it. An instance that is gone is
 /// given up after 0.6 s, its racks are claimed within another half second, and a configuration is in force everywhere within
 /// two seconds; the rest is for clocks that differ.
-pub const AROUND: Span = Span::seconds(5);
+pub const DEFAULT_CONTEXT_SPAN: Span = Span::seconds(5);
 
 /// The most that may be asked for instead: the lines of an hour of trouble still fit in memory.
-pub const WIDEST: Span = Span::seconds(3_600);
+pub const MAX_CONTEXT_SPAN: Span = Span::seconds(3_600);
 
 /// The event that tells that lines before it were left out.
 const THINNED: &str = "lines_left_out";
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct Tracer {
     job: JobId,
-    around: Span,
+    context_span: Span,
     logs: Vec<Log>,
 }
 
@@ -82,7 +82,7 @@
 
 /// What the logs tell of a job, in the order of time.
 #[derive(Debug, Clone)]
-pub struct Story {
+pub struct Trace {
     /// The job.
     pub job: JobId,
     /// Its lines and those that explain them; at least one is its own.
@@ -90,14 +90,14 @@
     /// Where lines may be missing.
     pub gaps: Vec<Gap>,
     /// Logs with lines that can't be read.
-    pub skipped: Vec<Skip>,
+    pub skipped: Vec<SkippedLines>,
     /// Lines of streams that were too many to be searched for what explains the job.
-    pub unsearched: u64,
+    pub unsearched_lines: u64,
 }
 
 /// The lines of a log that can't be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Skip {
+pub struct SkippedLines {
     /// The log.
     pub source: Source,
     /// How many lines.
@@ -109,19 +109,19 @@
     pub fn new(job: JobId) -> Self {
         Self {
             job,
-            around: AROUND,
+            context_span: DEFAULT_CONTEXT_SPAN,
             logs: Vec::new(),
         }
     }
 
-    /// Sets how long before and after the job other lines may explain it, up to [`WIDEST`].
-    pub fn around(mut self, around: Span) -> Self {
-        self.around = around.min(WIDEST);
+    /// Sets how long before and after the job other lines may explain it, up to [`MAX_CONTEXT_SPAN`].
+    pub fn with_context_span(mut self, span: Span) -> Self {
+        self.context_span = span.min(MAX_CONTEXT_SPAN);
         self
     }
 
     /// Adds logs.
-    pub fn logs(mut self, sources: impl IntoIterator<Item = Source>) -> Self {
+    pub fn with_logs(mut self, sources: impl IntoIterator<Item = Source>) -> Self {
         self.logs.extend(sources.into_iter().map(Log::new));
         self
     }
@@ -131,15 +131,15 @@
     /// # Errors
     ///
     /// Fails where a log can't be read, and where none has a line about the job.
-    pub fn run(mut self) -> Result<Story, Error> {
+    pub fn run(mut self) -> Result<Trace, Error> {
         let mut entries = Vec::new();
         let mut scope: Option<Scope> = None;
         let mut thinned = 0;
         let job = self.job;
         for (log, source) in self.logs.iter_mut().enumerate() {
             source.search(|number, line| {
-                if !line.names(job) {
-                    thinned += line.left_out();
+                if !line.is_about(job) {
+                    thinned += line.left_out_lines();
                     return line.job.is_none();
                 }
                 scope.get_or_insert_with(|| Scope::new(job)).note(&line);
@@ -157,7 +157,7 @@
         };
         for (log, source) in self.logs.iter().enumerate() {
             source.search_again(|number, line| {
-                if scope.explains(&line, self.around) {
+                if scope.explains(&line, self.context_span) {
                     entries.push(Entry {
                         line,
                         context: true,
@@ -171,24 +171,24 @@
         Ok(self.story(entries))
     }
 
-    fn story(self, entries: Vec<Entry>) -> Story {
+    fn story(self, entries: Vec<Entry>) -> Trace {
         let thinned = entries.iter().filter(|entry| entry.line.event == THINNED);
         let gaps = thinned.map(|entry| Gap {
             instance: entry.line.instance.clone(),
             time_ms: entry.line.time_ms,
-            lines: entry.line.left_out(),
+            lines: entry.line.left_out_lines(),
         });
-        Story {
+        Trace {
             job: self.job,
             gaps: gaps.collect(),
             skipped: self.skipped(),
-            unsearched: self.logs.iter().map(Log::unsearched).sum(),
+            unsearched_lines: self.logs.iter().map(Log::unsearched_lines).sum(),
             entries,
         }
     }
 
-    fn skipped(&self) -> Vec<Skip> {
-        let skips = self.logs.iter().map(|log| Skip {
+    fn skipped(&self) -> Vec<SkippedLines> {
+        let skips = self.logs.iter().map(|log| SkippedLines {
             source: log.source().clone(),
             lines: log.skipped(),
         });
--- a/src/trace/line.rs
+++ b/src/trace/line.rs
@@ -20,7 +20,7 @@
 /// Why a text is no line of a log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("not a line of an instance's log")]
-pub struct Malformed;
+pub struct ParseError;
 
 /// A line as an instance wrote it.
 #[derive(Debug, Clone, Deserialize)]
@@ -61,7 +61,7 @@
     }
 
     /// Tells whether it is about a job: by its own field, or by the task that it names.
-    pub fn names(&self, job: JobId) -> bool {
+    pub fn is_about(&self, job: JobId) -> bool {
         if let Some(Id(own)) = self.job {
             return own == job;
         }
@@ -70,7 +70,7 @@
     }
 
     /// Returns how many lines before it were left out of the log, as far as it tells.
-    pub fn left_out(&self) -> u64 {
+    pub fn left_out_lines(&self) -> u64 {
         if self.event != THINNED {
             return 0;
         }
@@ -78,8 +78,8 @@
         count.unwrap_or_default()
     }
 
-    fn parse(text: &str) -> Result<Self, Malformed> {
-        let line: Self = serde_json::from_str(text).map_err(|_| Malformed)?;
+    fn parse(text: &str) -> Result<Self, ParseError> {
+        let line: Self = serde_json::from_str(text).map_err(|_| ParseError)?;
         Ok(Self {
             text: text.trim_end().to_owned(),
             ..line
@@ -88,14 +88,14 @@
 }
 
 impl FromStr for Line {
-    type Err = Malformed;
+    type Err = ParseError;
 
     /// Reads a line of a log, from its first brace on: what collects logs may put a time or a name in front.
     ///
     /// A process that dies may leave half a line, and its successor goes on right behind it. The second object of such a
     /// line is whole, and often the one that tells of the restart.
-    fn from_str(text: &str) -> Result<Self, Malformed> {
-        let first = text.find('{').ok_or(Malformed)?;
+    fn from_str(text: &str) -> Result<Self, ParseError> {
+        let first = text.find('{').ok_or(ParseError)?;
         let last = text.rfind("{\"").unwrap_or(first);
         Self::parse(&text[first..]).or_else(|_| Self::parse(&text[last..]))
     }
--- a/src/trace/log.rs
+++ b/src/trace/log.rs
@@ -84,7 +84,7 @@
     }
 
     /// Returns how many lines the second reading could not look at.
-    pub(super) fn unsearched(&self) -> u64 {
+    pub(super) fn unsearched_lines(&self) -> u64 {
         match &self.again {
             Again::File => 0,
             Again::Kept(kept) => kept.dropped,
--- a/src/trace/scope.rs
+++ b/src/trace/scope.rs
@@ -56,7 +56,7 @@
 
     /// Tells whether a line that is not the job's own explains it.
     pub(super) fn explains(&self, line: &Line, around: Span) -> bool {
-        let other = line.job.is_some() || line.names(self.job);
+        let other = line.job.is_some() || line.is_about(self.job);
         if other || !self.near(line.time_ms, around) {
             return false;
         }
--- a/src/trace/text.rs
+++ b/src/trace/text.rs
@@ -15,8 +15,8 @@
 use super::{
     Entry,
     Gap,
-    Skip,
-    Story, //
+    SkippedLines,
+    Trace, //
 };
 
 /// Times of a story, in UTC.
@@ -44,7 +44,7 @@
     }
 }
 
-impl Story {
+impl Trace {
     /// Returns its lines as they were written, without what collectors put in front.
     pub fn raw(&self) -> String {
         let lines = self.entries.iter().map(|entry| entry.line.text.as_str());
@@ -56,7 +56,7 @@
     }
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for Trace {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let time = |entry: Option<&Entry>| entry.map_or(0, |entry| entry.line.time_ms);
         let (first, last) = (time(self.own().next()), time(self.own().next_back()));
@@ -122,7 +122,7 @@
     }
 }
 
-impl fmt::Display for Skip {
+impl fmt::Display for SkippedLines {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
