--- a/src/core/claim_resolution.rs
+++ b/src/core/claim_resolution.rs
@@ -104,7 +104,7 @@
     fn schedule_claim_read(&mut self, mut job: Job<Received>, nonce: Nonce) {
         if !matches!(job.stage.wait, Wait::Settle(_)) {
             let name = job.submission.key.as_ref().map(ToString::to_string);
-            self.log_event(Code::ClaimUnsettled, name.unwrap_or_default());
+            self.log_event(Code::ClaimAnswerLost, name.unwrap_or_default());
         }
         job.stage.wait = Wait::Settle(nonce);
         let at = self.now + SETTLE;
--- a/src/core/config/edit.rs
+++ b/src/core/config/edit.rs
@@ -267,7 +267,7 @@
                 // operation is not settled) let just one copy take effect, and when it fails, the rows that come
                 // back tell whether an earlier copy did, or that the head has moved so that none ever can.
                 if result == Completion::Unknown {
-                    self.log_event(Code::ChangeUnsettled, plan_name(&plan));
+                    self.log_event(Code::ChangeAnswerLost, plan_name(&plan));
                 }
                 let now = self.now;
                 if let Some(job) = self.edits.queue.front_mut() {
--- a/src/core/execution.rs
+++ b/src/core/execution.rs
@@ -239,7 +239,7 @@
                     self.conclude(attempt, None, Conclusion::Lost);
                 } else {
                     // It may run on behind a broken connection; the endpoint itself knows.
-                    self.log_event(Code::StartLost, attempt.to_string());
+                    self.log_event(Code::StartUnanswered, attempt.to_string());
                     self.request_status(&pending, false);
                 }
             }
