--- a/src/caller.rs
+++ b/src/caller.rs
@@ -150,7 +150,7 @@
         waiting: RefCell::default(),
     });
     let acceptor = spawn_local(accept(shared.clone(), listener));
-    while let Some(output) = answers.next().await {
+    while let Some(output) = answers.recv().await {
         shared.deliver(output);
     }
     acceptor.abort();
@@ -331,7 +331,7 @@
             let detail = "this instance has ended; try another";
             return Answer::refusal(Reason::Draining, detail).with_retry(Span::millis(50));
         }
-        self.context.metrics.ring_refused();
+        self.context.metrics.count_ring_refusal();
         Event::new(Code::RingFull, "from the callers").log();
         Answer::refusal(Reason::Busy, "the instance has no room").with_retry(Span::millis(500))
     }
@@ -368,7 +368,7 @@
             shared: self,
             request,
         };
-        if self.back.push(input(request)).is_err() {
+        if self.back.try_send(input(request)).is_err() {
             return None;
         }
         let output = receiver.await.ok();
@@ -445,7 +445,7 @@
         let waiting = self.shared.waiting.borrow_mut().remove(&self.request);
         if waiting.is_some() {
             // Where the ring is full the job merely goes on, as it does with a key.
-            self.shared.back.push(Input::Hangup(self.request)).ok();
+            self.shared.back.try_send(Input::Hangup(self.request)).ok();
         }
     }
 }
--- a/src/caller/admin.rs
+++ b/src/caller/admin.rs
@@ -158,7 +158,7 @@
         Ok(Edit {
             operator,
             from: from.to_string(),
-            at_ms: clock::wall(),
+            at_ms: clock::unix_millis(),
             operation,
             dry_run: self.flag("dry_run")?,
             confirmed: self.confirmed()?,
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -25,13 +25,13 @@
     }
 
     /// Returns a point in time as the runtime's type.
-    pub fn instant(&self, time: Time) -> tokio::time::Instant {
+    pub fn to_instant(&self, time: Time) -> tokio::time::Instant {
         tokio::time::Instant::from_std(self.0 + Duration::from_micros(time.0))
     }
 }
 
 /// Returns the wall clock in milliseconds since 1970, for people to read; nothing is decided by it.
-pub fn wall() -> u64 {
+pub fn unix_millis() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |span| span.as_millis() as u64)
 }
--- a/src/core.rs
+++ b/src/core.rs
@@ -200,7 +200,7 @@
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Output> {
         let gap = now.since(self.now);
         if gap >= PAUSE && self.now != Time::default() {
-            self.log_event(Code::Awoke, format!("for {gap}"));
+            self.log_event(Code::Stalled, format!("for {gap}"));
         }
         self.now = self.now.max(now);
         self.run_timers();
@@ -360,7 +360,7 @@
     fn log_forgotten(&mut self, dropped: usize) {
         // Age alone drops keys all the time; only a full registry is worth a line.
         if dropped > 0 && self.registry.is_full() {
-            self.log_event(Code::Forgotten, format!("{dropped} keys"));
+            self.log_event(Code::AnswersDropped, format!("{dropped} keys"));
         }
     }
 
--- a/src/decision.rs
+++ b/src/decision.rs
@@ -57,7 +57,7 @@
 }
 
 /// The rings that lead to the decisions.
-pub struct Inlets {
+pub struct Receivers {
     /// From the callers.
     pub callers: ring::Receiver<Input>,
     /// From the endpoints.
@@ -71,7 +71,7 @@
 }
 
 /// The rings that lead from the decisions.
-pub struct Outlets {
+pub struct Senders {
     /// To the callers.
     pub callers: ring::Sender<Output>,
     /// To the endpoints.
@@ -87,7 +87,7 @@
 struct Dispatcher {
     core: Core,
     clock: Clock,
-    outlets: Outlets,
+    senders: Senders,
     status: Arc<Status>,
     metrics: Arc<Metrics>,
     drained: Option<oneshot::Sender<()>>,
@@ -100,8 +100,8 @@
 pub async fn serve(
     core: Core,
     clock: Clock,
-    mut inlets: Inlets,
-    outlets: Outlets,
+    mut receivers: Receivers,
+    senders: Senders,
     status: Arc<Status>,
     metrics: Arc<Metrics>,
     drained: oneshot::Sender<()>,
@@ -109,7 +109,7 @@
     let dispatcher = Dispatcher {
         core,
         clock,
-        outlets,
+        senders,
         status,
         metrics,
         drained: Some(drained),
@@ -119,18 +119,18 @@
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut due = None;
     loop {
-        let wake = clock.instant(due.unwrap_or(clock.now() + TICK));
+        let wake = clock.to_instant(due.unwrap_or(clock.now() + TICK));
         let first = tokio::select! {
-            Some(input) = inlets.control.next() => Some(input),
-            Some(input) = inlets.endpoints.next() => Some(input),
-            Some(input) = inlets.callers.next() => Some(input),
-            Some(input) = inlets.platform.next() => Some(input),
-            Some(input) = inlets.peers.next() => Some(input),
+            Some(input) = receivers.control.recv() => Some(input),
+            Some(input) = receivers.endpoints.recv() => Some(input),
+            Some(input) = receivers.callers.recv() => Some(input),
+            Some(input) = receivers.platform.recv() => Some(input),
+            Some(input) = receivers.peers.recv() => Some(input),
             _ = tick.tick() => Some(Input::Tick),
             () = sleep_until(wake) => None,
         };
         let mut batch = Vec::from_iter(first);
-        inlets.gather(&mut batch);
+        receivers.gather(&mut batch);
         match address.send(Batch(batch)).await {
             Ok(next) => due = next,
             Err(_) => return,
@@ -138,18 +138,18 @@
     }
 }
 
-impl Inlets {
+impl Receivers {
     /// Takes what has come by now: ends of tasks go first, since they make room.
     fn gather(&mut self, batch: &mut Vec<Input>) {
-        let inlets = [
+        let receivers = [
             &mut self.endpoints,
             &mut self.platform,
             &mut self.peers,
             &mut self.callers,
         ];
-        for inlet in inlets {
+        for receiver in receivers {
             while batch.len() < BATCH {
-                let Some(input) = inlet.take() else {
+                let Some(input) = receiver.try_recv() else {
                     break;
                 };
                 batch.push(input);
@@ -194,7 +194,7 @@
         match output {
             Output::Event(event) => {
                 if event.code == Code::Draining {
-                    self.metrics.draining();
+                    self.metrics.count_drain();
                 }
                 event.log();
                 None
@@ -211,31 +211,31 @@
             }
             // Answers wait for a place: the callers' thread never waits for this one.
             output @ (Output::Answer(..) | Output::Report(..)) => {
-                self.outlets.callers.send(output).await;
+                self.senders.callers.send(output).await;
                 None
             }
             output @ Output::Return(..) => {
-                self.outlets.peers.send(output).await;
+                self.senders.peers.send(output).await;
                 None
             }
             output @ Output::Abandon(_) => {
-                self.outlets.endpoints.send(output).await;
+                self.senders.endpoints.send(output).await;
                 None
             }
             output @ (Output::Start { .. } | Output::Look { .. }) => {
-                self.refused(self.outlets.endpoints.push(output))
+                self.refused(self.senders.endpoints.try_send(output))
             }
             output @ (Output::Command(..) | Output::Share(_)) => {
-                self.refused(self.outlets.platform.push(output))
+                self.refused(self.senders.platform.try_send(output))
             }
-            output @ Output::Call { .. } => self.refused(self.outlets.peers.push(output)),
+            output @ Output::Call { .. } => self.refused(self.senders.peers.try_send(output)),
         }
     }
 
     /// Returns the input that reports to the core that an output found its ring full.
     fn refused(&self, pushed: Result<(), Output>) -> Option<Input> {
         let output = pushed.err()?;
-        self.metrics.ring_refused();
+        self.metrics.count_ring_refusal();
         refusal(output)
     }
 
@@ -245,11 +245,11 @@
                 outcome,
                 reason,
                 class,
-            } => self.metrics.answered(*outcome, *reason, *class),
-            Sample::Completed { took, ideal } => self.metrics.completed(*took, *ideal),
-            Sample::Started => self.metrics.started(),
-            Sample::Retried => self.metrics.retried(),
-            Sample::Hedged => self.metrics.hedged(),
+            } => self.metrics.count_answer(*outcome, *reason, *class),
+            Sample::Completed { took, ideal } => self.metrics.observe_job(*took, *ideal),
+            Sample::Started => self.metrics.count_start(),
+            Sample::Retried => self.metrics.count_retry(),
+            Sample::Hedged => self.metrics.count_hedge(),
         }
     }
 
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -100,7 +100,7 @@
     let mut trim = tokio::time::interval(TRIM);
     loop {
         let alive = tokio::select! {
-            order = orders.next() => match order {
+            order = orders.recv() => match order {
                 Some(order) => address.send(Order(order)).await.is_ok(),
                 None => false,
             },
@@ -151,7 +151,7 @@
     type Return = ();
 
     async fn handle(&mut self, _: Trim, _: &mut Context<Self>) {
-        lock(&self.link.pool).trim();
+        lock(&self.link.pool).close_expired();
     }
 }
 
@@ -178,14 +178,14 @@
         if self.clock.now() >= expires {
             return End::Withheld;
         }
-        let request = http::request(Method::POST, address, "/tasks", Bytes::from(body));
-        self.metrics.message(Message::Start);
+        let request = http::build_request(Method::POST, address, "/tasks", Bytes::from(body));
+        self.metrics.count_message(Message::Start);
         let reply = match connection.send(request).await {
             Ok(reply) => reply,
             Err(Failure::Unsent(_)) => return End::Unsent,
             Err(Failure::Broken(_)) => return End::Broken,
         };
-        self.metrics.message(Message::Reply);
+        self.metrics.count_message(Message::Reply);
         let known = matches!(
             reply.status,
             StatusCode::OK | StatusCode::SERVICE_UNAVAILABLE
@@ -201,7 +201,7 @@
 
     async fn look(self: Arc<Self>, address: String, attempt: Attempt, stop: bool) {
         self.metrics
-            .message(if stop { Message::Stop } else { Message::Look });
+            .count_message(if stop { Message::Stop } else { Message::Lookup });
         let status = timeout(LOOK, ask(&address, attempt, stop)).await;
         let status = status.ok().flatten();
         self.back.send(Input::Looked(attempt, status)).await;
@@ -216,7 +216,7 @@
     } else {
         (Method::GET, format!("/tasks/{attempt}"))
     };
-    let request = http::request(method, address, &path, Bytes::new());
+    let request = http::build_request(method, address, &path, Bytes::new());
     let reply = connection.send(request).await.ok()?;
     serde_json::from_slice(&reply.body).ok()
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -39,7 +39,7 @@
 };
 
 /// How long a connection may take to open: a round trip takes under a millisecond.
-pub const CONNECT: Duration = Duration::from_millis(500);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The largest body that is read, in bytes.
 const LARGEST: usize = 64 << 20;
@@ -67,10 +67,10 @@
 pub enum Cause {
     /// The connection didn't open in time.
     #[error("no connection in {} s", .0.as_secs_f64())]
-    Connect(Duration),
+    ConnectTimeout(Duration),
     /// The answer didn't come in time.
     #[error("no answer in {} s", .0.as_secs_f64())]
-    Answer(Duration),
+    AnswerTimeout(Duration),
     /// The connection was refused, or can't be made.
     #[error(transparent)]
     Socket(#[from] io::Error),
@@ -98,9 +98,9 @@
     ///
     /// # Errors
     ///
-    /// Tells that the other side can't be reached within [`CONNECT`].
+    /// Tells that the other side can't be reached within [`CONNECT_TIMEOUT`].
     pub async fn open(address: &str) -> Result<Self, Failure> {
-        Self::open_within(CONNECT, LARGEST, address).await
+        Self::open_within(CONNECT_TIMEOUT, LARGEST, address).await
     }
 
     /// Opens a connection whose answers may have up to `largest` bytes.
@@ -114,7 +114,7 @@
         address: &str,
     ) -> Result<Self, Failure> {
         let stream = timeout(wait, TcpStream::connect(address)).await;
-        let stream = stream.map_err(|_| Failure::Unsent(Cause::Connect(wait)))?;
+        let stream = stream.map_err(|_| Failure::Unsent(Cause::ConnectTimeout(wait)))?;
         let stream = stream.map_err(|error| Failure::Unsent(error.into()))?;
         stream.set_nodelay(true).ok();
         let handshake = http1::handshake(TokioIo::new(stream)).await;
@@ -148,7 +148,7 @@
         Ok(Reply { status, etag, body })
     }
 
-    fn usable(&self) -> bool {
+    fn is_usable(&self) -> bool {
         !self.sender.is_closed()
     }
 }
@@ -174,7 +174,12 @@
 }
 
 /// Builds a request with a JSON body, or none.
-pub fn request(method: Method, address: &str, path: &str, body: Bytes) -> Request<Full<Bytes>> {
+pub fn build_request(
+    method: Method,
+    address: &str,
+    path: &str,
+    body: Bytes,
+) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = method;
     // A path that is no URI can only come from a name that was checked before.
@@ -186,13 +191,13 @@
 }
 
 /// Builds a request whose body, if there is one, is said to be JSON.
-pub fn json_request(
+pub fn build_json_request(
     method: Method,
     address: &str,
     path: &str,
     body: Bytes,
 ) -> Request<Full<Bytes>> {
-    let mut request = request(method, address, path, body);
+    let mut request = build_request(method, address, path, body);
     let json = HeaderValue::from_static("application/json");
     request.headers_mut().insert(CONTENT_TYPE, json);
     request
@@ -227,7 +232,7 @@
                 idle.clear();
                 return None;
             }
-            if connection.usable() {
+            if connection.is_usable() {
                 return Some(connection);
             }
         }
@@ -251,17 +256,17 @@
     }
 
     /// Closes the idle connections to an address.
-    pub fn forget(&mut self, address: &str) {
+    pub fn remove(&mut self, address: &str) {
         self.idle.remove(address);
     }
 
     /// Closes the connections that are trusted no more.
-    pub fn trim(&mut self) {
+    pub fn close_expired(&mut self) {
         let now = Instant::now();
         let trust = self.trust;
         self.idle.retain(|_, idle| {
             idle.retain(|(since, connection)| {
-                now.duration_since(*since) < trust && connection.usable()
+                now.duration_since(*since) < trust && connection.is_usable()
             });
             !idle.is_empty()
         });
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -47,7 +47,7 @@
     rows::Rows,
 };
 use crate::{
-    clock::wall,
+    clock::unix_millis,
     dispatch::{
         id::Epoch,
         message::{
@@ -102,9 +102,9 @@
     let identity = Identity {
         contact: contact.clone(),
         centre: site.centre.clone(),
-        incarnation: wall(),
+        incarnation: unix_millis(),
         share: site.share,
-        epoch: Epoch(wall() / 1_000),
+        epoch: Epoch(unix_millis() / 1_000),
     };
     let heartbeats = UdpSocket::bind(site.peers).await;
     let heartbeats = heartbeats.map_err(|source| Error::Listen {
--- a/src/instance/calls.rs
+++ b/src/instance/calls.rs
@@ -82,7 +82,7 @@
 
     /// Closes the idle connections to an endpoint.
     pub fn forget(&self, address: &str) {
-        self.pool.borrow_mut().forget(address);
+        self.pool.borrow_mut().remove(address);
     }
 }
 
@@ -110,7 +110,7 @@
         hub.gauges.connected();
     }
     let (path, body) = order::write(order);
-    let mut request = http::json_request(Method::POST, address, path, Bytes::from(body));
+    let mut request = http::build_json_request(Method::POST, address, path, Bytes::from(body));
     let headers = request.headers_mut();
     if let Ok(expected) = HeaderValue::from_str(endpoint.as_str()) {
         headers.insert(HeaderName::from_static(order::EXPECTED), expected);
--- a/src/instance/feeds.rs
+++ b/src/instance/feeds.rs
@@ -131,7 +131,7 @@
 
     async fn exchange(&mut self, method: Method, path: &str, body: Vec<u8>) -> Option<Reply> {
         let idle = self.connection.take();
-        let request = http::json_request(method, &self.address, path, Bytes::from(body));
+        let request = http::build_json_request(method, &self.address, path, Bytes::from(body));
         let answer = http::exchange(idle, &self.address, request).await;
         let (reply, connection) = answer.ok()?;
         self.connection = Some(connection);
--- a/src/instance/gauges.rs
+++ b/src/instance/gauges.rs
@@ -67,9 +67,9 @@
         let buckets = || exponential_buckets(first, ratio, count);
         Self {
             answers: r.add("answers", "Answers to callers"),
-            answered: r.histogram("answer_seconds", "From a request to its answer", buckets()),
+            answered: r.add_histogram("answer_seconds", "From a request to its answer", buckets()),
             calls: r.add("calls", "Calls to endpoints"),
-            starts: r.histogram(
+            starts: r.add_histogram(
                 "start_seconds",
                 "From a start to the endpoint's answer",
                 buckets(),
--- a/src/instance/journal.rs
+++ b/src/instance/journal.rs
@@ -18,7 +18,7 @@
 };
 
 use crate::{
-    clock::wall,
+    clock::unix_millis,
     dispatch::message::Record,
     error::Error,
     prelude::*, //
@@ -80,7 +80,7 @@
 
     /// Writes a line, or counts it as left out.
     pub fn log(&mut self, record: &Record) {
-        let time = wall();
+        let time = unix_millis();
         if time / 1_000 != self.second {
             self.second = time / 1_000;
             (self.routine, self.lines) = (0, 0);
--- a/src/instance/peers.rs
+++ b/src/instance/peers.rs
@@ -55,7 +55,7 @@
     },
     fleet_capnp::mailbox,
     prelude::*,
-    rpc::network,
+    rpc::build_network,
 };
 
 /// How long a connection to a peer may take to open: some round trips, below the silence that ends a session.
@@ -270,7 +270,7 @@
         let socket = TcpSocket::new_v4().ok()?;
         socket.bind(SocketAddr::new(own, 0)).ok()?;
         let stream = timeout(CONNECT, socket.connect(peer)).await.ok()?.ok()?;
-        let mut system = RpcSystem::new(network(stream, Side::Client), None);
+        let mut system = RpcSystem::new(build_network(stream, Side::Client), None);
         let client = system.bootstrap(Side::Server);
         let driver = spawn_local(async move {
             // It ends with the connection, which the next delivery finds.
@@ -346,7 +346,7 @@
         let hub = hub.clone();
         let connection = spawn_local(async move {
             let client: mailbox::Client = capnp_rpc::new_client(Served { hub });
-            let network = network(stream, Side::Server);
+            let network = build_network(stream, Side::Server);
             // A connection ends with its peer, which says so itself or falls silent.
             RpcSystem::new(network, Some(client.client)).await.ok();
         });
--- a/src/instance/rows.rs
+++ b/src/instance/rows.rs
@@ -100,7 +100,7 @@
             }
         };
         let idle = self.pool.borrow_mut().take(&self.address);
-        let request = http::json_request(method, &self.address, &path, Bytes::from(body));
+        let request = http::build_json_request(method, &self.address, &path, Bytes::from(body));
         let answer = http::exchange(idle, &self.address, request).await;
         let (reply, connection) = answer.ok()?;
         self.pool.borrow_mut().put(&self.address, connection);
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -52,7 +52,7 @@
     /// The end of a task, as its endpoint reported it.
     Reply,
     /// A look at an attempt.
-    Look,
+    Lookup,
     /// A stop of an attempt.
     Stop,
     /// A call to a peer.
@@ -72,7 +72,7 @@
     pub const ALL: [Self; 9] = [
         Self::Start,
         Self::Reply,
-        Self::Look,
+        Self::Lookup,
         Self::Stop,
         Self::PeerCall,
         Self::TableCommit,
@@ -87,7 +87,7 @@
         f.write_str(match self {
             Self::Start => "start",
             Self::Reply => "reply",
-            Self::Look => "look",
+            Self::Lookup => "look",
             Self::Stop => "stop",
             Self::PeerCall => "peer-call",
             Self::TableCommit => "table-commit",
@@ -185,12 +185,12 @@
         Self {
             requests: r.add("requests", "Answers to submissions"),
             refusals: r.add("refusals", "Submissions not run"),
-            job_seconds: r.histogram(
+            job_seconds: r.add_histogram(
                 "job_seconds",
                 "From a submission's arrival to its answer",
                 job_buckets,
             ),
-            response_ratio: r.histogram(
+            response_ratio: r.add_histogram(
                 "response_ratio",
                 "Response time over the longest task of the job",
                 RATIO_BUCKETS,
@@ -217,7 +217,7 @@
     }
 
     /// Counts an answer, and what it refuses.
-    pub fn answered(&self, outcome: Outcome, reason: Reason, class: Class) {
+    pub fn count_answer(&self, outcome: Outcome, reason: Reason, class: Class) {
         let request = Request {
             outcome: Label(outcome),
             class: Label(class),
@@ -230,7 +230,7 @@
     }
 
     /// Notes how long a complete job took, and what it would have taken at best.
-    pub fn completed(&self, took: Span, ideal: Span) {
+    pub fn observe_job(&self, took: Span, ideal: Span) {
         self.job_seconds.observe(took.duration().as_secs_f64());
         if ideal.0 > 0 {
             self.response_ratio.observe(took.0 as f64 / ideal.0 as f64);
@@ -238,32 +238,32 @@
     }
 
     /// Counts a started task. A retry or a hedge is counted besides, by its own method.
-    pub fn started(&self) {
+    pub fn count_start(&self) {
         self.starts.inc();
     }
 
     /// Counts a task that is started again.
-    pub fn retried(&self) {
+    pub fn count_retry(&self) {
         self.retries.inc();
     }
 
     /// Counts a task that is started a second time to outrun a straggler.
-    pub fn hedged(&self) {
+    pub fn count_hedge(&self) {
         self.hedges.inc();
     }
 
     /// Counts a message.
-    pub fn message(&self, kind: Message) {
+    pub fn count_message(&self, kind: Message) {
         self.messages[kind as usize].inc();
     }
 
     /// Counts work that was refused because a ring was full.
-    pub fn ring_refused(&self) {
+    pub fn count_ring_refusal(&self) {
         self.ring_refusals.inc();
     }
 
     /// Counts a drain.
-    pub fn draining(&self) {
+    pub fn count_drain(&self) {
         self.drains.inc();
     }
 
--- a/src/metrics/registry.rs
+++ b/src/metrics/registry.rs
@@ -30,7 +30,7 @@
     }
 
     /// Adds an empty histogram with these upper bounds, and returns it.
-    pub fn histogram(
+    pub fn add_histogram(
         &mut self,
         name: &str,
         help: &str,
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -43,7 +43,7 @@
         Output,
         Return, //
     },
-    http::CONNECT,
+    http::CONNECT_TIMEOUT,
     metrics::{
         Message,
         Metrics, //
@@ -55,7 +55,7 @@
     },
     prelude::*,
     ring,
-    rpc::network,
+    rpc::build_network,
     settings::Settings,
 };
 
@@ -104,7 +104,7 @@
         served: Cell::new(0),
     });
     let accept = spawn_local(accept(shared.clone(), listener));
-    while let Some(order) = orders.next().await {
+    while let Some(order) = orders.recv().await {
         match order {
             Output::Call {
                 to,
@@ -115,7 +115,7 @@
             } => {
                 let shared = shared.clone();
                 spawn_local(async move {
-                    shared.metrics.message(Message::PeerCall);
+                    shared.metrics.count_message(Message::PeerCall);
                     let result = shared.call(&to, &address, call, wait.duration()).await;
                     shared.back.send(Input::Returned(id, result)).await;
                 });
@@ -151,7 +151,7 @@
                 shared: shared.clone(),
             };
             let client: peer::Client = capnp_rpc::new_client(served);
-            let network = network(stream, Side::Server);
+            let network = build_network(stream, Side::Server);
             RpcSystem::new(network, Some(client.client)).await.ok();
             shared.served.set(shared.served.get() - 1);
         });
@@ -190,9 +190,9 @@
                 return Some(link.clone());
             }
         }
-        let stream = timeout(CONNECT, TcpStream::connect(address)).await;
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream = stream.ok()?.ok()?;
-        let mut system = RpcSystem::new(network(stream, Side::Client), None);
+        let mut system = RpcSystem::new(build_network(stream, Side::Client), None);
         let client: peer::Client = system.bootstrap(Side::Server);
         spawn_local(system);
         let link = Link {
@@ -211,7 +211,7 @@
         let mut calls = self.calls.borrow_mut();
         calls.retain(|_, call| !call.is_closed());
         // Dropping the sender tells the peer that the call was refused.
-        if calls.len() < CALLS && self.back.push(Input::Called(caller, call)).is_ok() {
+        if calls.len() < CALLS && self.back.try_send(Input::Called(caller, call)).is_ok() {
             calls.insert(caller, sender);
         }
         receiver
--- a/src/ring.rs
+++ b/src/ring.rs
@@ -79,7 +79,7 @@
     /// # Errors
     ///
     /// Gives the item back when the ring is full.
-    pub fn push(&self, item: T) -> Result<(), T> {
+    pub fn try_send(&self, item: T) -> Result<(), T> {
         match lock(&self.ring).push(item) {
             Ok(()) => {
                 self.wake.0.item.notify_one();
@@ -96,7 +96,7 @@
     pub async fn send(&self, mut item: T) {
         loop {
             let space = self.wake.0.space.notified();
-            match self.push(item) {
+            match self.try_send(item) {
                 Ok(()) => return,
                 Err(back) => item = back,
             }
@@ -110,20 +110,20 @@
 
 impl<T> Receiver<T> {
     /// Takes the next item, waiting for it; none once the sender is gone.
-    pub async fn next(&mut self) -> Option<T> {
+    pub async fn recv(&mut self) -> Option<T> {
         loop {
-            if let Some(item) = self.take() {
+            if let Some(item) = self.try_recv() {
                 return Some(item);
             }
             if self.ring.is_abandoned() {
-                return self.take();
+                return self.try_recv();
             }
             self.wake.0.item.notified().await;
         }
     }
 
     /// Takes the next item if there is one.
-    pub fn take(&mut self) -> Option<T> {
+    pub fn try_recv(&mut self) -> Option<T> {
         let item = self.ring.pop().ok()?;
         self.wake.0.space.notify_waiters();
         Some(item)
--- a/src/rpc.rs
+++ b/src/rpc.rs
@@ -9,7 +9,10 @@
 use tokio_util::compat::TokioAsyncReadCompatExt as _;
 
 /// Makes one end of a connection speak capnp-rpc.
-pub fn network(stream: TcpStream, side: Side) -> Box<VatNetwork<impl futures::AsyncRead + Unpin>> {
+pub fn build_network(
+    stream: TcpStream,
+    side: Side,
+) -> Box<VatNetwork<impl futures::AsyncRead + Unpin>> {
     stream.set_nodelay(true).ok();
     let (reader, writer) = stream.compat().split();
     let network = VatNetwork::new(
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -136,14 +136,14 @@
     let (to_endpoints, endpoint_out) = ring::channel(places);
     let (to_platform, platform_out) = ring::channel(places);
     let (to_peers, peer_out) = ring::channel(places);
-    let inlets = decision::Inlets {
+    let inlets = decision::Receivers {
         callers: from_callers,
         endpoints: from_endpoints,
         platform: from_platform,
         peers: from_peers,
         control: from_control,
     };
-    let outlets = decision::Outlets {
+    let outlets = decision::Senders {
         callers: to_callers,
         endpoints: to_endpoints,
         platform: to_platform,
--- a/src/table.rs
+++ b/src/table.rs
@@ -143,7 +143,7 @@
         bucket: Bucket::new(settings.limits.writes),
     };
     let address = xtra::spawn_tokio(committer, Mailbox::bounded(settings.limits.ring));
-    while let Some(order) = orders.next().await {
+    while let Some(order) = orders.recv().await {
         if address.send(Order(order)).await.is_err() {
             return;
         }
@@ -289,7 +289,7 @@
         let (tickets, groups): (Vec<_>, Vec<_>) = batch.into_iter().unzip();
         let count = groups.len();
         let body = serde_json::to_vec(&Commit { groups }).unwrap_or_default();
-        self.metrics.message(Message::TableCommit);
+        self.metrics.count_message(Message::TableCommit);
         let reply = self.send(Method::POST, "/table/commit", body.into()).await;
         let verdicts = match reply {
             Ok(reply) if reply.status == StatusCode::OK => {
@@ -326,7 +326,7 @@
         let _permit = self.reads.acquire().await;
         match operate {
             Command::Read(key) => {
-                self.metrics.message(Message::TableRead);
+                self.metrics.count_message(Message::TableRead);
                 let path = format!("/table/row?key={key}");
                 self.read(&path, |body| {
                     let row: Option<Row> = body.map(serde_json::from_slice).transpose()?;
@@ -339,7 +339,7 @@
                 after,
                 limit,
             } => {
-                self.metrics.message(Message::TableRead);
+                self.metrics.count_message(Message::TableRead);
                 let path = format!("/table/scan?prefix={prefix}&after={after}&limit={limit}");
                 self.read(&path, |body| {
                     let scan: Scan = serde_json::from_slice(body.unwrap_or_default())?;
@@ -348,13 +348,13 @@
                 .await
             }
             Command::Get(name) => {
-                self.metrics.message(Message::Object);
+                self.metrics.count_message(Message::Object);
                 let path = format!("/objects/{name}");
                 self.read(&path, |body| Ok(Completion::Object(body.map(Arc::from))))
                     .await
             }
             Command::Put { name, bytes } => {
-                self.metrics.message(Message::Object);
+                self.metrics.count_message(Message::Object);
                 let path = format!("/objects/{name}");
                 let body = Bytes::copy_from_slice(&bytes);
                 match self.send(Method::PUT, &path, body).await {
@@ -386,7 +386,7 @@
 
     /// Sends a request to the platform; what takes longer than the bound may have taken effect.
     async fn send(&self, method: Method, path: &str, body: Bytes) -> Result<Reply, Failure> {
-        let request = http::request(method, &self.address, path, body);
+        let request = http::build_request(method, &self.address, path, body);
         self.send_request(request).await
     }
 
@@ -402,7 +402,7 @@
                 Ok(reply)
             }
             Ok(Err(failure)) => Err(failure),
-            Err(_) => Err(Failure::Broken(Cause::Answer(self.wait))),
+            Err(_) => Err(Failure::Broken(Cause::AnswerTimeout(self.wait))),
         }
     }
 }
--- a/src/table/list.rs
+++ b/src/table/list.rs
@@ -76,8 +76,8 @@
 
     /// Reads one part; tells whether it has changed, or nothing where it can't be read.
     async fn read_part(&self, part: &mut Part) -> Option<bool> {
-        self.metrics.message(Message::ListRead);
-        let mut request = http::request(Method::GET, &self.address, &part.path, Bytes::new());
+        self.metrics.count_message(Message::ListRead);
+        let mut request = http::build_request(Method::GET, &self.address, &part.path, Bytes::new());
         if let Some(etag) = part.etag.as_ref().and_then(|etag| etag.parse().ok()) {
             request.headers_mut().insert(IF_NONE_MATCH, etag);
         }
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -657,10 +657,10 @@
 #[test]
 fn metrics_show_what_was_counted_and_are_documented() {
     let metrics = Metrics::new();
-    metrics.answered(Outcome::NotRun, Reason::Busy, Class::Once);
-    metrics.completed(Span::millis(51), Span::millis(50));
-    metrics.started();
-    metrics.message(Message::ListRead);
+    metrics.count_answer(Outcome::NotRun, Reason::Busy, Class::Once);
+    metrics.observe_job(Span::millis(51), Span::millis(50));
+    metrics.count_start();
+    metrics.count_message(Message::ListRead);
     metrics.set_gauges(Gauges {
         waiting: 3,
         ..Gauges::default()
