--- a/examples/failures.rs
+++ b/examples/failures.rs
@@ -5,10 +5,10 @@
 
 #[path = "../tests/platform/fleet.rs"]
 mod fleet;
+#[path = "../tests/trace/incidents.rs"]
+mod incidents;
 #[path = "../tests/platform/runner.rs"]
 mod runner;
-#[path = "../tests/trace/scenes.rs"]
-mod scenes;
 #[path = "../tests/platform/store.rs"]
 mod store;
 #[path = "../tests/support.rs"]
@@ -22,7 +22,7 @@
     process::ExitCode,
 };
 
-use scenes::Scene;
+use incidents::Incident;
 use support::Result;
 
 fn main() -> ExitCode {
@@ -51,36 +51,39 @@
     let program = std::env::current_exe()?;
     tell(
         &folder.join("lost-instance"),
-        &scenes::lost_instance(&program).await?,
+        &incidents::lost_instance(&program).await?,
     )?;
     tell(
         &folder.join("lost-endpoint"),
-        &scenes::lost_endpoint(&program).await?,
+        &incidents::lost_endpoint(&program).await?,
+    )?;
+    tell(
+        &folder.join("overload"),
+        &incidents::overload(&program).await?,
     )?;
-    tell(&folder.join("overload"), &scenes::overload(&program).await?)?;
     tell(
         &folder.join("lost-store"),
-        &scenes::lost_store(&program).await?,
+        &incidents::lost_store(&program).await?,
     )
 }
 
-/// Keeps a scene's logs, and tells its story from them.
-fn tell(folder: &Path, scene: &Scene) -> Result {
+/// Keeps an incident's logs, and tells its story from them.
+fn tell(folder: &Path, incident: &Incident) -> Result {
     std::fs::create_dir_all(folder)?;
     let mut logs: Vec<PathBuf> = Vec::new();
-    for log in &scene.logs {
+    for log in &incident.logs {
         let path = folder.join(format!("{}.log", log.instance));
         std::fs::write(&path, &log.text)?;
         logs.push(path);
     }
-    println!("# The caller saw {}.", scene.seen);
+    println!("# The caller saw {}.", incident.response);
     println!(
         "$ poplarknot trace {} {}/*.log",
-        scene.job,
+        incident.job,
         folder.display()
     );
     let logs = logs.iter().map(|path| path.display().to_string());
-    let arguments = ["trace".to_owned(), scene.job.clone()]
+    let arguments = ["trace".to_owned(), incident.job.clone()]
         .into_iter()
         .chain(logs);
     poplarknot::cli::run(arguments);
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -5,13 +5,13 @@
 #[path = "platform/fleet.rs"]
 #[allow(dead_code)] // The platform's own tests use the rest.
 mod fleet;
+#[path = "trace/incidents.rs"]
+mod incidents;
 #[path = "platform/runner.rs"]
 #[allow(dead_code)]
 mod runner;
 #[path = "trace/runs.rs"]
 mod runs;
-#[path = "trace/scenes.rs"]
-mod scenes;
 #[path = "platform/store.rs"]
 #[allow(dead_code)]
 mod store;
--- a/tests/trace/scenes.rs
+++ b/tests/trace/incidents.rs
@@ -44,16 +44,16 @@
 }
 
 /// A failed request.
-pub(crate) struct Scene {
+pub(crate) struct Incident {
     /// What its caller saw.
-    pub(crate) seen: String,
+    pub(crate) response: String,
     pub(crate) job: String,
     pub(crate) logs: Vec<Log>,
 }
 
-impl Scene {
+impl Incident {
     /// Takes the logs, once one of them has the line that an event of the job writes.
-    async fn take(seen: String, id: u64, fleet: &Fleet, event: &str) -> Result<Self> {
+    async fn take(response: String, id: u64, fleet: &Fleet, event: &str) -> Result<Self> {
         let job = format!("{id:016x}");
         let (event, field) = (format!("\"{event}\""), format!("\"{job}\""));
         until("the log tells it", || async {
@@ -72,7 +72,11 @@
             text: node.log(),
         };
         let logs = fleet.nodes.iter().map(log).collect();
-        Ok(Self { seen, job, logs })
+        Ok(Self {
+            response,
+            job,
+            logs,
+        })
     }
 }
 
@@ -84,7 +88,7 @@
 
 /// The instance that took a job in is killed while its tasks run on endpoints that others own. Its caller's connection
 /// breaks. The others stop what ran, and the caller comes again and has its answer.
-pub(crate) async fn lost_instance(program: &Path) -> Result<Scene> {
+pub(crate) async fn lost_instance(program: &Path) -> Result<Incident> {
     let fleet = calm(program, 3, 4, ENDLESS).await?;
     let id = 0xa01;
     let (first, second) = tokio::join!(fleet.nodes[0].submit(id, 2, 900), async {
@@ -95,16 +99,16 @@
         sleep(AGAIN).await;
         fleet.nodes[1].submit(id, 2, 900).await
     });
-    let seen = match first {
+    let response = match first {
         Ok(answer) => answer.status.to_string(),
         Err(_) => "a broken connection".to_owned(),
     };
-    let seen = format!("{seen}, and {} when it came again", second?.status);
-    Scene::take(seen, id, &fleet, "job_answered").await
+    let response = format!("{response}, and {} when it came again", second?.status);
+    Incident::take(response, id, &fleet, "job_answered").await
 }
 
 /// The only endpoint dies while it runs a job's tasks, and no other can run them in its caller's time.
-pub(crate) async fn lost_endpoint(program: &Path) -> Result<Scene> {
+pub(crate) async fn lost_endpoint(program: &Path) -> Result<Incident> {
     let mut fleet = calm(program, 1, 1, ENDLESS).await?;
     let id = 0xa02;
     let runner = fleet.runners.pop();
@@ -112,12 +116,12 @@
         sleep(MIDDLE).await;
         drop(runner);
     });
-    let seen = answer?.status.to_string();
-    Scene::take(seen, id, &fleet, "job_answered").await
+    let response = answer?.status.to_string();
+    Incident::take(response, id, &fleet, "job_answered").await
 }
 
 /// More jobs come than the endpoints can run in their callers' time; the last one is refused at once.
-pub(crate) async fn overload(program: &Path) -> Result<Scene> {
+pub(crate) async fn overload(program: &Path) -> Result<Incident> {
     let fleet = calm(program, 1, 1, TASK).await?;
     let node = &fleet.nodes[0];
     let id = 0xb00 + CROWD;
@@ -126,13 +130,13 @@
         sleep(MIDDLE).await;
         node.submit(id, 4, 900).await
     });
-    let seen = answer?.status.to_string();
-    Scene::take(seen, id, &fleet, "job_refused").await
+    let response = answer?.status.to_string();
+    Incident::take(response, id, &fleet, "job_refused").await
 }
 
 /// Jobs that must be stored come at an instance that coordinates their shard. The store answers the first, and leaves all calls
 /// for the second unanswered: whether that one was stored is open when its caller's time is gone.
-pub(crate) async fn lost_store(program: &Path) -> Result<Scene> {
+pub(crate) async fn lost_store(program: &Path) -> Result<Incident> {
     let fleet = calm(program, 2, 2, TASK).await?;
     let id = 0xc01;
     let before = (1..).find(|n| JobId(*n).shard() == JobId(id).shard());
@@ -145,6 +149,6 @@
         return Err(format!("the first job was answered {}", answer.status).into());
     }
     fleet.store.mood(Mood::Silent);
-    let seen = node.post(&path(id), &body).await?.status.to_string();
-    Scene::take(seen, id, &fleet, "request_unanswered").await
+    let response = node.post(&path(id), &body).await?.status.to_string();
+    Incident::take(response, id, &fleet, "request_unanswered").await
 }
--- a/tests/trace/runs.rs
+++ b/tests/trace/runs.rs
@@ -7,9 +7,9 @@
 
 use super::{
     events,
-    scenes::{
+    incidents::{
         self,
-        Scene, //
+        Incident, //
     },
     stderr,
     stdout,
@@ -21,11 +21,11 @@
     Path::new(env!("CARGO_BIN_EXE_poplarknot"))
 }
 
-/// Traces a scene's job in the logs that its instances left.
-fn story(scene: &Scene) -> Output {
+/// Traces an incident's job in the logs that its instances left.
+fn story(incident: &Incident) -> Output {
     let folder = tempfile::tempdir().expect("a folder can be made");
-    let mut args = vec![scene.job.clone()];
-    for log in &scene.logs {
+    let mut args = vec![incident.job.clone()];
+    for log in &incident.logs {
         let path = folder.path().join(&log.instance);
         std::fs::write(&path, &log.text).expect("the log is written");
         args.push(path.to_string_lossy().into_owned());
@@ -51,12 +51,12 @@
 /// the caller comes again elsewhere and has its answer. The killed instance says nothing after the start.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_instance_is_told_by_its_peers() -> Result {
-    let scene = scenes::lost_instance(program()).await?;
+    let incident = incidents::lost_instance(program()).await?;
     assert_eq!(
-        scene.seen,
+        incident.response,
         "a broken connection, and 200 when it came again"
     );
-    let output = story(&scene);
+    let output = story(&incident);
     let expected = [
         "job_accepted",
         "batch_sent",
@@ -77,8 +77,8 @@
 /// The only endpoint dies with the job's tasks, and none is left to run them in their caller's time.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_endpoint_is_told_by_its_owner() -> Result {
-    let scene = scenes::lost_endpoint(program()).await?;
-    assert_eq!(scene.seen, "504");
+    let incident = incidents::lost_endpoint(program()).await?;
+    assert_eq!(incident.response, "504");
     let expected = [
         "job_accepted",
         "task_started",
@@ -88,16 +88,16 @@
         "job_given_up",
         "job_answered",
     ];
-    assert_told(&story(&scene), &expected);
+    assert_told(&story(&incident), &expected);
     Ok(())
 }
 
 /// More jobs come than can be run in time; the last is refused at once, and the log says why.
 #[tokio::test(flavor = "multi_thread")]
 async fn overload_is_told_by_the_refusal() -> Result {
-    let scene = scenes::overload(program()).await?;
-    assert_eq!(scene.seen, "503");
-    let output = story(&scene);
+    let incident = incidents::overload(program()).await?;
+    assert_eq!(incident.response, "503");
+    let output = story(&incident);
     assert_told(&output, &["job_refused"]);
     assert!(stdout(&output).contains(r#"reason="it would end too late""#));
     Ok(())
@@ -107,10 +107,10 @@
 /// gone.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_store_is_told_beside_the_request() -> Result {
-    let scene = scenes::lost_store(program()).await?;
-    assert_eq!(scene.seen, "504");
+    let incident = incidents::lost_store(program()).await?;
+    assert_eq!(incident.response, "504");
     assert_told(
-        &story(&scene),
+        &story(&incident),
         &["~shard_held", "~store_lost", "request_unanswered"],
     );
     Ok(())
