--- a/src/trace.rs
+++ b/src/trace.rs
@@ -1,7 +1,8 @@
-//! One job's story out of the logs of many instances.
+//! Merges the log lines about one job from the logs of many instances into a trace.
 //!
-//! Logs are read line by line, and twice: first for the lines of the job, which tell what it touched and when, then for
-//! the lines that explain them. So no more is kept than is told, however long the logs are.
+//! Logs are read line by line, in two passes. The first pass collects the job's own lines, and with them the time span,
+//! the instances and the endpoints of the job. The second collects context: lines of the same span that concern these
+//! instances and endpoints. Memory use is bounded by the size of the trace, not by the size of the logs.
 
 pub mod line;
 mod log;
@@ -21,23 +22,24 @@
     prelude::*, //
 };
 
-/// How long before a job's first line and after its last one other lines may explain it. An instance that is gone is
-/// given up after 0.6 s, its racks are claimed within another half second, and a configuration is in force everywhere within
-/// two seconds; the rest is for clocks that differ.
+/// How long before a job's first line and after its last one context is collected by default.
+///
+/// An instance is declared lost after 0.6 s without heartbeats, its racks are claimed within another 0.5 s, and a
+/// configuration change reaches all instances within 2 s. The rest allows for clock skew between instances.
 pub const DEFAULT_CONTEXT_SPAN: Span = Span::seconds(5);
 
-/// The most that may be asked for instead: the lines of an hour of trouble still fit in memory.
+/// The largest context span accepted, so that the context fits in memory.
 pub const MAX_CONTEXT_SPAN: Span = Span::seconds(3_600);
 
-/// The event that tells that lines before it were left out.
-const THINNED: &str = "lines_left_out";
+/// The event by which an instance reports that it dropped log lines.
+const LINES_LEFT_OUT: &str = "lines_left_out";
 
-/// Where a log comes from.
+/// Where a log is read from.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Source {
     /// Standard input.
     Input,
-    /// A file, or a pipe that has a path.
+    /// The path of a file or a named pipe.
     File(String),
 }
 
@@ -50,7 +52,7 @@
     }
 }
 
-/// Reads logs for one job.
+/// Builds the trace of one job from logs.
 #[derive(Debug)]
 pub struct Tracer {
     job: JobId,
@@ -58,54 +60,54 @@
     logs: Vec<Log>,
 }
 
-/// A line of a story, with its place in the logs.
+/// A line of a trace, with its position in the logs.
 #[derive(Debug, Clone)]
 pub struct Entry {
     /// The line.
     pub line: Line,
-    /// Whether it only explains the job's own lines.
+    /// Whether the line is context and doesn't name the job.
     pub context: bool,
-    log: usize,
-    number: u64,
+    log_index: usize,
+    line_number: u64,
 }
 
-/// Lines that an instance left out of its log.
+/// A gap in an instance's log, as the instance reported it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Gap {
     /// The instance.
     pub instance: Instance,
-    /// When it told so, in milliseconds since 1970.
+    /// When the instance reported it, in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// How many lines.
+    /// The number of dropped lines.
     pub lines: u64,
 }
 
-/// What the logs tell of a job, in the order of time.
+/// The log lines about a job and their context, in the order of time.
 #[derive(Debug, Clone)]
 pub struct Trace {
     /// The job.
     pub job: JobId,
-    /// Its lines and those that explain them; at least one is its own.
+    /// The job's lines and their context; at least one line is the job's own.
     pub entries: Vec<Entry>,
-    /// Where lines may be missing.
+    /// Gaps in the logs, where lines of the job may be missing.
     pub gaps: Vec<Gap>,
-    /// Logs with lines that can't be read.
+    /// Logs with unreadable lines.
     pub skipped: Vec<SkippedLines>,
-    /// Lines of streams that were too many to be searched for what explains the job.
+    /// Lines of streams that exceeded the buffer and weren't searched for context.
     pub unsearched_lines: u64,
 }
 
-/// The lines of a log that can't be read.
+/// The unreadable lines of a log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SkippedLines {
     /// The log.
     pub source: Source,
-    /// How many lines.
+    /// The number of unreadable lines.
     pub lines: u64,
 }
 
 impl Tracer {
-    /// Makes one that reads no logs yet.
+    /// Creates a tracer without logs and with the default context span.
     pub fn new(job: JobId) -> Self {
         Self {
             job,
@@ -114,66 +116,68 @@
         }
     }
 
-    /// Sets how long before and after the job other lines may explain it, up to [`MAX_CONTEXT_SPAN`].
+    /// Sets how long before and after the job context is collected, at most [`MAX_CONTEXT_SPAN`].
     pub fn with_context_span(mut self, span: Span) -> Self {
         self.context_span = span.min(MAX_CONTEXT_SPAN);
         self
     }
 
-    /// Adds logs.
+    /// Adds logs to read.
     pub fn with_logs(mut self, sources: impl IntoIterator<Item = Source>) -> Self {
         self.logs.extend(sources.into_iter().map(Log::new));
         self
     }
 
-    /// Reads the logs.
+    /// Reads the logs and returns the trace.
     ///
     /// # Errors
     ///
-    /// Fails where a log can't be read, and where none has a line about the job.
+    /// Fails if a log can't be read, or if no log has a line about the job.
     pub fn run(mut self) -> Result<Trace, Error> {
         let mut entries = Vec::new();
         let mut scope: Option<Scope> = None;
-        let mut thinned = 0;
+        let mut left_out = 0;
         let job = self.job;
-        for (log, source) in self.logs.iter_mut().enumerate() {
-            source.search(|number, line| {
+        for (log_index, log) in self.logs.iter_mut().enumerate() {
+            log.read_lines(|line_number, line| {
                 if !line.is_about(job) {
-                    thinned += line.left_out_lines();
+                    left_out += line.left_out_lines();
                     return line.job.is_none();
                 }
-                scope.get_or_insert_with(|| Scope::new(job)).note(&line);
+                scope.get_or_insert_with(|| Scope::new(job)).add_line(&line);
                 entries.push(Entry {
                     line,
                     context: false,
-                    log,
-                    number,
+                    log_index,
+                    line_number,
                 });
                 false
             })?;
         }
         let Some(scope) = scope else {
-            return Err(self.untold(thinned));
+            return Err(self.job_not_found(left_out));
         };
-        for (log, source) in self.logs.iter().enumerate() {
-            source.search_again(|number, line| {
-                if scope.explains(&line, self.context_span) {
+        for (log_index, log) in self.logs.iter().enumerate() {
+            log.reread_lines(|line_number, line| {
+                if scope.is_context(&line, self.context_span) {
                     entries.push(Entry {
                         line,
                         context: true,
-                        log,
-                        number,
+                        log_index,
+                        line_number,
                     });
                 }
             })?;
         }
-        entries.sort_by_key(|entry| (entry.line.time_ms, entry.log, entry.number));
-        Ok(self.story(entries))
+        entries.sort_by_key(|entry| (entry.line.time_ms, entry.log_index, entry.line_number));
+        Ok(self.into_trace(entries))
     }
 
-    fn story(self, entries: Vec<Entry>) -> Trace {
-        let thinned = entries.iter().filter(|entry| entry.line.event == THINNED);
-        let gaps = thinned.map(|entry| Gap {
+    fn into_trace(self, entries: Vec<Entry>) -> Trace {
+        let reports = entries
+            .iter()
+            .filter(|entry| entry.line.event == LINES_LEFT_OUT);
+        let gaps = reports.map(|entry| Gap {
             instance: entry.line.instance.clone(),
             time_ms: entry.line.time_ms,
             lines: entry.line.left_out_lines(),
@@ -181,21 +185,21 @@
         Trace {
             job: self.job,
             gaps: gaps.collect(),
-            skipped: self.skipped(),
+            skipped: self.skipped_lines(),
             unsearched_lines: self.logs.iter().map(Log::unsearched_lines).sum(),
             entries,
         }
     }
 
-    fn skipped(&self) -> Vec<SkippedLines> {
-        let skips = self.logs.iter().map(|log| SkippedLines {
+    fn skipped_lines(&self) -> Vec<SkippedLines> {
+        let skipped = self.logs.iter().map(|log| SkippedLines {
             source: log.source().clone(),
-            lines: log.skipped(),
+            lines: log.skipped_lines(),
         });
-        skips.filter(|skip| skip.lines > 0).collect()
+        skipped.filter(|skipped| skipped.lines > 0).collect()
     }
 
-    fn untold(&self, left_out: u64) -> Error {
+    fn job_not_found(&self, left_out: u64) -> Error {
         Error::Untold {
             job: self.job,
             logs: self
@@ -203,7 +207,7 @@
                 .iter()
                 .map(|log| log.source().to_string())
                 .collect(),
-            skipped: self.logs.iter().map(Log::skipped).sum(),
+            skipped: self.logs.iter().map(Log::skipped_lines).sum(),
             left_out,
         }
     }
--- a/src/trace/line.rs
+++ b/src/trace/line.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use super::THINNED;
+use super::LINES_LEFT_OUT;
 use crate::{
     dispatch::id::{
         self,
@@ -17,31 +17,31 @@
     prelude::*,
 };
 
-/// Why a text is no line of a log.
+/// The error for a text that isn't a line of an instance's log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("not a line of an instance's log")]
 pub struct ParseError;
 
-/// A line as an instance wrote it.
+/// A log line as an instance wrote it.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Line {
-    /// The instance's wall clock, in milliseconds since 1970.
+    /// The instance's wall clock, in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// Who wrote it.
+    /// The instance that wrote the line.
     pub instance: Instance,
-    /// What happened.
+    /// The name of the event.
     pub event: String,
-    /// The job that it is about, if it is about one.
+    /// The job that the line is about, if any.
     pub job: Option<Id>,
-    /// What decided, by name.
+    /// The event's other fields by name.
     #[serde(flatten)]
     pub fields: BTreeMap<String, Value>,
-    /// The JSON text.
+    /// The line's JSON text.
     #[serde(skip)]
     pub text: String,
 }
 
-/// A job's identifier in its digits.
+/// A job's identifier, deserialized from its hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "String")]
 pub struct Id(pub JobId);
@@ -55,23 +55,23 @@
 }
 
 impl Line {
-    /// Returns a field that holds a text.
+    /// Returns the value of a field if it is a string.
     pub fn text(&self, field: &str) -> Option<&str> {
         self.fields.get(field).and_then(Value::as_str)
     }
 
-    /// Tells whether it is about a job: by its own field, or by the task that it names.
+    /// Returns whether the line is about a job, by its job field or else by the job part of its task field.
     pub fn is_about(&self, job: JobId) -> bool {
-        if let Some(Id(own)) = self.job {
-            return own == job;
+        if let Some(Id(id)) = self.job {
+            return id == job;
         }
         let digits = self.text("task").and_then(|task| task.split('.').next());
         digits.is_some_and(|digits| digits.parse() == Ok(job))
     }
 
-    /// Returns how many lines before it were left out of the log, as far as it tells.
+    /// Returns the number of dropped lines that the line reports, 0 if it reports none.
     pub fn left_out_lines(&self) -> u64 {
-        if self.event != THINNED {
+        if self.event != LINES_LEFT_OUT {
             return 0;
         }
         let count = self.fields.get("count").and_then(Value::as_u64);
@@ -90,13 +90,13 @@
 impl FromStr for Line {
     type Err = ParseError;
 
-    /// Reads a line of a log, from its first brace on: what collects logs may put a time or a name in front.
+    /// Parses a line of a log from its first brace on, since log collectors may put a time or a name in front.
     ///
-    /// A process that dies may leave half a line, and its successor goes on right behind it. The second object of such a
-    /// line is whole, and often the one that tells of the restart.
+    /// A killed process may leave an incomplete line, to which its successor appends its first one. If the text doesn't
+    /// parse as one object, the last object in it is tried, so that the first line after a restart isn't lost.
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let first = text.find('{').ok_or(ParseError)?;
-        let last = text.rfind("{\"").unwrap_or(first);
-        Self::parse(&text[first..]).or_else(|_| Self::parse(&text[last..]))
+        let first_object = text.find('{').ok_or(ParseError)?;
+        let last_object = text.rfind("{\"").unwrap_or(first_object);
+        Self::parse(&text[first_object..]).or_else(|_| Self::parse(&text[last_object..]))
     }
 }
--- a/src/trace/log.rs
+++ b/src/trace/log.rs
@@ -1,4 +1,4 @@
-//! A log as a file or a stream, read line by line.
+//! Reads a log line by line, from a file or a stream.
 
 use std::{
     collections::VecDeque,
@@ -20,40 +20,40 @@
 };
 use crate::error::Error;
 
-/// The longest line that is read, in bytes, many times what an instance writes: a file that is no log has no end of line,
-/// and would be read into memory whole.
-const LONGEST: u64 = 64 << 10;
+/// The longest line that is read. It keeps a file without line breaks, which is no log, from being read into memory whole.
+const MAX_LINE_BYTES: u64 = 64 << 10;
 
-/// Lines of a stream that are kept until it is known which of them explain the job. Lines without a job have about 200
-/// bytes, so they take 20 MB; the oldest go first.
-const KEPT: usize = 100_000;
+/// How many lines of a stream are buffered for the second pass; beyond that, the oldest are dropped. At about 200 bytes a
+/// line they take 20 MB.
+const MAX_BUFFERED_LINES: usize = 100_000;
 
-/// A log, and what came of reading it.
+/// A log that is read in two passes.
 #[derive(Debug)]
 pub(super) struct Log {
     source: Source,
-    skipped: u64,
-    again: Again,
+    skipped_lines: u64,
+    second_pass: SecondPass,
 }
 
-/// How lines are found again that don't name the job.
+/// Where the second pass gets the lines from.
 #[derive(Debug)]
-enum Again {
-    /// By reading the file a second time.
+enum SecondPass {
+    /// The file is read again.
     File,
-    /// A stream can't be read twice.
-    Kept(Kept),
+    /// A stream can't be read twice: the first pass buffers the lines that the second may need.
+    Buffer(Buffer),
 }
 
+/// The newest lines of a stream, with their line numbers.
 #[derive(Debug, Default)]
-struct Kept {
+struct Buffer {
     lines: VecDeque<(u64, String)>,
     dropped: u64,
 }
 
-impl Kept {
-    fn keep(&mut self, number: u64, text: String) {
-        if self.lines.len() == KEPT {
+impl Buffer {
+    fn push(&mut self, number: u64, text: String) {
+        if self.lines.len() == MAX_BUFFERED_LINES {
             self.lines.pop_front();
             self.dropped += 1;
         }
@@ -63,14 +63,14 @@
 
 impl Log {
     pub(super) fn new(source: Source) -> Self {
-        let again = match source.repeats() {
-            true => Again::File,
-            false => Again::Kept(Kept::default()),
+        let second_pass = match source.is_rereadable() {
+            true => SecondPass::File,
+            false => SecondPass::Buffer(Buffer::default()),
         };
         Self {
             source,
-            skipped: 0,
-            again,
+            skipped_lines: 0,
+            second_pass,
         }
     }
 
@@ -78,66 +78,78 @@
         &self.source
     }
 
-    /// Returns how many lines could not be read.
-    pub(super) fn skipped(&self) -> u64 {
-        self.skipped
+    /// Returns the number of unreadable lines that the first pass skipped.
+    pub(super) fn skipped_lines(&self) -> u64 {
+        self.skipped_lines
     }
 
-    /// Returns how many lines the second reading could not look at.
+    /// Returns the number of lines that were dropped from the buffer before the second pass.
     pub(super) fn unsearched_lines(&self) -> u64 {
-        match &self.again {
-            Again::File => 0,
-            Again::Kept(kept) => kept.dropped,
+        match &self.second_pass {
+            SecondPass::File => 0,
+            SecondPass::Buffer(buffer) => buffer.dropped,
         }
     }
 
-    /// Hands over every line with its number; `each` tells whether the second reading needs it.
-    pub(super) fn search(&mut self, mut each: impl FnMut(u64, Line) -> bool) -> Result<(), Error> {
-        let (skipped, again) = (&mut self.skipped, &mut self.again);
-        let read = lines(&self.source, |number, text| {
+    /// Runs the first pass: calls `visit` for every line with its number. `visit` returns whether the second pass needs
+    /// the line.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the log can't be read.
+    pub(super) fn read_lines(
+        &mut self,
+        mut visit: impl FnMut(u64, Line) -> bool,
+    ) -> Result<(), Error> {
+        let (skipped, second_pass) = (&mut self.skipped_lines, &mut self.second_pass);
+        let read = visit_source(&self.source, |number, text| {
             let Some(line) = text.and_then(|text| text.parse::<Line>().ok()) else {
                 *skipped += 1;
                 return;
             };
-            match again {
-                Again::File => {
-                    each(number, line);
+            match second_pass {
+                SecondPass::File => {
+                    visit(number, line);
                 }
-                Again::Kept(kept) => {
+                SecondPass::Buffer(buffer) => {
                     let text = line.text.clone();
-                    if each(number, line) {
-                        kept.keep(number, text);
+                    if visit(number, line) {
+                        buffer.push(number, text);
                     }
                 }
             }
         });
-        read.map_err(|source| self.unread(source))
+        read.map_err(|source| self.read_error(source))
     }
 
-    /// Hands over the lines once more.
-    pub(super) fn search_again(&self, mut each: impl FnMut(u64, Line)) -> Result<(), Error> {
-        let mut hand = |number, text: &str| {
+    /// Runs the second pass: calls `visit` for every line of a file, or for the buffered lines of a stream.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the log can't be read.
+    pub(super) fn reread_lines(&self, mut visit: impl FnMut(u64, Line)) -> Result<(), Error> {
+        let mut visit_text = |number, text: &str| {
             if let Ok(line) = text.parse() {
-                each(number, line);
+                visit(number, line);
             }
         };
-        match &self.again {
-            Again::File => {
-                let read = lines(&self.source, |number, text| {
-                    text.into_iter().for_each(|text| hand(number, text));
+        match &self.second_pass {
+            SecondPass::File => {
+                let read = visit_source(&self.source, |number, text| {
+                    text.into_iter().for_each(|text| visit_text(number, text));
                 });
-                read.map_err(|source| self.unread(source))
+                read.map_err(|source| self.read_error(source))
             }
-            Again::Kept(kept) => {
-                for (number, text) in &kept.lines {
-                    hand(*number, text);
+            SecondPass::Buffer(buffer) => {
+                for (number, text) in &buffer.lines {
+                    visit_text(*number, text);
                 }
                 Ok(())
             }
         }
     }
 
-    fn unread(&self, source: io::Error) -> Error {
+    fn read_error(&self, source: io::Error) -> Error {
         Error::Read {
             path: self.source.to_string(),
             source,
@@ -146,40 +158,45 @@
 }
 
 impl Source {
-    /// Tells whether it can be read twice. A pipe that has a path, as of `<(zcat log.gz)`, can't.
-    fn repeats(&self) -> bool {
+    /// Returns whether the source can be read twice. A pipe with a path, as of `<(zcat log.gz)`, can't.
+    fn is_rereadable(&self) -> bool {
         match self {
             Self::Input => false,
-            // What can't be looked at can't be opened either, and that error is told.
+            // Without metadata, the file can't be opened either, and opening it reports the error.
             Self::File(path) => fs::metadata(path).map_or(true, |m| m.is_file()),
         }
     }
 }
 
-/// Reads a log by lines that aren't blank; those that are too long or no text are given as none.
-fn lines(source: &Source, each: impl FnMut(u64, Option<&str>)) -> io::Result<()> {
+/// Calls `visit` for every line of a source that isn't blank, with `None` for a line that is too long or no valid UTF-8.
+fn visit_source(source: &Source, visit: impl FnMut(u64, Option<&str>)) -> io::Result<()> {
     match source {
-        Source::Input => split(io::stdin().lock(), each),
-        Source::File(path) => split(BufReader::new(File::open(path)?), each),
+        Source::Input => visit_lines(io::stdin().lock(), visit),
+        Source::File(path) => visit_lines(BufReader::new(File::open(path)?), visit),
     }
 }
 
-fn split(mut input: impl BufRead, mut each: impl FnMut(u64, Option<&str>)) -> io::Result<()> {
+fn visit_lines(
+    mut input: impl BufRead,
+    mut visit: impl FnMut(u64, Option<&str>),
+) -> io::Result<()> {
     let mut buffer = Vec::new();
     for number in 0.. {
         buffer.clear();
-        let read = (&mut input).take(LONGEST).read_until(b'\n', &mut buffer)?;
+        let read = (&mut input)
+            .take(MAX_LINE_BYTES)
+            .read_until(b'\n', &mut buffer)?;
         if read == 0 {
             break;
         }
-        if read as u64 == LONGEST && !buffer.ends_with(b"\n") {
+        if read as u64 == MAX_LINE_BYTES && !buffer.ends_with(b"\n") {
             input.skip_until(b'\n')?;
-            each(number, None);
+            visit(number, None);
             continue;
         }
         let text = std::str::from_utf8(&buffer);
         if !buffer.trim_ascii().is_empty() {
-            each(number, text.ok());
+            visit(number, text.ok());
         }
     }
     Ok(())
--- a/src/trace/scope.rs
+++ b/src/trace/scope.rs
@@ -1,23 +1,23 @@
-//! What a job touched, and which other lines explain its own.
+//! Decides which log lines are context of a job.
 
 use std::collections::BTreeSet;
 
 use super::{
     line::Line,
-    THINNED, //
+    LINES_LEFT_OUT, //
 };
 use crate::{
     dispatch::id::JobId,
     prelude::*, //
 };
 
-/// Events of jobs that are stored; these depend on who coordinates their shard.
-const STORED: [&str; 3] = ["job_stored", "job_ended", "request_unanswered"];
+/// Events that only stored jobs have. Such a job depends on the instance that coordinates its shard.
+const STORED_JOB_EVENTS: [&str; 3] = ["job_stored", "job_ended", "request_unanswered"];
 
-/// What the events begin with that are about the store.
-const STORE: &str = "store_";
+/// The prefix of the events about the store.
+const STORE_EVENT_PREFIX: &str = "store_";
 
-/// When a job lived, and what it touched.
+/// The time span of a job's own lines, and the instances, the endpoints and the shard that they involve.
 #[derive(Debug, Clone)]
 pub(super) struct Scope {
     job: JobId,
@@ -40,63 +40,65 @@
         }
     }
 
-    /// Takes note of one of the job's own lines.
-    pub(super) fn note(&mut self, line: &Line) {
+    /// Extends the scope by one of the job's own lines.
+    pub(super) fn add_line(&mut self, line: &Line) {
         self.first_ms = self.first_ms.min(line.time_ms);
         self.last_ms = self.last_ms.max(line.time_ms);
         self.instances.insert(line.instance.to_string());
-        let others = ["owner", "entry"].iter().filter_map(|f| line.text(f));
-        self.instances.extend(others.map(str::to_owned));
+        let named = ["owner", "entry"].iter().filter_map(|f| line.text(f));
+        self.instances.extend(named.map(str::to_owned));
         let endpoint = line.text("endpoint").map(str::to_owned);
         self.endpoints.extend(endpoint);
-        if STORED.contains(&line.event.as_str()) {
+        if STORED_JOB_EVENTS.contains(&line.event.as_str()) {
             self.shard = Some(self.job.shard().to_string());
         }
     }
 
-    /// Tells whether a line that is not the job's own explains it.
-    pub(super) fn explains(&self, line: &Line, around: Span) -> bool {
-        let other = line.job.is_some() || line.is_about(self.job);
-        if other || !self.near(line.time_ms, around) {
+    /// Returns whether a line is context: it names no job, was written within `span` of the job's own lines, and
+    /// concerns what the job involved.
+    pub(super) fn is_context(&self, line: &Line, span: Span) -> bool {
+        let names_job = line.job.is_some() || line.is_about(self.job);
+        if names_job || !self.is_near(line.time_ms, span) {
             return false;
         }
-        // An instance whose log was thinned out may have touched the job without a line that says so.
-        if line.event == THINNED {
+        // Any instance that dropped lines may have handled the job: the lines that say so may be among them.
+        if line.event == LINES_LEFT_OUT {
             return true;
         }
-        // No line says who coordinates the job's shard: it may be any instance that lost the store.
-        if self.shard.is_some() && line.event.starts_with(STORE) {
+        // No line names the coordinator of the job's shard: it may be any instance that lost the store.
+        if self.shard.is_some() && line.event.starts_with(STORE_EVENT_PREFIX) {
             return true;
         }
         if let Some(endpoint) = line.text("endpoint") {
-            return self.endpoints.contains(endpoint) || self.unplaced();
+            return self.endpoints.contains(endpoint) || self.reached_no_endpoint();
         }
         if let Some(shard) = line.text("shard") {
             return self.shard.as_deref() == Some(shard);
         }
         let rack = line.text("rack").is_some();
-        self.concerns(line) || rack && self.unplaced()
+        self.involves_instance(line) || rack && self.reached_no_endpoint()
     }
 
-    fn near(&self, time_ms: u64, around: Span) -> bool {
-        let around = around.as_millis();
-        let from = self.first_ms.saturating_sub(around);
-        let until = self.last_ms.saturating_add(around);
+    fn is_near(&self, time_ms: u64, span: Span) -> bool {
+        let span = span.as_millis();
+        let from = self.first_ms.saturating_sub(span);
+        let until = self.last_ms.saturating_add(span);
         (from..=until).contains(&time_ms)
     }
 
-    /// Tells whether an instance that touched the job wrote the line, or is the one that it is about.
+    /// Returns whether the line was written by an instance that handled the job, or is about one.
     ///
-    /// Racks go by their owners: a batch is logged with the name of its rack, which others in other data centres share.
-    fn concerns(&self, line: &Line) -> bool {
-        let others = ["member", "to"].iter().filter_map(|f| line.text(f));
-        others
+    /// Lines about racks are matched by instance, since the rack names in batch events aren't unique across data centres.
+    fn involves_instance(&self, line: &Line) -> bool {
+        let named = ["member", "to"].iter().filter_map(|f| line.text(f));
+        named
             .chain([line.instance.as_str()])
             .any(|name| self.instances.contains(name))
     }
 
-    /// Tells whether no task of the job was sent to an endpoint. What the endpoints lacked then explains it, whichever they are.
-    fn unplaced(&self) -> bool {
+    /// Returns whether no task of the job was sent to an endpoint. Lines about any endpoint or rack are context then, since
+    /// they may show why none took the job.
+    fn reached_no_endpoint(&self) -> bool {
         self.endpoints.is_empty()
     }
 }
--- a/src/trace/text.rs
+++ b/src/trace/text.rs
@@ -1,4 +1,4 @@
-//! A story as people read it.
+//! Formats a trace as text.
 
 use std::{
     collections::BTreeSet,
@@ -19,16 +19,16 @@
     Trace, //
 };
 
-/// Times of a story, in UTC.
-const TIME: &[BorrowedFormatItem<'_>] =
+/// The format of times, in UTC.
+const TIME_FORMAT: &[BorrowedFormatItem<'_>] =
     format_description!("[year]-[month]-[day] [hour]:[minute]:[second].[subsecond digits:3]Z");
 
-/// What stands in front of a line that isn't the job's own.
-const CONTEXT: &str = "context";
+/// The mark in front of context lines.
+const CONTEXT_MARK: &str = "context";
 
 const NANOS_PER_MILLI: i128 = 1_000_000;
 
-/// The widths of the columns, for a story that is read from top to bottom.
+/// The widths of the columns, in bytes.
 struct Widths {
     instance: usize,
     event: usize,
@@ -45,13 +45,13 @@
 }
 
 impl Trace {
-    /// Returns its lines as they were written, without what collectors put in front.
+    /// Returns the lines as the instances wrote them, without prefixes of log collectors.
     pub fn raw(&self) -> String {
         let lines = self.entries.iter().map(|entry| entry.line.text.as_str());
         lines.flat_map(|line| [line, "\n"]).collect()
     }
 
-    fn own(&self) -> impl DoubleEndedIterator<Item = &Entry> {
+    fn job_entries(&self) -> impl DoubleEndedIterator<Item = &Entry> {
         self.entries.iter().filter(|entry| !entry.context)
     }
 }
@@ -59,20 +59,26 @@
 impl fmt::Display for Trace {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let time = |entry: Option<&Entry>| entry.map_or(0, |entry| entry.line.time_ms);
-        let (first, last) = (time(self.own().next()), time(self.own().next_back()));
-        let instances: BTreeSet<_> = self.own().map(|entry| &entry.line.instance).collect();
-        let (lines, instances) = (self.own().count(), instances.len());
+        let (first, last) = (
+            time(self.job_entries().next()),
+            time(self.job_entries().next_back()),
+        );
+        let instances: BTreeSet<_> = self
+            .job_entries()
+            .map(|entry| &entry.line.instance)
+            .collect();
+        let (lines, instances) = (self.job_entries().count(), instances.len());
         let (job, span) = (self.job, last - first);
         writeln!(
             f,
             "job {job}: lines {lines}, instances {instances}, first to last {span} ms"
         )?;
         let widths = Widths::of(&self.entries);
-        for alike in self.entries.chunk_by(Entry::repeats) {
+        for group in self.entries.chunk_by(Entry::is_repeated_by) {
             let after = |entry: &Entry| i128::from(entry.line.time_ms) - i128::from(first);
-            alike[0].tell(f, after(&alike[0]), &widths)?;
-            if let [_, .., last] = alike {
-                let (times, until) = (alike.len(), after(last));
+            group[0].write_columns(f, after(&group[0]), &widths)?;
+            if let [_, .., last] = group {
+                let (times, until) = (group.len(), after(last));
                 write!(f, "  ({times} times until {until:+} ms)")?;
             }
             writeln!(f)?;
@@ -82,9 +88,9 @@
 }
 
 impl Entry {
-    /// Tells whether the next line of a story says the same again. An endpoint that can't be reached is tried many times
-    /// a second; hundreds of equal lines would hide the one that matters.
-    fn repeats(&self, next: &Self) -> bool {
+    /// Returns whether two successive context lines differ only in time, and can be printed as one. An endpoint that can't
+    /// be reached is retried many times a second, and the repeated lines would hide all others.
+    fn is_repeated_by(&self, next: &Self) -> bool {
         let (one, other) = (&self.line, &next.line);
         let context = self.context && next.context;
         context
@@ -93,19 +99,24 @@
             && one.fields == other.fields
     }
 
-    fn tell(&self, f: &mut fmt::Formatter<'_>, after: i128, widths: &Widths) -> fmt::Result {
+    fn write_columns(
+        &self,
+        f: &mut fmt::Formatter<'_>,
+        after: i128,
+        widths: &Widths,
+    ) -> fmt::Result {
         let line = &self.line;
-        let mark = if self.context { CONTEXT } else { "" };
-        let (time, instance) = (absolute(line.time_ms), line.instance.as_str());
+        let mark = if self.context { CONTEXT_MARK } else { "" };
+        let (time, instance) = (format_time(line.time_ms), line.instance.as_str());
         write!(f, "{mark:7} {after:>+7} ms  {time}  ")?;
         write!(f, "{instance:0$}  ", widths.instance)?;
-        let event = plain(&line.event);
+        let event = quote_unprintable(&line.event);
         if line.fields.is_empty() {
             return write!(f, "{event}");
         }
         write!(f, "{event:0$} ", widths.event)?;
         for (name, value) in &line.fields {
-            write!(f, " {}={}", plain(name), shown(value))?;
+            write!(f, " {}={}", quote_unprintable(name), format_value(value))?;
         }
         Ok(())
     }
@@ -113,7 +124,7 @@
 
 impl fmt::Display for Gap {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (instance, time) = (&self.instance, absolute(self.time_ms));
+        let (instance, time) = (&self.instance, format_time(self.time_ms));
         let lines = self.lines;
         write!(
             f,
@@ -132,24 +143,24 @@
     }
 }
 
-/// Writes a wall clock's time, or its milliseconds where these are beyond all calendars.
-fn absolute(time_ms: u64) -> String {
+/// Formats a wall clock time, or returns its milliseconds if they are outside the range of dates.
+fn format_time(time_ms: u64) -> String {
     let nanos = i128::from(time_ms) * NANOS_PER_MILLI;
     let time = OffsetDateTime::from_unix_timestamp_nanos(nanos).ok();
-    let text = time.and_then(|time| time.format(TIME).ok());
+    let text = time.and_then(|time| time.format(TIME_FORMAT).ok());
     text.unwrap_or_else(|| format!("{time_ms} ms"))
 }
 
-fn shown(value: &Value) -> String {
+fn format_value(value: &Value) -> String {
     match value {
-        Value::String(text) => plain(text),
+        Value::String(text) => quote_unprintable(text),
         other => other.to_string(),
     }
 }
 
-/// Quotes a text that has more than visible characters: callers choose some, and a terminal would obey their control
-/// characters.
-fn plain(text: &str) -> String {
+/// Quotes and escapes a text that is empty or has a quote, a space or a character outside of visible ASCII. Some texts are
+/// chosen by callers, whose control characters must not reach the terminal.
+fn quote_unprintable(text: &str) -> String {
     let visible = !text.is_empty() && text.bytes().all(|b| b.is_ascii_graphic() && b != b'"');
     match visible {
         true => text.to_owned(),
