--- a/src/decision.rs
+++ b/src/decision.rs
@@ -1,4 +1,4 @@
-//! The thread of the decisions: it owns the core, feeds it and carries out what it says.
+//! The decisions thread: owns the core, passes it the inputs of all other threads and executes its outputs.
 
 use std::sync::{
     atomic::{
@@ -41,50 +41,50 @@
     sync::lock,
 };
 
-/// How often the core gets a tick.
-const TICK: Span = Span::millis(50);
+/// How often the core gets [`Input::Tick`].
+const TICK_INTERVAL: Span = Span::millis(50);
 
-/// The most inputs that are taken before the outputs are looked at.
-const BATCH: usize = 256;
+/// The most inputs that are handled before the status is published.
+const MAX_BATCH_LEN: usize = 256;
 
-/// What the callers' thread may know without asking.
+/// The status of the core that the callers thread reads without a message.
 #[derive(Debug, Default)]
 pub struct Status {
-    /// Whether the instance can serve.
+    /// Whether the instance is ready for submissions.
     pub ready: AtomicBool,
-    /// The range that callers may take keys from.
+    /// The range from which callers may take keys.
     pub range: Mutex<String>,
 }
 
-/// The rings that lead to the decisions.
+/// The rings on which inputs of the core arrive.
 pub struct Receivers {
-    /// From the callers.
+    /// From the callers thread.
     pub callers: ring::Receiver<Input>,
-    /// From the endpoints.
+    /// From the endpoints thread.
     pub endpoints: ring::Receiver<Input>,
-    /// From the platform.
+    /// From the platform thread.
     pub platform: ring::Receiver<Input>,
-    /// From the peers.
+    /// From the peers thread.
     pub peers: ring::Receiver<Input>,
     /// From the main thread.
     pub control: ring::Receiver<Input>,
 }
 
-/// The rings that lead from the decisions.
+/// The rings on which outputs of the core leave.
 pub struct Senders {
-    /// To the callers.
+    /// To the callers thread.
     pub callers: ring::Sender<Output>,
-    /// To the endpoints.
+    /// To the endpoints thread.
     pub endpoints: ring::Sender<Output>,
-    /// To the platform.
+    /// To the platform thread.
     pub platform: ring::Sender<Output>,
-    /// To the peers.
+    /// To the peers thread.
     pub peers: ring::Sender<Output>,
 }
 
-/// Owns the core: the state of this thread.
+/// The actor that owns the core.
 #[derive(xtra::Actor)]
-struct Dispatcher {
+struct CoreActor {
     core: Core,
     clock: Clock,
     senders: Senders,
@@ -93,10 +93,10 @@
     drained: Option<oneshot::Sender<()>>,
 }
 
-/// Inputs in the order in which they came.
+/// Inputs in the order in which they are handled.
 struct Batch(Vec<Input>);
 
-/// Decides until the rings are gone; `drained` is notified when everything is answered after a drain.
+/// Runs the core until its actor stops; `drained` is notified once every submission is answered after a drain.
 pub async fn serve(
     core: Core,
     clock: Clock,
@@ -106,7 +106,7 @@
     metrics: Arc<Metrics>,
     drained: oneshot::Sender<()>,
 ) {
-    let dispatcher = Dispatcher {
+    let actor = CoreActor {
         core,
         clock,
         senders,
@@ -114,12 +114,12 @@
         metrics,
         drained: Some(drained),
     };
-    let address = xtra::spawn_tokio(dispatcher, Mailbox::bounded(1));
-    let mut tick = interval(TICK.duration());
+    let address = xtra::spawn_tokio(actor, Mailbox::bounded(1));
+    let mut tick = interval(TICK_INTERVAL.duration());
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut due = None;
+    let mut next_due = None;
     loop {
-        let wake = clock.to_instant(due.unwrap_or(clock.now() + TICK));
+        let wake = clock.to_instant(next_due.unwrap_or(clock.now() + TICK_INTERVAL));
         let first = tokio::select! {
             Some(input) = receivers.control.recv() => Some(input),
             Some(input) = receivers.endpoints.recv() => Some(input),
@@ -130,17 +130,17 @@
             () = sleep_until(wake) => None,
         };
         let mut batch = Vec::from_iter(first);
-        receivers.gather(&mut batch);
+        receivers.receive_ready(&mut batch);
         match address.send(Batch(batch)).await {
-            Ok(next) => due = next,
+            Ok(due) => next_due = due,
             Err(_) => return,
         }
     }
 }
 
 impl Receivers {
-    /// Takes what has come by now: ends of tasks go first, since they make room.
-    fn gather(&mut self, batch: &mut Vec<Input>) {
+    /// Moves inputs that have arrived into the batch, up to its limit. The ends of tasks come first, since they free slots.
+    fn receive_ready(&mut self, batch: &mut Vec<Input>) {
         let receivers = [
             &mut self.endpoints,
             &mut self.platform,
@@ -148,7 +148,7 @@
             &mut self.callers,
         ];
         for receiver in receivers {
-            while batch.len() < BATCH {
+            while batch.len() < MAX_BATCH_LEN {
                 let Some(input) = receiver.try_recv() else {
                     break;
                 };
@@ -158,12 +158,12 @@
     }
 }
 
-impl Handler<Batch> for Dispatcher {
+impl Handler<Batch> for CoreActor {
     type Return = Option<Time>;
 
     async fn handle(&mut self, Batch(batch): Batch, _: &mut Context<Self>) -> Option<Time> {
         let mut ticked = false;
-        // A wake without an input is one for a timer.
+        // The loop wakes without an input when a timer of the core is due.
         let batch = if batch.is_empty() {
             vec![Input::Wake]
         } else {
@@ -173,24 +173,25 @@
             ticked |= matches!(input, Input::Tick);
             self.step(input).await;
         }
-        self.show(ticked);
+        self.publish(ticked);
         self.core.next_due()
     }
 }
 
-impl Dispatcher {
+impl CoreActor {
+    /// Passes an input to the core and executes the outputs, until none of them leads to another input.
     async fn step(&mut self, input: Input) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
             let outputs = self.core.step(self.clock.now(), input);
             for output in outputs {
-                inputs.extend(self.carry_out(output).await);
+                inputs.extend(self.execute(output).await);
             }
         }
     }
 
-    /// Hands an output to its thread; where the ring is full, returns the refusal as an input.
-    async fn carry_out(&mut self, output: Output) -> Option<Input> {
+    /// Executes an output or sends it to its thread. Returns the input that reports a full ring, if it was full.
+    async fn execute(&mut self, output: Output) -> Option<Input> {
         match output {
             Output::Event(event) => {
                 if event.code == Code::Draining {
@@ -209,7 +210,7 @@
                 }
                 None
             }
-            // Answers wait for a place: the callers' thread never waits for this one.
+            // Answers wait while the ring is full. That can't deadlock: the callers thread never waits for this one.
             output @ (Output::Answer(..) | Output::Report(..)) => {
                 self.senders.callers.send(output).await;
                 None
@@ -223,20 +224,20 @@
                 None
             }
             output @ (Output::Start { .. } | Output::Look { .. }) => {
-                self.refused(self.senders.endpoints.try_send(output))
+                self.input_if_full(self.senders.endpoints.try_send(output))
             }
             output @ (Output::Command(..) | Output::Share(_)) => {
-                self.refused(self.senders.platform.try_send(output))
+                self.input_if_full(self.senders.platform.try_send(output))
             }
-            output @ Output::Call { .. } => self.refused(self.senders.peers.try_send(output)),
+            output @ Output::Call { .. } => self.input_if_full(self.senders.peers.try_send(output)),
         }
     }
 
-    /// Returns the input that reports to the core that an output found its ring full.
-    fn refused(&self, pushed: Result<(), Output>) -> Option<Input> {
-        let output = pushed.err()?;
+    /// Counts an output that found its ring full, and returns the input that reports it to the core.
+    fn input_if_full(&self, sent: Result<(), Output>) -> Option<Input> {
+        let output = sent.err()?;
         self.metrics.count_ring_refusal();
-        refusal(output)
+        full_ring_input(output)
     }
 
     fn measure(&self, sample: &Sample) {
@@ -253,8 +254,8 @@
         }
     }
 
-    /// Shows the callers' thread, and now and then the metrics, how things stand.
-    fn show(&self, ticked: bool) {
+    /// Publishes the readiness, and on a tick the range and the gauges too.
+    fn publish(&self, ticked: bool) {
         self.status
             .ready
             .store(self.core.is_ready(), Ordering::Release);
@@ -262,9 +263,9 @@
             return;
         }
         let range = self.core.range().to_string();
-        let mut shown = lock(&self.status.range);
-        if *shown != range {
-            *shown = range;
+        let mut published = lock(&self.status.range);
+        if *published != range {
+            *published = range;
         }
         let stats = self.core.stats();
         self.metrics.set_gauges(Gauges {
@@ -280,8 +281,8 @@
     }
 }
 
-/// Returns what a ring that was full means for the core: the thing was not done.
-fn refusal(output: Output) -> Option<Input> {
+/// Returns the input that reports an output as not executed, for outputs that the core expects a result of.
+fn full_ring_input(output: Output) -> Option<Input> {
     match output {
         Output::Start { start, .. } => Some(Input::Ended(start.attempt, End::Withheld)),
         Output::Look { attempt, .. } => Some(Input::Looked(attempt, None)),
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The side towards the endpoints: starts, looks and stops over HTTP.
+//! The endpoints thread: starts, looks up and stops attempts at the endpoints over HTTP.
 
 use std::{
     collections::HashMap,
@@ -51,73 +51,74 @@
     Status, //
 };
 
-/// How long a look may take.
-const LOOK: Duration = Duration::from_millis(500);
+/// How long a lookup or a stop may take.
+const STATUS_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How often idle connections are closed that are trusted no more.
-const TRIM: Duration = Duration::from_secs(1);
+/// How often expired idle connections are closed.
+const CLOSE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Holds the connections to the endpoints: the state of this thread.
+/// The actor that executes the commands of the core.
 #[derive(xtra::Actor)]
-struct Dialler {
-    link: Arc<Link>,
+struct Client {
+    shared: Arc<Shared>,
 }
 
-/// What every task of this thread shares.
-struct Link {
+/// The state that all tasks of this thread share.
+struct Shared {
     clock: Clock,
     metrics: Arc<Metrics>,
-    back: ring::Sender<Input>,
+    inputs: ring::Sender<Input>,
     pool: Mutex<Pool>,
+    /// The tasks that wait for the end of an attempt.
     starts: Mutex<HashMap<Attempt, AbortHandle>>,
 }
 
-/// Something to be done, from the decisions.
-struct Order(Output);
+/// A command of the core.
+struct Command(Output);
 
-/// Closes connections that are trusted no more.
-struct Trim;
+/// Closes expired idle connections.
+struct CloseExpired;
 
-/// Serves orders until the decisions end.
+/// Executes commands until the decisions thread ends, and reports their results on `inputs`.
 pub async fn serve(
     settings: Arc<Settings>,
     clock: Clock,
     metrics: Arc<Metrics>,
-    mut orders: ring::Receiver<Output>,
-    back: ring::Sender<Input>,
+    mut commands: ring::Receiver<Output>,
+    inputs: ring::Sender<Input>,
 ) {
-    let link = Link {
+    let shared = Shared {
         clock,
         metrics,
-        back,
+        inputs,
         pool: Mutex::new(Pool::new(settings.timing.idle.duration())),
         starts: Mutex::default(),
     };
-    let dialler = Dialler {
-        link: Arc::new(link),
+    let client = Client {
+        shared: Arc::new(shared),
     };
-    let address = xtra::spawn_tokio(dialler, Mailbox::bounded(settings.limits.ring));
-    let mut trim = tokio::time::interval(TRIM);
+    let address = xtra::spawn_tokio(client, Mailbox::bounded(settings.limits.ring));
+    let mut close = tokio::time::interval(CLOSE_INTERVAL);
     loop {
-        let alive = tokio::select! {
-            order = orders.recv() => match order {
-                Some(order) => address.send(Order(order)).await.is_ok(),
+        let running = tokio::select! {
+            command = commands.recv() => match command {
+                Some(command) => address.send(Command(command)).await.is_ok(),
                 None => false,
             },
-            _ = trim.tick() => address.send(Trim).await.is_ok(),
+            _ = close.tick() => address.send(CloseExpired).await.is_ok(),
         };
-        if !alive {
+        if !running {
             return;
         }
     }
 }
 
-impl Handler<Order> for Dialler {
+impl Handler<Command> for Client {
     type Return = ();
 
-    async fn handle(&mut self, Order(order): Order, _: &mut Context<Self>) {
-        let link = self.link.clone();
-        match order {
+    async fn handle(&mut self, Command(command): Command, _: &mut Context<Self>) {
+        let shared = self.shared.clone();
+        match command {
             Output::Start {
                 address,
                 start,
@@ -125,8 +126,8 @@
                 ..
             } => {
                 let attempt = start.attempt;
-                let task = tokio::spawn(link.clone().start(address, start, expires));
-                lock(&link.starts).insert(attempt, task.abort_handle());
+                let task = tokio::spawn(shared.clone().start(address, start, expires));
+                lock(&shared.starts).insert(attempt, task.abort_handle());
             }
             Output::Look {
                 address,
@@ -134,11 +135,11 @@
                 stop,
                 ..
             } => {
-                tokio::spawn(link.look(address, attempt, stop));
+                tokio::spawn(shared.query_status(address, attempt, stop));
             }
-            // The connection goes with its task: nothing that arrives on it is taken any more.
+            // Ending the task closes its connection, so that no reply to the abandoned attempt is taken.
             Output::Abandon(attempt) => {
-                if let Some(task) = lock(&link.starts).remove(&attempt) {
+                if let Some(task) = lock(&shared.starts).remove(&attempt) {
                     task.abort();
                 }
             }
@@ -147,34 +148,37 @@
     }
 }
 
-impl Handler<Trim> for Dialler {
+impl Handler<CloseExpired> for Client {
     type Return = ();
 
-    async fn handle(&mut self, _: Trim, _: &mut Context<Self>) {
-        lock(&self.link.pool).close_expired();
+    async fn handle(&mut self, _: CloseExpired, _: &mut Context<Self>) {
+        lock(&self.shared.pool).close_expired();
     }
 }
 
-impl Link {
+impl Shared {
+    /// Starts an attempt and reports its end to the core.
     async fn start(self: Arc<Self>, address: String, start: Start, expires: Time) {
         let end = self.try_start(&address, &start, expires).await;
         lock(&self.starts).remove(&start.attempt);
-        self.back.send(Input::Ended(start.attempt, end)).await;
+        self.inputs.send(Input::Ended(start.attempt, end)).await;
     }
 
+    /// Starts an attempt unless `expires` has passed, and returns its end.
     async fn try_start(&self, address: &str, start: &Start, expires: Time) -> End {
         let Ok(body) = serde_json::to_vec(start) else {
             return End::Withheld;
         };
-        let known = lock(&self.pool).take(address);
-        let connection = match known {
+        let idle = lock(&self.pool).take(address);
+        let connection = match idle {
             Some(connection) => Ok(connection),
             None => Connection::open(address).await,
         };
         let Ok(mut connection) = connection else {
             return End::Unsent;
         };
-        // The instance may have stood still since the decision; what is late by now must not leave.
+        // The process may have been suspended since the core decided. An expired start must not be sent: the core may
+        // have given the attempt up.
         if self.clock.now() >= expires {
             return End::Withheld;
         }
@@ -186,12 +190,12 @@
             Err(Failure::Broken(_)) => return End::Broken,
         };
         self.metrics.count_message(Message::Reply);
-        let known = matches!(
+        let expected_status = matches!(
             reply.status,
             StatusCode::OK | StatusCode::SERVICE_UNAVAILABLE
         );
         match serde_json::from_slice::<Reply>(&reply.body) {
-            Ok(end) if known => {
+            Ok(end) if expected_status => {
                 lock(&self.pool).put(address, connection);
                 End::Replied(end)
             }
@@ -199,17 +203,19 @@
         }
     }
 
-    async fn look(self: Arc<Self>, address: String, attempt: Attempt, stop: bool) {
+    /// Looks up or stops an attempt and reports its status to the core.
+    async fn query_status(self: Arc<Self>, address: String, attempt: Attempt, stop: bool) {
         self.metrics
             .count_message(if stop { Message::Stop } else { Message::Lookup });
-        let status = timeout(LOOK, ask(&address, attempt, stop)).await;
+        let status = timeout(STATUS_TIMEOUT, request_status(&address, attempt, stop)).await;
         let status = status.ok().flatten();
-        self.back.send(Input::Looked(attempt, status)).await;
+        self.inputs.send(Input::Looked(attempt, status)).await;
     }
 }
 
-/// Asks an endpoint about an attempt over a new connection; an old one may be the very fault.
-async fn ask(address: &str, attempt: Attempt, stop: bool) -> Option<Status> {
+/// Returns the status of an attempt, and stops it if `stop` is set. A new connection is used, since a failed one may be
+/// why the start got no reply.
+async fn request_status(address: &str, attempt: Attempt, stop: bool) -> Option<Status> {
     let mut connection = Connection::open(address).await.ok()?;
     let (method, path) = if stop {
         (Method::POST, format!("/tasks/{attempt}/stop"))
--- a/src/endpoint/wire.rs
+++ b/src/endpoint/wire.rs
@@ -1,13 +1,13 @@
-//! What goes between an instance and an endpoint: JSON over HTTP/1.1.
+//! The messages between an instance and an endpoint: JSON over HTTP/1.1.
 //!
-//! Enums are tagged from outside (`{"done": {"result": 1, "load": {}}}`), since raw values can't be read
-//! behind an inner tag.
+//! Enums are externally tagged (`{"done": {"result": 1, "load": {}}}`), since [`RawValue`] can't be deserialized from an
+//! internally tagged one.
 //!
 //! | call | body | answer |
 //! |---|---|---|
 //! | `POST /tasks` | [`Start`] | 200 [`Reply`] once the task has ended; 503 [`Reply`] `not-started` |
 //! | `GET /tasks/ATTEMPT` | none | 200 [`Status`] |
-//! | `POST /tasks/ATTEMPT/stop` | none | 200 [`Status`]; an attempt never seen is barred for good |
+//! | `POST /tasks/ATTEMPT/stop` | none | 200 [`Status`]; an attempt not received so far is barred for good |
 
 use std::sync::Arc;
 
@@ -19,28 +19,28 @@
 
 use crate::prelude::*;
 
-/// Asks an endpoint to run one task. An endpoint runs an attempt once, however often it is asked.
+/// A request to run one task. It is idempotent: an endpoint runs an attempt once, however often it is requested.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Start {
     /// The attempt.
     pub attempt: Attempt,
     /// The service that the task belongs to.
     pub service: Service,
-    /// What the caller gave.
+    /// The caller's payload, passed through unchanged.
     pub payload: Arc<RawValue>,
-    /// The lease: the endpoint stops the task when it has run for so long.
+    /// The lease: how long the task may run before the endpoint stops it.
     #[serde(rename = "lease_ms")]
     pub lease: Span,
 }
 
-/// How an endpoint stood when it answered.
+/// The load of an endpoint when it answered.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Tasks that run.
+    /// The number of running tasks.
     pub running: u32,
-    /// Tasks that wait for a slot.
+    /// The number of tasks that wait for a slot.
     pub queued: u32,
-    /// The incarnation of the endpoint that answers: drawn at its start, never used again.
+    /// The incarnation of the endpoint: drawn anew at each start, never reused.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub incarnation: Option<Incarnation>,
 }
@@ -49,49 +49,49 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reply {
-    /// It ran to its end.
+    /// The task succeeded.
     Done {
-        /// What the task gave.
+        /// The result of the task.
         result: Arc<RawValue>,
-        /// How loaded the endpoint is.
+        /// The endpoint's load.
         load: Load,
     },
-    /// It ran and failed, or was stopped while it ran.
+    /// The task failed, or was stopped while it ran.
     Failed {
-        /// Why.
+        /// The cause.
         error: String,
-        /// How loaded the endpoint is.
+        /// The endpoint's load.
         load: Load,
     },
-    /// It never started, and never will under this attempt.
+    /// The task wasn't started, and won't be under this attempt.
     NotStarted {
-        /// Why.
+        /// The cause.
         error: String,
         /// Whether the endpoint is leaving.
         leaving: bool,
-        /// How loaded the endpoint is.
+        /// The endpoint's load.
         load: Load,
     },
 }
 
-/// What an endpoint knows of an attempt.
+/// The status of an attempt at an endpoint.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Status {
-    /// Not seen; it may still arrive.
+    /// The start hasn't been received; it may still arrive.
     Unseen,
-    /// Not started by this incarnation of the endpoint, and it never will be.
+    /// This incarnation of the endpoint hasn't started the attempt and won't.
     Barred {
-        /// The incarnation of the endpoint that answers. The report of another one than the start went to proves
-        /// nothing.
+        /// The incarnation of the endpoint that answers. If the start was sent to an earlier one, the attempt may
+        /// have run on that one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         incarnation: Option<Incarnation>,
     },
-    /// Waits for a slot or runs.
+    /// The attempt waits for a slot or runs.
     Running,
-    /// Ended as reported.
+    /// The attempt has ended.
     Ended {
-        /// The end.
+        /// How it ended.
         reply: Reply,
     },
 }
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,4 +1,4 @@
-//! Numbered log events; `docs/EVENTS.md` is their catalogue.
+//! Numbered log events. `docs/EVENTS.md` documents each of them.
 
 use std::{
     fmt,
@@ -23,11 +23,11 @@
     settings::Settings, //
 };
 
-/// Sends the log to where the settings say: a file, or else standard error. Times are in UTC.
+/// Sets up the log: it goes to the file that the settings name, or else to standard error. Times are in UTC.
 ///
 /// # Errors
 ///
-/// Fails where the file can't be opened or a log is set up already.
+/// Fails if the file can't be opened or a logger is already set up.
 pub fn init(settings: &Settings) -> Result<(), Error> {
     let Some(path) = &settings.file else {
         return init_writer(settings.log, io::stderr());
@@ -51,17 +51,17 @@
     WriteLogger::init(level, config, writer).map_err(|_| Error::Logged)
 }
 
-/// An event: a number from the catalogue, and the words of this occurrence.
+/// An occurrence of a numbered event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Which event it is.
+    /// The kind of event.
     pub code: Code,
-    /// What is particular to this occurrence.
+    /// The details of this occurrence, or empty.
     pub detail: String,
 }
 
 impl Event {
-    /// Makes an event.
+    /// Creates an event.
     pub fn new(code: Code, detail: impl Into<String>) -> Self {
         Self {
             code,
@@ -87,31 +87,31 @@
 
 macro_rules! codes {
     ($($number:literal $name:ident $level:ident $title:literal,)*) => {
-        /// The events that the log can show.
+        /// The kinds of events.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum Code {
             $(#[doc = $title] $name,)*
         }
 
         impl Code {
-            /// All events in the order of their numbers.
+            /// All kinds in the order of their numbers.
             pub const ALL: &[Code] = &[$(Code::$name,)*];
 
-            /// Returns the number in the catalogue.
+            /// Returns the number under which the event is documented.
             pub fn number(self) -> u16 {
                 match self {
                     $(Code::$name => $number,)*
                 }
             }
 
-            /// Returns the level at which it is logged.
+            /// Returns the level at which the event is logged.
             pub fn level(self) -> Level {
                 match self {
                     $(Code::$name => Level::$level,)*
                 }
             }
 
-            /// Returns what the event says.
+            /// Returns the title that is logged in front of the details.
             pub fn title(self) -> &'static str {
                 match self {
                     $(Code::$name => $title,)*
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Metrics of an instance, rendered in the OpenMetrics text format.
 //!
-//! The decisions thread updates them and the callers thread renders them. Everything is an atomic behind an
-//! [`std::sync::Arc`], apart from the two histograms, whose lock is held for a few comparisons.
+//! All threads update them and the callers thread renders them. Counters and gauges are atomics. The two histograms have
+//! a lock each, which is held only to find and increment a bucket.
 
 pub mod registry;
 
@@ -33,27 +33,27 @@
 /// The content type of the rendered text.
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// The first bucket of job times in seconds; each further one is twice as long.
-const SHORTEST_JOB: f64 = 0.005;
+/// The upper bound of the first bucket of job times, in seconds; each further bound is twice the one before.
+const FIRST_JOB_BUCKET_S: f64 = 0.005;
 
-/// How many buckets job times have: the last ends at about 80 s.
-const JOB_BUCKETS: u16 = 15;
+/// The number of buckets of job times; the last bound is about 80 s.
+const JOB_BUCKET_COUNT: u16 = 15;
 
-/// The buckets of the response time over the ideal time. The aim is 1.02, so they are narrow near one.
+/// The bounds of the buckets of the response time over the ideal time. They are narrow near the target of 1.02.
 const RATIO_BUCKETS: [f64; 12] = [
     1.0, 1.01, 1.02, 1.05, 1.1, 1.2, 1.5, 2.0, 3.0, 5.0, 7.0, 10.0,
 ];
 
-/// A message that an instance sends or gets.
+/// The kinds of messages that an instance sends or receives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
-    /// A start of a task at an endpoint.
+    /// A request to an endpoint to start a task.
     Start,
-    /// The end of a task, as its endpoint reported it.
+    /// An endpoint's reply to a start.
     Reply,
-    /// A look at an attempt.
+    /// A request to an endpoint for the status of an attempt.
     Lookup,
-    /// A stop of an attempt.
+    /// A request to an endpoint to stop an attempt.
     Stop,
     /// A call to a peer.
     PeerCall,
@@ -98,28 +98,28 @@
     }
 }
 
-/// The values of the gauges, set together.
+/// The values of all gauges.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Endpoints that take work.
+    /// The number of endpoints that take new tasks.
     pub eligible: u32,
-    /// Endpoints that are ejected.
+    /// The number of ejected endpoints.
     pub ejected: u32,
-    /// Tasks that are started and not ended.
+    /// The number of tasks that are started and not ended.
     pub outstanding: u32,
-    /// Tasks that wait for an endpoint.
+    /// The number of tasks that wait for an endpoint.
     pub waiting: u32,
-    /// Answers that are kept.
+    /// The number of answers kept for resubmissions.
     pub kept: u32,
-    /// Bytes of the kept answers.
+    /// The size of the kept answers in bytes.
     pub kept_bytes: u64,
     /// The revision of the configuration in force.
     pub revision: Revision,
-    /// Peers that are alive.
+    /// The number of peers that are alive.
     pub peers: u32,
 }
 
-/// A label's value, written as the type is displayed.
+/// A label value, written as its type's `Display` does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Label<T>(T);
 
@@ -156,7 +156,7 @@
     starts: Counter,
     retries: Counter,
     hedges: Counter,
-    /// The counters of [`Message::ALL`], looked up once: they are the ones counted for every task.
+    /// The counters in the order of [`Message::ALL`], cached since they are incremented for every task.
     messages: [Counter; Message::ALL.len()],
     ring_refusals: Counter,
     drains: Counter,
@@ -177,11 +177,11 @@
 }
 
 impl Metrics {
-    /// Makes metrics that stand at zero.
+    /// Creates metrics with all values at zero.
     pub fn new() -> Self {
         let mut registry = Registry::new();
         let r = &mut registry;
-        let job_buckets = exponential_buckets(SHORTEST_JOB, 2.0, JOB_BUCKETS);
+        let job_buckets = exponential_buckets(FIRST_JOB_BUCKET_S, 2.0, JOB_BUCKET_COUNT);
         Self {
             requests: r.add("requests", "Answers to submissions"),
             refusals: r.add("refusals", "Submissions not run"),
@@ -196,9 +196,9 @@
                 RATIO_BUCKETS,
             ),
             starts: r.add("task_starts", "Tasks started"),
-            retries: r.add("task_retries", "Tasks started again"),
-            hedges: r.add("task_hedges", "Tasks started twice to outrun a straggler"),
-            messages: by_kind(&r.add("messages", "Messages to and from others")),
+            retries: r.add("task_retries", "Retries of tasks"),
+            hedges: r.add("task_hedges", "Second attempts started beside a slow one"),
+            messages: message_counters(&r.add("messages", "Messages sent or received")),
             ring_refusals: r.add(
                 "ring_refusals",
                 "Work refused because a ring between threads was full",
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Counts an answer, and what it refuses.
+    /// Counts an answer to a submission, and a refusal if the job was not run.
     pub fn count_answer(&self, outcome: Outcome, reason: Reason, class: Class) {
         let request = Request {
             outcome: Label(outcome),
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Notes how long a complete job took, and what it would have taken at best.
+    /// Records the response time of a completed job, and its ratio to `ideal`, the duration of the job's longest task.
     pub fn observe_job(&self, took: Span, ideal: Span) {
         self.job_seconds.observe(took.duration().as_secs_f64());
         if ideal.0 > 0 {
@@ -237,32 +237,32 @@
         }
     }
 
-    /// Counts a started task. A retry or a hedge is counted besides, by its own method.
+    /// Counts a start of a task. For a retry or a hedge, [`Self::count_retry`] or [`Self::count_hedge`] is called as well.
     pub fn count_start(&self) {
         self.starts.inc();
     }
 
-    /// Counts a task that is started again.
+    /// Counts a retry of a task.
     pub fn count_retry(&self) {
         self.retries.inc();
     }
 
-    /// Counts a task that is started a second time to outrun a straggler.
+    /// Counts a hedge: a second attempt at a task whose first is slow.
     pub fn count_hedge(&self) {
         self.hedges.inc();
     }
 
-    /// Counts a message.
+    /// Counts a message that was sent or received.
     pub fn count_message(&self, kind: Message) {
         self.messages[kind as usize].inc();
     }
 
-    /// Counts work that was refused because a ring was full.
+    /// Counts an item that was refused because a ring between threads was full.
     pub fn count_ring_refusal(&self) {
         self.ring_refusals.inc();
     }
 
-    /// Counts a drain.
+    /// Counts a drain that has begun.
     pub fn count_drain(&self) {
         self.drains.inc();
     }
@@ -274,25 +274,27 @@
         self.outstanding.set(gauges.outstanding.into());
         self.waiting.set(gauges.waiting.into());
         self.kept.set(gauges.kept.into());
-        self.kept_bytes.set(signed(gauges.kept_bytes));
-        self.revision.set(signed(gauges.revision.0));
+        self.kept_bytes.set(to_gauge_value(gauges.kept_bytes));
+        self.revision.set(to_gauge_value(gauges.revision.0));
         self.peers.set(gauges.peers.into());
     }
 
-    /// Renders all metrics as text.
+    /// Returns all metrics in the text format.
     ///
     /// # Errors
     ///
-    /// Passes on what the encoder reports.
+    /// Fails if the encoder does.
     pub fn render(&self) -> Result<String, fmt::Error> {
         self.registry.render()
     }
 }
 
-fn by_kind(kinds: &Family<Kind, Counter>) -> [Counter; Message::ALL.len()] {
-    Message::ALL.map(|kind| kinds.get_or_create_owned(&Kind { kind: Label(kind) }))
+/// Returns the counter of each kind, in the order of [`Message::ALL`].
+fn message_counters(family: &Family<Kind, Counter>) -> [Counter; Message::ALL.len()] {
+    Message::ALL.map(|kind| family.get_or_create_owned(&Kind { kind: Label(kind) }))
 }
 
-fn signed(value: u64) -> i64 {
+/// Converts a value for a gauge; one that is too large becomes the largest.
+fn to_gauge_value(value: u64) -> i64 {
     i64::try_from(value).unwrap_or(i64::MAX)
 }
--- a/src/metrics/registry.rs
+++ b/src/metrics/registry.rs
@@ -1,4 +1,4 @@
-//! The registry of an instance's metrics: it makes each metric, names it and renders all of them.
+//! Creates, names and renders the metrics of an instance.
 
 use std::fmt;
 
@@ -11,7 +11,7 @@
     },
 };
 
-/// What every name begins with.
+/// The prefix of every metric's name.
 const PREFIX: &str = "poplarknot";
 
 /// The metrics of an instance, in the order in which they were added.
@@ -19,17 +19,17 @@
 pub struct Registry(registry::Registry);
 
 impl Registry {
-    /// Makes an empty registry.
+    /// Creates an empty registry.
     pub fn new() -> Self {
         Self(registry::Registry::with_prefix(PREFIX))
     }
 
-    /// Adds a metric that stands at zero, and returns it.
+    /// Registers a metric with the value zero, and returns it.
     pub fn add<M: Metric + Clone + Default>(&mut self, name: &str, help: &str) -> M {
         self.register(name, help, M::default())
     }
 
-    /// Adds an empty histogram with these upper bounds, and returns it.
+    /// Registers an empty histogram with the given upper bounds of its buckets, and returns it.
     pub fn add_histogram(
         &mut self,
         name: &str,
@@ -44,11 +44,11 @@
         metric
     }
 
-    /// Renders all metrics as text.
+    /// Returns all metrics in the OpenMetrics text format.
     ///
     /// # Errors
     ///
-    /// Passes on what the encoder reports.
+    /// Fails if the encoder does.
     pub fn render(&self) -> Result<String, fmt::Error> {
         let mut text = String::new();
         encode(&mut text, &self.0)?;
