--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -177,8 +177,8 @@
         let Ok(mut connection) = connection else {
             return End::Unsent;
         };
-        // The process may have been suspended since the core decided. An expired start must not be sent: the core may
-        // have given the attempt up.
+        // The process may have been suspended since the core decided: without this check, a task could start after the
+        // job's deadline.
         if self.clock.now() >= expires {
             return End::Withheld;
         }
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,4 +1,4 @@
-//! Connections of the client side: HTTP/1.1 by hyper, kept while they are trusted.
+//! HTTP/1.1 client connections, and a pool that keeps idle ones for reuse.
 
 use std::{
     collections::HashMap,
@@ -38,58 +38,58 @@
     },
 };
 
-/// How long a connection may take to open: a round trip takes under a millisecond.
+/// How long a connection may take to open, unless another timeout is given.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The largest body that is read, in bytes.
-const LARGEST: usize = 64 << 20;
+/// The largest body that is read, unless another limit is given.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// A connection that takes one request at a time.
+/// A connection that carries one request at a time.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    largest: usize,
+    max_body_bytes: usize,
 }
 
-/// Why a request has no answer.
+/// The error of a request that has no response. It says whether a retry can execute the request twice.
 #[derive(Debug, thiserror::Error)]
 pub enum Failure {
-    /// No byte of it left.
+    /// No byte of the request was sent.
     #[error(transparent)]
     Unsent(Cause),
-    /// It may have arrived.
+    /// The request may have arrived.
     #[error(transparent)]
     Broken(Cause),
 }
 
-/// What ended an exchange early.
+/// The cause of a failure.
 #[derive(Debug, thiserror::Error)]
 pub enum Cause {
-    /// The connection didn't open in time.
+    /// The connection didn't open within the time given here.
     #[error("no connection in {} s", .0.as_secs_f64())]
     ConnectTimeout(Duration),
-    /// The answer didn't come in time.
+    /// The response didn't arrive within the time given here.
     #[error("no answer in {} s", .0.as_secs_f64())]
     AnswerTimeout(Duration),
-    /// The connection was refused, or can't be made.
+    /// The connection was refused or couldn't be opened.
     #[error(transparent)]
     Socket(#[from] io::Error),
-    /// The connection ended early, or what came on it is no HTTP.
+    /// The connection closed early, or the data received is no valid HTTP.
     #[error(transparent)]
     Protocol(#[from] hyper::Error),
-    /// The body ended early, or is too large.
+    /// The body ended early or is too large.
     #[error(transparent)]
     Body(Box<dyn error::Error + Send + Sync>),
 }
 
-/// A whole answer.
+/// A response that was read completely.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// Its status.
+    /// The status code.
     pub status: StatusCode,
-    /// Names this state of what was asked for, where the other side gives it a name.
+    /// The entity tag, if the response has one in visible ASCII.
     pub etag: Option<String>,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
 }
 
@@ -98,19 +98,19 @@
     ///
     /// # Errors
     ///
-    /// Tells that the other side can't be reached within [`CONNECT_TIMEOUT`].
+    /// Returns [`Failure::Unsent`] if the connection can't be opened within [`CONNECT_TIMEOUT`].
     pub async fn open(address: &str) -> Result<Self, Failure> {
-        Self::open_within(CONNECT_TIMEOUT, LARGEST, address).await
+        Self::open_within(CONNECT_TIMEOUT, MAX_BODY_BYTES, address).await
     }
 
-    /// Opens a connection whose answers may have up to `largest` bytes.
+    /// Opens a connection whose responses may have bodies of up to `max_body_bytes`.
     ///
     /// # Errors
     ///
-    /// Tells that the other side can't be reached within `wait`.
+    /// Returns [`Failure::Unsent`] if the connection can't be opened within `wait`.
     pub async fn open_within(
         wait: Duration,
-        largest: usize,
+        max_body_bytes: usize,
         address: &str,
     ) -> Result<Self, Failure> {
         let stream = timeout(wait, TcpStream::connect(address)).await;
@@ -120,18 +120,21 @@
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|error| Failure::Unsent(error.into()))?;
         tokio::spawn(connection);
-        Ok(Self { sender, largest })
+        Ok(Self {
+            sender,
+            max_body_bytes,
+        })
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the whole response.
     ///
     /// # Errors
     ///
-    /// Tells whether the request may have arrived.
+    /// Returns [`Failure::Unsent`] if no byte of the request was sent, and else [`Failure::Broken`].
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Reply, Failure> {
         let sent = self.sender.try_send_request(request).await;
         let response: Response<Incoming> = sent.map_err(|mut error| {
-            // The request comes back only when not a byte of it was written.
+            // hyper returns the request only if no byte of it was written.
             match error.take_message() {
                 Some(_) => Failure::Unsent(error.into_error().into()),
                 None => Failure::Broken(error.into_error().into()),
@@ -140,7 +143,7 @@
         let status = response.status();
         let etag = response.headers().get(ETAG);
         let etag = etag.and_then(|etag| etag.to_str().ok()).map(str::to_owned);
-        let body = Limited::new(response.into_body(), self.largest);
+        let body = Limited::new(response.into_body(), self.max_body_bytes);
         let body = body.collect().await;
         let body = body
             .map_err(|error| Failure::Broken(Cause::Body(error)))?
@@ -153,13 +156,13 @@
     }
 }
 
-/// Sends a request over an idle connection, or over a new one where there is none.
+/// Sends a request over an idle connection, or over a new one if `idle` is `None`.
 ///
-/// The connection comes back with the answer only: one that failed is not to be used again.
+/// Returns the connection with the response, for reuse. A failed connection is closed.
 ///
 /// # Errors
 ///
-/// Tells whether the request may have arrived.
+/// Returns [`Failure::Unsent`] if no byte of the request was sent, and else [`Failure::Broken`].
 pub async fn exchange(
     idle: Option<Connection>,
     address: &str,
@@ -173,7 +176,7 @@
     Ok((reply, connection))
 }
 
-/// Builds a request with a JSON body, or none.
+/// Builds a request without a content type.
 pub fn build_request(
     method: Method,
     address: &str,
@@ -182,7 +185,7 @@
 ) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = method;
-    // A path that is no URI can only come from a name that was checked before.
+    // Paths are built from validated names, so parsing doesn't fail.
     *request.uri_mut() = path.parse().unwrap_or_default();
     if let Ok(host) = address.parse() {
         request.headers_mut().insert(hyper::header::HOST, host);
@@ -190,7 +193,7 @@
     request
 }
 
-/// Builds a request whose body, if there is one, is said to be JSON.
+/// Builds a request with the content type `application/json`.
 pub fn build_json_request(
     method: Method,
     address: &str,
@@ -203,32 +206,31 @@
     request
 }
 
-/// Idle connections by address, each trusted for a while after its last answer.
+/// A pool of idle connections by address. A connection expires when its last response is older than the idle timeout.
 ///
-/// Something between the two ends can lose track of a connection: what is sent on it is swallowed, while new
-/// connections work. The caller sees silence. A connection that has answered within `trust` was alive then,
-/// and any other is replaced by a fresh one, which costs one round trip.
+/// A firewall or a load balancer may drop the state of an idle connection without closing it: requests on it get no
+/// response, while new connections work. The timeout keeps such connections from being used again.
 #[derive(Debug)]
 pub struct Pool {
-    trust: Duration,
+    idle_timeout: Duration,
     idle: HashMap<String, Vec<(Instant, Connection)>>,
 }
 
 impl Pool {
-    /// Makes an empty pool.
-    pub fn new(trust: Duration) -> Self {
+    /// Creates an empty pool.
+    pub fn new(idle_timeout: Duration) -> Self {
         Self {
-            trust,
+            idle_timeout,
             idle: HashMap::new(),
         }
     }
 
-    /// Takes the connection that answered last, if it can be trusted.
+    /// Removes and returns the most recently used connection to an address that is open and hasn't expired.
     pub fn take(&mut self, address: &str) -> Option<Connection> {
         let idle = self.idle.get_mut(address)?;
         let now = Instant::now();
-        while let Some((since, connection)) = idle.pop() {
-            if now.duration_since(since) >= self.trust {
+        while let Some((idle_since, connection)) = idle.pop() {
+            if now.duration_since(idle_since) >= self.idle_timeout {
                 idle.clear();
                 return None;
             }
@@ -239,17 +241,17 @@
         None
     }
 
-    /// Puts a connection back that has just answered.
+    /// Adds a connection that has just received a response.
     pub fn put(&mut self, address: &str, connection: Connection) {
         let now = Instant::now();
         let idle = match self.idle.get_mut(address) {
             Some(idle) => idle,
             None => self.idle.entry(address.to_owned()).or_default(),
         };
-        let trust = self.trust;
-        if let Some((since, _)) = idle.first() {
-            if now.duration_since(*since) >= trust {
-                idle.retain(|(since, _)| now.duration_since(*since) < trust);
+        let idle_timeout = self.idle_timeout;
+        if let Some((idle_since, _)) = idle.first() {
+            if now.duration_since(*idle_since) >= idle_timeout {
+                idle.retain(|(idle_since, _)| now.duration_since(*idle_since) < idle_timeout);
             }
         }
         idle.push((now, connection));
@@ -260,13 +262,13 @@
         self.idle.remove(address);
     }
 
-    /// Closes the connections that are trusted no more.
+    /// Closes the connections that have expired.
     pub fn close_expired(&mut self) {
         let now = Instant::now();
-        let trust = self.trust;
+        let idle_timeout = self.idle_timeout;
         self.idle.retain(|_, idle| {
-            idle.retain(|(since, connection)| {
-                now.duration_since(*since) < trust && connection.is_usable()
+            idle.retain(|(idle_since, connection)| {
+                now.duration_since(*idle_since) < idle_timeout && connection.is_usable()
             });
             !idle.is_empty()
         });
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,9 +1,9 @@
-//! The side towards the other instances: calls over capnp-rpc, both ways.
+//! The peers thread: calls the other instances and serves their calls, over capnp-rpc.
 //!
-//! Capabilities of capnp-rpc can't leave their thread, so they live in a local task set of this one.
+//! Capabilities of capnp-rpc aren't `Send`, so all tasks of this module run in one local task set.
 //!
-//! The schema has short names of its own: its `Beat` is a [`Heartbeat`], its `Sighting` an [`Observation`], and its
-//! `stranger` [`Return::StaleIncarnation`]. They are translated here and used nowhere else.
+//! The schema uses names of its own: its `Beat` is a [`Heartbeat`], its `Sighting` an [`Observation`], and its `stranger`
+//! is [`Return::StaleIncarnation`].
 
 use std::{
     cell::{
@@ -59,24 +59,28 @@
     settings::Settings,
 };
 
-/// Connections of peers that are served at once; each instance opens one to each of the others.
-const CONNECTIONS: usize = 2_048;
+/// The most connections that are served at once. Each peer opens one; connections beyond the limit are closed.
+const MAX_CONNECTIONS: usize = 2_048;
 
-/// Calls of peers that wait for their return at once.
-const CALLS: usize = 16_384;
+/// The most calls of peers that wait for a result at once. Calls beyond the limit are refused.
+const MAX_PENDING_CALLS: usize = 16_384;
 
-/// How long the last returns have to leave when the instance ends. They take a round trip, but on a machine whose
-/// processors are all busy 50 ms were too short: the peer told its caller that the job's owner was gone.
-const FLUSH: Duration = Duration::from_millis(400);
+/// How long the connections stay open at shutdown for the last results to be sent. A result that is lost makes the peer
+/// answer its caller that the job's owner is gone. A busy machine needs much more than a round trip.
+const FLUSH_DELAY: Duration = Duration::from_millis(400);
 
-/// What all tasks of this thread share.
+/// The state that all tasks of this thread share.
 struct Shared {
     metrics: Arc<Metrics>,
-    back: ring::Sender<Input>,
-    serial: Cell<u64>,
-    calls: RefCell<HashMap<IncomingCall, oneshot::Sender<Return>>>,
-    clients: RefCell<HashMap<Instance, Link>>,
-    served: Cell<usize>,
+    inputs: ring::Sender<Input>,
+    /// The last number given to an incoming call or a link.
+    last_serial: Cell<u64>,
+    /// Calls of peers that wait for their result.
+    pending_calls: RefCell<HashMap<IncomingCall, oneshot::Sender<Return>>>,
+    /// Connections to peers.
+    links: RefCell<HashMap<Instance, Link>>,
+    /// The number of connections from peers.
+    open_connections: Cell<usize>,
 }
 
 /// A connection to a peer.
@@ -87,25 +91,25 @@
     client: peer::Client,
 }
 
-/// Serves peers and calls them, until the decisions end.
+/// Serves the calls of peers and calls peers on behalf of the core, until the decisions thread ends.
 pub async fn serve(
     _settings: Arc<Settings>,
     metrics: Arc<Metrics>,
     listener: TcpListener,
-    mut orders: ring::Receiver<Output>,
-    back: ring::Sender<Input>,
+    mut commands: ring::Receiver<Output>,
+    inputs: ring::Sender<Input>,
 ) {
     let shared = Rc::new(Shared {
         metrics,
-        back,
-        serial: Cell::new(0),
-        calls: RefCell::default(),
-        clients: RefCell::default(),
-        served: Cell::new(0),
+        inputs,
+        last_serial: Cell::new(0),
+        pending_calls: RefCell::default(),
+        links: RefCell::default(),
+        open_connections: Cell::new(0),
     });
-    let accept = spawn_local(accept(shared.clone(), listener));
-    while let Some(order) = orders.recv().await {
-        match order {
+    let accepting = spawn_local(accept_connections(shared.clone(), listener));
+    while let Some(command) = commands.recv().await {
+        match command {
             Output::Call {
                 to,
                 address,
@@ -117,75 +121,84 @@
                 spawn_local(async move {
                     shared.metrics.count_message(Message::PeerCall);
                     let result = shared.call(&to, &address, call, wait.duration()).await;
-                    shared.back.send(Input::Returned(id, result)).await;
+                    shared.inputs.send(Input::Returned(id, result)).await;
                 });
             }
             Output::Return(caller, result) => {
-                // A peer that gave up takes its receiver along.
-                if let Some(call) = shared.calls.borrow_mut().remove(&caller) {
+                // Sending fails if the peer has cancelled its call.
+                if let Some(call) = shared.pending_calls.borrow_mut().remove(&caller) {
                     call.send(result).ok();
                 }
             }
             _ => {}
         }
     }
-    accept.abort();
-    // The last returns are with the connections' tasks now. If the thread ended here, the peers would lose them
-    // and could only tell their callers that the owner is gone.
-    tokio::time::sleep(FLUSH).await;
+    accepting.abort();
+    // The connections' tasks may still have results to send, which would be lost if the thread ended now.
+    tokio::time::sleep(FLUSH_DELAY).await;
 }
 
-async fn accept(shared: Rc<Shared>, listener: TcpListener) {
+/// Accepts connections from peers and serves each in a task of its own.
+async fn accept_connections(shared: Rc<Shared>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
-        if shared.served.get() >= CONNECTIONS {
+        if shared.open_connections.get() >= MAX_CONNECTIONS {
             continue;
         }
         let shared = shared.clone();
         spawn_local(async move {
-            shared.served.set(shared.served.get() + 1);
-            let served = Served {
+            shared
+                .open_connections
+                .set(shared.open_connections.get() + 1);
+            let server = PeerServer {
                 shared: shared.clone(),
             };
-            let client: peer::Client = capnp_rpc::new_client(served);
+            let client: peer::Client = capnp_rpc::new_client(server);
             let network = build_network(stream, Side::Server);
             RpcSystem::new(network, Some(client.client)).await.ok();
-            shared.served.set(shared.served.get() - 1);
+            shared
+                .open_connections
+                .set(shared.open_connections.get() - 1);
         });
     }
 }
 
 impl Shared {
-    fn next(&self) -> u64 {
-        self.serial.set(self.serial.get() + 1);
-        self.serial.get()
+    /// Returns a number that wasn't returned before.
+    fn next_serial(&self) -> u64 {
+        self.last_serial.set(self.last_serial.get() + 1);
+        self.last_serial.get()
     }
 
+    /// Calls a peer and waits at most `wait` for the result.
+    ///
+    /// A call that wasn't sent is [`Return::Refused`]; one that may have been executed is [`Return::Lost`].
     async fn call(&self, to: &Instance, address: &str, call: Call, wait: Duration) -> Return {
-        let Some(link) = self.link(to, address).await else {
+        let Some(link) = self.connect(to, address).await else {
             return Return::Refused;
         };
         match timeout(wait, link.call(call)).await {
             Ok(Ok(result)) => result,
-            // A connection that failed or went silent is not used again.
+            // A connection that failed or timed out isn't used again. Another task may have replaced it meanwhile.
             _ => {
-                let mut clients = self.clients.borrow_mut();
-                if clients
+                let mut links = self.links.borrow_mut();
+                if links
                     .get(to)
-                    .is_some_and(|known| known.serial == link.serial)
+                    .is_some_and(|current| current.serial == link.serial)
                 {
-                    clients.remove(to);
+                    links.remove(to);
                 }
                 Return::Lost
             }
         }
     }
 
-    async fn link(&self, to: &Instance, address: &str) -> Option<Link> {
-        if let Some(link) = self.clients.borrow().get(to) {
+    /// Returns the connection to a peer, and opens it if there is none to this address.
+    async fn connect(&self, to: &Instance, address: &str) -> Option<Link> {
+        if let Some(link) = self.links.borrow().get(to) {
             if link.address == address {
                 return Some(link.clone());
             }
@@ -196,23 +209,27 @@
         let client: peer::Client = system.bootstrap(Side::Server);
         spawn_local(system);
         let link = Link {
-            serial: self.next(),
+            serial: self.next_serial(),
             address: address.to_owned(),
             client,
         };
-        self.clients.borrow_mut().insert(to.clone(), link.clone());
+        self.links.borrow_mut().insert(to.clone(), link.clone());
         Some(link)
     }
 
-    /// Hands a peer's call to the decisions and waits for the return.
-    fn ask(&self, call: Call) -> oneshot::Receiver<Return> {
+    /// Passes a peer's call to the core and returns the receiver of its result.
+    ///
+    /// The receiver fails if the call is refused, since too many are pending or the ring is full.
+    fn submit_to_core(&self, call: Call) -> oneshot::Receiver<Return> {
         let (sender, receiver) = oneshot::channel();
-        let caller = IncomingCall(self.next());
-        let mut calls = self.calls.borrow_mut();
-        calls.retain(|_, call| !call.is_closed());
-        // Dropping the sender tells the peer that the call was refused.
-        if calls.len() < CALLS && self.back.try_send(Input::Called(caller, call)).is_ok() {
-            calls.insert(caller, sender);
+        let caller = IncomingCall(self.next_serial());
+        let mut pending_calls = self.pending_calls.borrow_mut();
+        pending_calls.retain(|_, call| !call.is_closed());
+        // A sender that isn't inserted is dropped, which makes the receiver fail.
+        if pending_calls.len() < MAX_PENDING_CALLS
+            && self.inputs.try_send(Input::Called(caller, call)).is_ok()
+        {
+            pending_calls.insert(caller, sender);
         }
         receiver
     }
@@ -232,12 +249,12 @@
             }
             Call::Config(call) => {
                 let mut request = self.client.config_request();
-                let json = serde_json::to_vec(&call).map_err(failed)?;
+                let json = serde_json::to_vec(&call).map_err(to_capnp_error)?;
                 request.get().set_call(&json);
                 let response = request.send().promise.await?;
                 let reply = response.get()?.get_reply()?;
                 Ok(Return::Config(
-                    serde_json::from_slice(reply).map_err(failed)?,
+                    serde_json::from_slice(reply).map_err(to_capnp_error)?,
                 ))
             }
         }
@@ -249,35 +266,35 @@
         builder.set_owner(&forward.owner.0.to_be_bytes());
         builder.set_digest(&forward.digest.0);
         builder.set_left(forward.left.0);
-        let json = serde_json::to_vec(&forward.submission).map_err(failed)?;
+        let json = serde_json::to_vec(&forward.submission).map_err(to_capnp_error)?;
         builder.set_submission(&json);
         let response = request.send().promise.await?;
         let response = response.get()?;
         if response.get_stranger() {
             return Ok(Return::StaleIncarnation);
         }
-        let answer = serde_json::from_slice(response.get_answer()?).map_err(failed)?;
+        let answer = serde_json::from_slice(response.get_answer()?).map_err(to_capnp_error)?;
         Ok(Return::Answer(answer))
     }
 }
 
-/// What this instance offers to its peers.
-struct Served {
+/// The server of the capnp interface `Peer`.
+struct PeerServer {
     shared: Rc<Shared>,
 }
 
-impl peer::Server for Served {
+impl peer::Server for PeerServer {
     fn submit(
         self: Rc<Self>,
         params: peer::SubmitParams,
         mut results: peer::SubmitResults,
     ) -> impl std::future::Future<Output = Result<(), capnp::Error>> + 'static {
         let forward = pry!(params.get().and_then(read_forward));
-        let returned = self.shared.ask(Call::Submit(forward));
+        let returned = self.shared.submit_to_core(Call::Submit(forward));
         Promise::from_future(async move {
-            match returned.await.map_err(failed)? {
+            match returned.await.map_err(to_capnp_error)? {
                 Return::Answer(answer) => {
-                    let json = serde_json::to_vec(&answer).map_err(failed)?;
+                    let json = serde_json::to_vec(&answer).map_err(to_capnp_error)?;
                     results.get().set_answer(&json);
                 }
                 _ => results.get().set_stranger(true),
@@ -295,9 +312,9 @@
             .get()
             .and_then(|p| p.get_beat())
             .and_then(read_heartbeat));
-        let returned = self.shared.ask(Call::Heartbeat(heartbeat));
+        let returned = self.shared.submit_to_core(Call::Heartbeat(heartbeat));
         Promise::from_future(async move {
-            if let Return::Heartbeat(own) = returned.await.map_err(failed)? {
+            if let Return::Heartbeat(own) = returned.await.map_err(to_capnp_error)? {
                 write_heartbeat(&own, results.get().init_beat());
             }
             Ok(())
@@ -310,11 +327,11 @@
         mut results: peer::ConfigResults,
     ) -> impl std::future::Future<Output = Result<(), capnp::Error>> + 'static {
         let call = pry!(params.get().and_then(|p| p.get_call()));
-        let call = pry!(serde_json::from_slice(call).map_err(failed));
-        let returned = self.shared.ask(Call::Config(call));
+        let call = pry!(serde_json::from_slice(call).map_err(to_capnp_error));
+        let returned = self.shared.submit_to_core(Call::Config(call));
         Promise::from_future(async move {
-            if let Return::Config(reply) = returned.await.map_err(failed)? {
-                let json = serde_json::to_vec(&reply).map_err(failed)?;
+            if let Return::Config(reply) = returned.await.map_err(to_capnp_error)? {
+                let json = serde_json::to_vec(&reply).map_err(to_capnp_error)?;
                 results.get().set_reply(&json);
             }
             Ok(())
@@ -324,12 +341,12 @@
 
 fn read_forward(params: peer::submit_params::Reader<'_>) -> Result<Forward, capnp::Error> {
     let forward = params.get_forward()?;
-    let digest = <[u8; 32]>::try_from(forward.get_digest()?).map_err(failed)?;
+    let digest = <[u8; 32]>::try_from(forward.get_digest()?).map_err(to_capnp_error)?;
     Ok(Forward {
         owner: read_incarnation(forward.get_owner()?)?,
         digest: Digest(digest),
         left: Span(forward.get_left()),
-        submission: serde_json::from_slice(forward.get_submission()?).map_err(failed)?,
+        submission: serde_json::from_slice(forward.get_submission()?).map_err(to_capnp_error)?,
     })
 }
 
@@ -351,8 +368,8 @@
 
 fn read_heartbeat(from: beat::Reader<'_>) -> Result<Heartbeat, capnp::Error> {
     Ok(Heartbeat {
-        name: parse(from.get_name()?)?,
-        centre: parse(from.get_centre()?)?,
+        name: parse_text(from.get_name()?)?,
+        centre: parse_text(from.get_centre()?)?,
         incarnation: read_incarnation(from.get_incarnation()?)?,
         revision: Revision(from.get_revision()),
         draining: from.get_draining(),
@@ -366,26 +383,27 @@
 
 fn read_observation(from: sighting::Reader<'_>) -> Result<Observation, capnp::Error> {
     Ok(Observation {
-        name: parse(from.get_name()?)?,
+        name: parse_text(from.get_name()?)?,
         incarnation: Incarnation(u128::from(from.get_high()) << 64 | u128::from(from.get_low())),
         age: Span::millis(u64::from(from.get_age())),
     })
 }
 
 fn read_incarnation(bytes: &[u8]) -> Result<Incarnation, capnp::Error> {
-    let bytes = <[u8; 16]>::try_from(bytes).map_err(failed)?;
+    let bytes = <[u8; 16]>::try_from(bytes).map_err(to_capnp_error)?;
     Ok(Incarnation(u128::from_be_bytes(bytes)))
 }
 
-fn parse<T>(text: capnp::text::Reader<'_>) -> Result<T, capnp::Error>
+/// Parses a text field into its type.
+fn parse_text<T>(text: capnp::text::Reader<'_>) -> Result<T, capnp::Error>
 where
     T: std::str::FromStr,
     T::Err: std::fmt::Display,
 {
-    let text = text.to_str().map_err(failed)?;
-    text.parse().map_err(failed)
+    let text = text.to_str().map_err(to_capnp_error)?;
+    text.parse().map_err(to_capnp_error)
 }
 
-fn failed(error: impl std::fmt::Display) -> capnp::Error {
+fn to_capnp_error(error: impl std::fmt::Display) -> capnp::Error {
     capnp::Error::failed(error.to_string())
 }
--- a/src/ring.rs
+++ b/src/ring.rs
@@ -1,4 +1,4 @@
-//! Bounded rings between threads: one sender, one receiver, woken on either side.
+//! Bounded single-producer, single-consumer ring buffers between threads, with async wake-ups on both ends.
 
 use std::sync::{
     Arc,
@@ -16,89 +16,91 @@
 use crate::sync::lock;
 
 #[derive(Debug, Default)]
-struct Wake {
+struct Wakers {
+    /// Wakes the receiver when an item was sent.
     item: Notify,
+    /// Wakes senders when an item was received.
     space: Notify,
 }
 
 /// Wakes the other end when this one is dropped.
 ///
-/// Fields are dropped in their order, and this is the last one: an end that woke any earlier would find the ring
-/// not yet abandoned and sleep again, for good.
+/// It must be the last field of an end, since fields are dropped in order. If it were dropped before the ring's half, the
+/// other end could see the ring as still connected and wait forever.
 #[derive(Debug, Clone)]
-struct Signal(Arc<Wake>);
+struct WakeOnDrop(Arc<Wakers>);
 
-impl Drop for Signal {
+impl Drop for WakeOnDrop {
     fn drop(&mut self) {
         self.0.item.notify_one();
         self.0.space.notify_waiters();
     }
 }
 
-/// The end of a ring that puts items in. The tasks of one thread share it, so that its lock is never contended.
+/// The sending end of a ring. Its clones are used by the tasks of one thread, so that its lock is never contended.
 #[derive(Debug)]
 pub struct Sender<T> {
     ring: Arc<Mutex<Producer<T>>>,
-    wake: Signal,
+    wakers: WakeOnDrop,
 }
 
 impl<T> Clone for Sender<T> {
     fn clone(&self) -> Self {
         Self {
             ring: self.ring.clone(),
-            wake: self.wake.clone(),
+            wakers: self.wakers.clone(),
         }
     }
 }
 
-/// The end of a ring that takes items out.
+/// The receiving end of a ring.
 #[derive(Debug)]
 pub struct Receiver<T> {
     ring: Consumer<T>,
-    wake: Signal,
+    wakers: WakeOnDrop,
 }
 
-/// Makes a ring with `places` places.
-pub fn channel<T>(places: usize) -> (Sender<T>, Receiver<T>) {
-    let (producer, consumer) = RingBuffer::new(places);
-    let wake = Arc::new(Wake::default());
+/// Creates a ring for up to `capacity` items.
+pub fn channel<T>(capacity: usize) -> (Sender<T>, Receiver<T>) {
+    let (producer, consumer) = RingBuffer::new(capacity);
+    let wakers = Arc::new(Wakers::default());
     let sender = Sender {
         ring: Arc::new(Mutex::new(producer)),
-        wake: Signal(wake.clone()),
+        wakers: WakeOnDrop(wakers.clone()),
     };
     let receiver = Receiver {
         ring: consumer,
-        wake: Signal(wake),
+        wakers: WakeOnDrop(wakers),
     };
     (sender, receiver)
 }
 
 impl<T> Sender<T> {
-    /// Puts an item in.
+    /// Sends an item if the ring has space.
     ///
     /// # Errors
     ///
-    /// Gives the item back when the ring is full.
+    /// Returns the item if the ring is full.
     pub fn try_send(&self, item: T) -> Result<(), T> {
         match lock(&self.ring).push(item) {
             Ok(()) => {
-                self.wake.0.item.notify_one();
+                self.wakers.0.item.notify_one();
                 Ok(())
             }
             Err(PushError::Full(item)) => Err(item),
         }
     }
 
-    /// Puts an item in, waiting for a place.
+    /// Sends an item and waits while the ring is full. The item is dropped if the receiver is gone.
     ///
-    /// Only tasks that read no ring may wait here. The tasks that read the rings never wait for a place, so
-    /// two threads with full rings can't wait for each other.
+    /// Tasks that receive from a ring use [`Self::try_send`] instead, except where the other thread never waits for
+    /// theirs: else two threads with full rings would wait for each other.
     pub async fn send(&self, mut item: T) {
         loop {
-            let space = self.wake.0.space.notified();
+            let space = self.wakers.0.space.notified();
             match self.try_send(item) {
                 Ok(()) => return,
-                Err(back) => item = back,
+                Err(returned) => item = returned,
             }
             if lock(&self.ring).is_abandoned() {
                 return;
@@ -109,7 +111,8 @@
 }
 
 impl<T> Receiver<T> {
-    /// Takes the next item, waiting for it; none once the sender is gone.
+    /// Receives the next item and waits while there is none. Returns `None` once all senders are dropped and the ring is
+    /// empty.
     pub async fn recv(&mut self) -> Option<T> {
         loop {
             if let Some(item) = self.try_recv() {
@@ -118,14 +121,14 @@
             if self.ring.is_abandoned() {
                 return self.try_recv();
             }
-            self.wake.0.item.notified().await;
+            self.wakers.0.item.notified().await;
         }
     }
 
-    /// Takes the next item if there is one.
+    /// Receives the next item if there is one.
     pub fn try_recv(&mut self) -> Option<T> {
         let item = self.ring.pop().ok()?;
-        self.wake.0.space.notify_waiters();
+        self.wakers.0.space.notify_waiters();
         Some(item)
     }
 }
--- a/src/rpc.rs
+++ b/src/rpc.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpStream;
 use tokio_util::compat::TokioAsyncReadCompatExt as _;
 
-/// Makes one end of a connection speak capnp-rpc.
+/// Builds one side of a two-party capnp-rpc network over a connection.
 pub fn build_network(
     stream: TcpStream,
     side: Side,
--- a/src/sync.rs
+++ b/src/sync.rs
@@ -1,4 +1,4 @@
-//! Locks within one thread.
+//! Locking of mutexes.
 
 use std::sync::{
     Mutex,
@@ -6,7 +6,7 @@
     PoisonError, //
 };
 
-/// Locks a mutex. A panic ends the process before a state that it left behind could be seen.
+/// Locks a mutex, also a poisoned one: a panic ends the process, so that no other thread sees an inconsistent state.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,4 +1,4 @@
-//! Points and spans of time, in microseconds, as the core counts them.
+//! Points in time and time spans, in microseconds.
 
 use std::{
     fmt,
@@ -14,14 +14,14 @@
     Serialize, //
 };
 
-/// A point in time: microseconds on the monotonic clock since the instance started.
+/// A point in time: microseconds on the instance's monotonic clock.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Time(pub u64);
 
 impl Time {
-    /// Returns the span from `earlier` to this point, zero where `earlier` is the later one.
+    /// Returns the span from `earlier` to this point, or zero if `earlier` is later.
     pub fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
@@ -35,7 +35,7 @@
     }
 }
 
-/// A span of time in microseconds; it is written in milliseconds.
+/// A time span in microseconds. It is displayed and serialized in milliseconds.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -43,12 +43,12 @@
 pub struct Span(pub u64);
 
 impl Span {
-    /// Makes a span of whole milliseconds.
+    /// Creates a span of whole milliseconds.
     pub const fn millis(millis: u64) -> Self {
         Self(millis.saturating_mul(1_000))
     }
 
-    /// Makes a span of whole seconds.
+    /// Creates a span of whole seconds.
     pub const fn seconds(seconds: u64) -> Self {
         Self(seconds.saturating_mul(1_000_000))
     }
@@ -63,7 +63,7 @@
         std::time::Duration::from_micros(self.0)
     }
 
-    /// Multiplies the span.
+    /// Returns the span multiplied by a factor, saturating.
     pub const fn times(self, factor: u64) -> Self {
         Self(self.0.saturating_mul(factor))
     }
@@ -106,7 +106,7 @@
 impl FromStr for Span {
     type Err = crate::id::Fault;
 
-    /// Reads whole milliseconds, with or without the unit `ms`, or seconds with the unit `s`.
+    /// Parses whole milliseconds, with or without the unit `ms`, or whole seconds with the unit `s`.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let text = text.trim();
         let (digits, unit) = match text.strip_suffix("ms") {
