--- a/tests/events.rs
+++ b/tests/events.rs
@@ -1,4 +1,4 @@
-//! The events of the code and their catalogue agree.
+//! The events in the code and the table in `docs/EVENTS.md` must agree.
 
 use std::collections::BTreeSet;
 
@@ -7,32 +7,34 @@
     Event, //
 };
 
-const CATALOGUE: &str = include_str!("../docs/EVENTS.md");
+const EVENTS_PAGE: &str = include_str!("../docs/EVENTS.md");
 
-/// A line of the catalogue: number, level and title, and what follows.
-struct Line {
+/// A row of the table.
+struct Row {
     number: String,
     level: String,
     title: String,
+    /// The cells with the meaning of the event and what an operator does about it.
     rest: Vec<String>,
 }
 
-fn catalogue() -> Vec<Line> {
-    let rows = CATALOGUE.lines().filter(|line| line.starts_with("| E"));
-    rows.map(|row| {
-        let mut cells = row
-            .trim_matches('|')
-            .split('|')
-            .map(|c| c.trim().to_owned());
-        let mut cell = || cells.next().unwrap_or_default();
-        Line {
-            number: cell(),
-            level: cell(),
-            title: cell(),
-            rest: cells.collect(),
-        }
-    })
-    .collect()
+fn parse_rows() -> Vec<Row> {
+    let lines = EVENTS_PAGE.lines().filter(|line| line.starts_with("| E"));
+    lines
+        .map(|line| {
+            let mut cells = line
+                .trim_matches('|')
+                .split('|')
+                .map(|c| c.trim().to_owned());
+            let mut cell = || cells.next().unwrap_or_default();
+            Row {
+                number: cell(),
+                level: cell(),
+                title: cell(),
+                rest: cells.collect(),
+            }
+        })
+        .collect()
 }
 
 fn number(code: Code) -> String {
@@ -48,28 +50,28 @@
 
 #[test]
 fn every_event_is_in_the_catalogue() {
-    let lines = catalogue();
+    let rows = parse_rows();
     for code in Code::ALL {
-        let line = lines.iter().find(|line| line.number == number(*code));
-        let line = line.unwrap_or_else(|| panic!("{} is missing", number(*code)));
-        assert_eq!(line.title, code.title(), "{}", line.number);
+        let row = rows.iter().find(|row| row.number == number(*code));
+        let row = row.unwrap_or_else(|| panic!("{} is missing", number(*code)));
+        assert_eq!(row.title, code.title(), "{}", row.number);
         let level = code.level().to_string().to_lowercase();
-        assert_eq!(line.level, level, "{}", line.number);
+        assert_eq!(row.level, level, "{}", row.number);
     }
 }
 
 #[test]
 fn every_line_of_the_catalogue_is_an_event() {
-    let numbers: Vec<String> = catalogue().into_iter().map(|line| line.number).collect();
+    let numbers: Vec<String> = parse_rows().into_iter().map(|row| row.number).collect();
     let events: Vec<String> = Code::ALL.iter().map(|code| number(*code)).collect();
     assert_eq!(numbers, events);
 }
 
 #[test]
 fn every_line_says_what_it_means_and_what_to_do() {
-    for line in catalogue() {
-        let filled = line.rest.iter().filter(|cell| !cell.is_empty()).count();
-        assert_eq!((line.rest.len(), filled), (2, 2), "{}", line.number);
+    for row in parse_rows() {
+        let filled = row.rest.iter().filter(|cell| !cell.is_empty()).count();
+        assert_eq!((row.rest.len(), filled), (2, 2), "{}", row.number);
     }
 }
 
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -1,9 +1,9 @@
-//! One job's story from the logs of instances, as its reader gets it.
+//! Tests of `poplarknot trace`: which lines of which logs it prints, and in which order.
 
 #[path = "trace/files.rs"]
 mod files;
 #[path = "platform/fleet.rs"]
-#[allow(dead_code)] // The platform's own tests use the rest.
+#[allow(dead_code)] // The tests of the platform use the rest.
 mod fleet;
 #[path = "trace/incidents.rs"]
 mod incidents;
@@ -26,8 +26,8 @@
     },
 };
 
-/// Runs `poplarknot trace`.
-fn trace(args: &[&str], input: &[u8]) -> Output {
+/// Runs `poplarknot trace` with `input` as standard input.
+fn run_trace(args: &[&str], input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_poplarknot"))
         .arg("trace")
         .args(args)
@@ -51,18 +51,18 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-/// Returns the events of a story in its order; those that are context have a `~` before them.
+/// Returns the events of a printed trace in its order, with `~` in front of those that are context.
 fn events(output: &Output) -> Vec<String> {
-    let story = stdout(output);
-    let told = story.lines().skip(1).map(|line| {
+    let text = stdout(output);
+    let events = text.lines().skip(1).map(|line| {
         let context = line.starts_with("context");
         let words: Vec<&str> = line.split_whitespace().collect();
-        // The mark, the span and its unit, the date, the time and the instance come first.
+        // A context line begins with its mark. The relative time and its unit, date, time and instance precede the event.
         let event = words[usize::from(context) + 5];
         match context {
             true => format!("~{event}"),
             false => event.to_owned(),
         }
     });
-    told.collect()
+    events.collect()
 }
--- a/tests/trace/files.rs
+++ b/tests/trace/files.rs
@@ -1,4 +1,4 @@
-//! Logs that are written for the test.
+//! Traces from logs that the tests write.
 
 use std::path::Path;
 
@@ -10,29 +10,29 @@
 
 use super::{
     events,
+    run_trace, //
     stderr,
     stdout,
-    trace, //
 };
 
 const JOB: &str = "7239831d1d124ecb";
 const OTHER: &str = "00000000000000aa";
-/// When the job's first line was written.
-const START: u64 = 1_796_252_887_123;
+/// The wall clock time of the job's first line, in milliseconds.
+const START_MS: u64 = 1_796_252_887_123;
 
-/// Writes a line of a log, at a time after the job's first one.
-fn line(after: i64, instance: &str, event: &str, fields: Value) -> String {
+/// Returns a line of a log, written `after_ms` after the job's first one.
+fn line(after_ms: i64, instance: &str, event: &str, fields: Value) -> String {
     let mut line = fields;
-    line["time_ms"] = json!(START.checked_add_signed(after).unwrap());
+    line["time_ms"] = json!(START_MS.checked_add_signed(after_ms).unwrap());
     line["instance"] = json!(instance);
     line["event"] = json!(event);
     format!("{line}\n")
 }
 
-/// A folder of logs.
-struct Logs(TempDir);
+/// A temporary folder of logs.
+struct LogFolder(TempDir);
 
-impl Logs {
+impl LogFolder {
     fn new(logs: &[(&str, String)]) -> Self {
         let folder = tempfile::tempdir().expect("a folder can be made");
         for (name, text) in logs {
@@ -47,10 +47,9 @@
     }
 }
 
-/// The entry of a job, its owner, and the owner of the rack after that.
-///
-/// The first owner stands still with the job's run; the entry gives it up and sends the task to the next one.
-fn three() -> Logs {
+/// Returns the logs of an entry and two owners: the first owner stalls while it runs the job's task, and the entry declares
+/// it lost and sends the task to the second one.
+fn three_instances() -> LogFolder {
     let entry = [
         line(
             -40,
@@ -131,20 +130,20 @@
             json!({"job": JOB, "task": format!("{JOB}.0.0"), "endpoint": "i-2"}),
         ),
     ];
-    Logs::new(&[
+    LogFolder::new(&[
         ("entry.log", entry.concat()),
         ("first.log", first.concat()),
         ("second.log", second.concat()),
     ])
 }
 
-/// The logs of three instances make one story in the order of time, whatever the order of the files. A silent endpoint
-/// that the job never touched, and another job, have no place in it.
+/// Lines of several instances must be in the order of time, whatever the order of the files. Lines about another job, or
+/// about an endpoint that the job didn't use, must be left out.
 #[test]
-fn three_logs_make_one_story_in_order() {
-    let logs = three();
+fn three_logs_make_one_trace_in_order() {
+    let logs = three_instances();
     let [a, b, c] = ["second.log", "entry.log", "first.log"].map(|name| logs.path(name));
-    let output = trace(&[JOB, &a, &b, &c], b"");
+    let output = run_trace(&[JOB, &a, &b, &c], b"");
     assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
     let expected = [
         "job_accepted",
@@ -162,11 +161,14 @@
     ];
     assert_eq!(events(&output), expected, "{}", stdout(&output));
     assert_eq!(stderr(&output), "");
-    let story = stdout(&output);
+    let text = stdout(&output);
     let head = format!("job {JOB}: lines 8, instances 3, first to last 990 ms");
-    assert_eq!(story.lines().next(), Some(head.as_str()));
-    let lost = story.lines().find(|line| line.contains("batch_lost"));
-    let lost: Vec<&str> = lost.expect("it is told").split_whitespace().collect();
+    assert_eq!(text.lines().next(), Some(head.as_str()));
+    let lost = text.lines().find(|line| line.contains("batch_lost"));
+    let lost: Vec<&str> = lost
+        .expect("the line is printed")
+        .split_whitespace()
+        .collect();
     let expected = [
         "+701",
         "ms",
@@ -180,7 +182,7 @@
     assert_eq!(lost, expected);
 }
 
-/// Context reaches five seconds before the job's first line and after its last one, to the millisecond, or as far as asked.
+/// Context must be limited to 5 s before the job's first line and after its last one, or to the span given by `--around`.
 #[test]
 fn context_is_bounded_in_time() {
     let endpoint = json!({"endpoint": "i-1"});
@@ -203,23 +205,23 @@
         line(6_000, "b", "endpoint_gone", endpoint.clone()),
         line(6_001, "b", "endpoint_silent", endpoint),
     ];
-    let logs = Logs::new(&[("log", log.concat())]);
+    let logs = LogFolder::new(&[("log", log.concat())]);
     let log = logs.path("log");
-    let near = [
+    let expected = [
         "~configuration_applied",
         "task_started",
         "run_gone",
         "~endpoint_gone",
     ];
-    assert_eq!(events(&trace(&[JOB, &log], b"")), near);
-    let none = trace(&["--around", "0", JOB, &log], b"");
+    assert_eq!(events(&run_trace(&[JOB, &log], b"")), expected);
+    let none = run_trace(&["--around", "0", JOB, &log], b"");
     assert_eq!(events(&none), ["task_started", "run_gone"]);
-    let wide = trace(&["--around", "60s", JOB, &log], b"");
+    let wide = run_trace(&["--around", "60s", JOB, &log], b"");
     assert_eq!(events(&wide).len(), 7, "{}", stdout(&wide));
 }
 
-/// A job that was refused reached no endpoint: whatever the endpoints and racks lacked at that time explains it, and for a
-/// stored job who coordinates its shard. Lines of strangers that are about neither have no place in it.
+/// For a refused job, which reached no endpoint, lines about any endpoint or rack must be context, since they may hold the
+/// cause. Other lines of instances that didn't handle the job must be left out.
 #[test]
 fn refused_job_shows_all_endpoints() {
     let log = [
@@ -239,8 +241,8 @@
             json!({"job": JOB, "reason": "it would end too late"}),
         ),
     ];
-    let logs = Logs::new(&[("log", log.concat())]);
-    let output = trace(&[JOB, &logs.path("log")], b"");
+    let logs = LogFolder::new(&[("log", log.concat())]);
+    let output = run_trace(&[JOB, &logs.path("log")], b"");
     assert_eq!(
         events(&output),
         ["~endpoint_silent", "~rack_yielded", "job_refused"]
@@ -248,11 +250,10 @@
     assert!(stdout(&output).contains(r#"reason="it would end too late""#));
 }
 
-/// The story of a stored job shows who came to hold its shard, and no other shard; and who lost the store, also an instance that
-/// no line of the job names, since it may coordinate the shard. A job that isn't stored has nothing to do with the store of others.
+/// For a stored job, a change of its shard's coordinator must be context, but not those of other shards.
 #[test]
 fn stored_job_shows_its_shard() {
-    let job: poplarknot::dispatch::id::JobId = JOB.parse().expect("it is one");
+    let job: poplarknot::dispatch::id::JobId = JOB.parse().expect("it is an identifier");
     let own = job.shard();
     let other = poplarknot::dispatch::id::ShardId((own.0 + 1) % 16);
     let log = [
@@ -276,13 +277,13 @@
             json!({"job": JOB, "state": "completed"}),
         ),
     ];
-    let logs = Logs::new(&[("log", log.concat())]);
-    let output = trace(&[JOB, &logs.path("log")], b"");
+    let logs = LogFolder::new(&[("log", log.concat())]);
+    let output = run_trace(&[JOB, &logs.path("log")], b"");
     assert_eq!(events(&output), ["job_stored", "~shard_held", "job_ended"]);
 }
 
-/// Killed processes leave half lines, collectors put times before them, other programs write into the same file, and a
-/// file may be no log at all. The story is told from what can be read, and the rest is counted, not passed over in silence.
+/// Incomplete lines, prefixes of log collectors, lines of other programs and binary data must not hide the readable lines.
+/// Unreadable lines must be counted on standard error.
 #[test]
 fn torn_and_foreign_lines_are_counted() {
     let accepted = line(0, "a", "job_accepted", json!({"job": JOB}));
@@ -291,7 +292,7 @@
     log.extend(b"poplarknot: can't listen\n\n");
     log.extend(b"{\"level\": \"info\"}\n");
     log.extend(format!("Dec 02 23:08:07 host poplarknot[17]: {accepted}").bytes());
-    // The successor of a killed process writes on behind its half line.
+    // A killed process leaves an incomplete line, and its successor appends to it.
     log.extend(accepted[..40].bytes());
     log.extend(started.bytes());
     log.extend(b"{\"event\": \"\xff\xfe\"}\n");
@@ -299,10 +300,10 @@
     log.push(b'\n');
     log.extend(line(900, "a", "job_answered", json!({"job": JOB})).bytes());
     log.extend(&accepted.as_bytes()[..50]);
-    let logs = Logs::new(&[]);
+    let logs = LogFolder::new(&[]);
     let path = logs.path("a.log");
     std::fs::write(&path, log).expect("the log is written");
-    let output = trace(&[JOB, &path], b"");
+    let output = run_trace(&[JOB, &path], b"");
     assert_eq!(output.status.code(), Some(0));
     assert_eq!(
         events(&output),
@@ -312,7 +313,7 @@
     assert_eq!(stderr(&output), expected);
 }
 
-/// Where no log names the job, the reader learns what was read, and what may have hidden it.
+/// If no log names the job, the error must name the logs that were read and count the lines that are missing.
 #[test]
 fn unknown_job_is_an_error() {
     let log = [
@@ -320,9 +321,9 @@
         line(1_000, "a", "lines_left_out", json!({"count": 120})),
         "half a li".to_owned(),
     ];
-    let logs = Logs::new(&[("a.log", log.concat()), ("b.log", String::new())]);
+    let logs = LogFolder::new(&[("a.log", log.concat()), ("b.log", String::new())]);
     let (a, b) = (logs.path("a.log"), logs.path("b.log"));
-    let output = trace(&[JOB, &a, &b, "-"], b"");
+    let output = run_trace(&[JOB, &a, &b, "-"], b"");
     assert_eq!(output.status.code(), Some(1));
     assert_eq!(stdout(&output), "");
     let expected = format!(
@@ -332,73 +333,73 @@
     assert_eq!(stderr(&output), expected);
 }
 
-/// A log that can't be opened is no shorter story: it may be the one with the cause.
+/// A log that can't be opened must be an error: a trace without it may lack the cause of a failure.
 #[test]
 fn missing_log_is_an_error() {
-    let logs = three();
-    let (there, missing) = (logs.path("entry.log"), logs.path("fourth.log"));
-    let output = trace(&[JOB, &there, &missing], b"");
+    let logs = three_instances();
+    let (existing, missing) = (logs.path("entry.log"), logs.path("fourth.log"));
+    let output = run_trace(&[JOB, &existing, &missing], b"");
     assert_eq!(output.status.code(), Some(1));
     assert_eq!(stdout(&output), "");
     assert!(stderr(&output).contains(&missing), "{}", stderr(&output));
 }
 
-/// Standard input can be read once only, and context may come before the job's first line: the story is the same as that
-/// from files, also beside a file.
+/// Standard input can be read only once, and context may precede the job's first line. The trace must be the same as from
+/// files, also if both are given.
 #[test]
-fn standard_input_tells_the_same_story() {
-    let logs = three();
+fn standard_input_gives_the_same_trace() {
+    let logs = three_instances();
     let [a, b, c] = ["second.log", "first.log", "entry.log"].map(|name| logs.path(name));
-    let files = trace(&[JOB, &a, &b, &c], b"");
+    let files = run_trace(&[JOB, &a, &b, &c], b"");
     let texts = [&a, &b, &c].map(|path| std::fs::read(path).expect("it can be read"));
-    let input = trace(&[JOB, "-"], &texts.concat());
+    let input = run_trace(&[JOB, "-"], &texts.concat());
     assert_eq!(stdout(&input), stdout(&files));
-    let mixed = trace(&[JOB, &a, "-"], &texts[1..].concat());
+    let mixed = run_trace(&[JOB, &a, "-"], &texts[1..].concat());
     assert_eq!(stdout(&mixed), stdout(&files));
     assert_eq!(stderr(&mixed), "");
 }
 
-/// The log was thinned out while the job lived: its story may lack lines, also of an instance that no line of it names.
+/// Dropped lines must be reported if they may be the job's, also for an instance that no line of the job names.
 #[test]
-fn thinned_logs_are_told() {
+fn dropped_lines_are_reported() {
     let log = [
         line(0, "a", "job_accepted", json!({"job": JOB})),
         line(877, "z", "lines_left_out", json!({"count": 311})),
         line(60_000, "z", "lines_left_out", json!({"count": 5})),
     ];
-    let logs = Logs::new(&[("log", log.concat())]);
-    let output = trace(&[JOB, &logs.path("log")], b"");
+    let logs = LogFolder::new(&[("log", log.concat())]);
+    let output = run_trace(&[JOB, &logs.path("log")], b"");
     assert_eq!(events(&output), ["job_accepted", "~lines_left_out"]);
     let expected = "poplarknot: lines left out by z shortly before 2026-12-02 23:08:08.000Z: 311; some of this job may \
                     be missing\n";
     assert_eq!(stderr(&output), expected);
 }
 
-/// For other programs the lines come as they were written, in the same order, without what a collector put before them.
+/// With `--json`, the lines must be printed in the order of time as they were written, without prefixes of log collectors.
 #[test]
 fn json_keeps_the_lines() {
-    let spaced = format!(
-        r#"{{"time_ms": {START}, "instance": "a", "job": "{JOB}", "event": "job_accepted"}}"#
+    let with_spaces = format!(
+        r#"{{"time_ms": {START_MS}, "instance": "a", "job": "{JOB}", "event": "job_accepted"}}"#
     );
     let lost = line(-5, "b", "member_lost", json!({"member": "a"}));
-    let logs = Logs::new(&[
-        ("a.log", format!("2026-12-02T23:08:07Z {spaced}\n")),
+    let logs = LogFolder::new(&[
+        ("a.log", format!("2026-12-02T23:08:07Z {with_spaces}\n")),
         ("b.log", lost.clone()),
     ]);
-    let output = trace(
+    let output = run_trace(
         &["--json", JOB, &logs.path("a.log"), &logs.path("b.log")],
         b"",
     );
-    assert_eq!(stdout(&output), format!("{lost}{spaced}\n"));
+    assert_eq!(stdout(&output), format!("{lost}{with_spaces}\n"));
 }
 
-/// Callers choose some of the texts in a log; their control characters don't reach the reader's terminal.
+/// Control characters in a text that a caller chose must not reach the terminal.
 #[test]
 fn control_characters_are_shown_not_sent() {
     let fault = "spec: \u{1b}[2J\u{9b}1m";
     let log = line(0, "a", "job_malformed", json!({"job": JOB, "fault": fault}));
-    let logs = Logs::new(&[("log", log)]);
-    let output = trace(&[JOB, &logs.path("log")], b"");
+    let logs = LogFolder::new(&[("log", log)]);
+    let output = run_trace(&[JOB, &logs.path("log")], b"");
     assert!(
         stdout(&output).contains(r#"fault="spec: \u{1b}[2J\u{9b}1m""#),
         "{}",
@@ -406,14 +407,14 @@
     );
 }
 
-/// An endpoint that refuses connections is tried over and over. Its lines are told once, with how many there were and until
-/// when; the job's own lines are never folded, and as JSON nothing is.
+/// Repeated context lines, as of an endpoint that refuses connections, must be printed once, with their count and the time
+/// of the last. The job's own lines and the output of `--json` must not be folded.
 #[test]
 fn repeated_context_is_folded() {
-    let silent = |after| line(after, "a", "endpoint_silent", json!({"endpoint": "i-1"}));
-    let start = |after| {
+    let silent = |after_ms| line(after_ms, "a", "endpoint_silent", json!({"endpoint": "i-1"}));
+    let start = |after_ms| {
         line(
-            after,
+            after_ms,
             "a",
             "task_started",
             json!({"job": JOB, "endpoint": "i-1"}),
@@ -428,8 +429,8 @@
         start(10),
         silent(11),
     ];
-    let logs = Logs::new(&[("log", log.concat())]);
-    let output = trace(&[JOB, &logs.path("log")], b"");
+    let logs = LogFolder::new(&[("log", log.concat())]);
+    let output = run_trace(&[JOB, &logs.path("log")], b"");
     let expected = [
         "task_started",
         "task_started",
@@ -444,6 +445,6 @@
         "{folded:?}"
     );
     assert!(folded[2].ends_with("endpoint=i-1"), "{folded:?}");
-    let raw = trace(&["--json", JOB, &logs.path("log")], b"");
+    let raw = run_trace(&["--json", JOB, &logs.path("log")], b"");
     assert_eq!(stdout(&raw), log.concat());
 }
--- a/tests/trace/incidents.rs
+++ b/tests/trace/incidents.rs
@@ -1,4 +1,4 @@
-//! Requests that fail on real instances, each for a cause of its own, with the logs that tell it.
+//! Requests that fail on real instances, each for a different cause, with the logs of all instances.
 
 use std::{
     path::Path,
@@ -25,17 +25,17 @@
 };
 
 /// How long tasks run.
-const TASK: Duration = Duration::from_millis(900);
-/// How long tasks run that are harmed before their end, however busy the machine is.
-const ENDLESS: Duration = Duration::from_secs(60);
-/// When the harm is done after a job has come.
-const MIDDLE: Duration = Duration::from_millis(300);
-/// When a caller comes again whose connection broke.
-const AGAIN: Duration = Duration::from_millis(1_300);
-/// How long instances run before a job comes, so that their start is no part of its story.
-const CALM: Duration = Duration::from_millis(5_500);
-/// The jobs that fill all slots several times over.
-const CROWD: u64 = 8;
+const TASK_DURATION: Duration = Duration::from_millis(900);
+/// How long tasks run that must not end before the fault, also on a busy machine.
+const UNFINISHED_TASK_DURATION: Duration = Duration::from_secs(60);
+/// How long an incident waits between its steps: from a submission to the fault, and for the logs to be written.
+const STEP_DELAY: Duration = Duration::from_millis(300);
+/// How long after the fault the caller submits its job again.
+const RETRY_DELAY: Duration = Duration::from_millis(1_300);
+/// How long instances run before the first job. It exceeds the default context span, so that their start isn't context.
+const WARM_UP: Duration = Duration::from_millis(5_500);
+/// The number of jobs that overload the only endpoint.
+const OVERLOAD_JOBS: u64 = 8;
 
 /// The log of an instance.
 pub(crate) struct Log {
@@ -45,18 +45,19 @@
 
 /// A failed request.
 pub(crate) struct Incident {
-    /// What its caller saw.
+    /// The status of the response that its caller got, or what it got in place of one.
     pub(crate) response: String,
+    /// The job's identifier in hexadecimal digits.
     pub(crate) job: String,
     pub(crate) logs: Vec<Log>,
 }
 
 impl Incident {
-    /// Takes the logs, once one of them has the line that an event of the job writes.
-    async fn take(response: String, id: u64, fleet: &Fleet, event: &str) -> Result<Self> {
+    /// Collects the logs as soon as one of them has `event` for the job.
+    async fn collect(response: String, id: u64, fleet: &Fleet, event: &str) -> Result<Self> {
         let job = format!("{id:016x}");
         let (event, field) = (format!("\"{event}\""), format!("\"{job}\""));
-        until("the log tells it", || async {
+        until("the event is logged", || async {
             let logs = fleet.logs();
             let mut lines = logs.lines();
             lines
@@ -65,8 +66,8 @@
         })
         .await
         .map_err(|e| format!("{e}\n{}", fleet.logs()))?;
-        // Lines leave in batches; those of other instances may come a moment later.
-        sleep(MIDDLE).await;
+        // Instances write their lines in batches, so other logs may be a little behind.
+        sleep(STEP_DELAY).await;
         let log = |node: &Node| Log {
             instance: node.name.clone(),
             text: node.log(),
@@ -80,23 +81,31 @@
     }
 }
 
-async fn calm(program: &Path, nodes: usize, runners: usize, takes: Duration) -> Result<Fleet> {
-    let fleet = Fleet::start(program, nodes, runners, takes).await?;
-    sleep(CALM).await;
+async fn start_warm(
+    program: &Path,
+    nodes: usize,
+    runners: usize,
+    task_duration: Duration,
+) -> Result<Fleet> {
+    let fleet = Fleet::start(program, nodes, runners, task_duration).await?;
+    sleep(WARM_UP).await;
     Ok(fleet)
 }
 
-/// The instance that took a job in is killed while its tasks run on endpoints that others own. Its caller's connection
-/// breaks. The others stop what ran, and the caller comes again and has its answer.
+/// Kills the instance that accepted a job while the tasks run on endpoints that other instances own. The caller's
+/// connection breaks; the other instances stop the tasks and answer the caller's retry.
 pub(crate) async fn lost_instance(program: &Path) -> Result<Incident> {
-    let fleet = calm(program, 3, 4, ENDLESS).await?;
+    let fleet = start_warm(program, 3, 4, UNFINISHED_TASK_DURATION).await?;
     let id = 0xa01;
     let (first, second) = tokio::join!(fleet.nodes[0].submit(id, 2, 900), async {
-        sleep(MIDDLE).await;
+        sleep(STEP_DELAY).await;
         fleet.nodes[0].signal(Signal::SIGKILL)?;
-        // What runs goes on until it is stopped; what is started from now on ends.
-        fleet.runners.iter().for_each(|runner| runner.take(TASK));
-        sleep(AGAIN).await;
+        // Running tasks go on until they are stopped; new ones get the shorter duration, so that the retry succeeds.
+        fleet
+            .runners
+            .iter()
+            .for_each(|runner| runner.take(TASK_DURATION));
+        sleep(RETRY_DELAY).await;
         fleet.nodes[1].submit(id, 2, 900).await
     });
     let response = match first {
@@ -104,40 +113,40 @@
         Err(_) => "a broken connection".to_owned(),
     };
     let response = format!("{response}, and {} when it came again", second?.status);
-    Incident::take(response, id, &fleet, "job_answered").await
+    Incident::collect(response, id, &fleet, "job_answered").await
 }
 
-/// The only endpoint dies while it runs a job's tasks, and no other can run them in its caller's time.
+/// Stops the only endpoint while it runs a job's tasks, so that they can't be run before the deadline.
 pub(crate) async fn lost_endpoint(program: &Path) -> Result<Incident> {
-    let mut fleet = calm(program, 1, 1, ENDLESS).await?;
+    let mut fleet = start_warm(program, 1, 1, UNFINISHED_TASK_DURATION).await?;
     let id = 0xa02;
     let runner = fleet.runners.pop();
     let (answer, ()) = tokio::join!(fleet.nodes[0].submit(id, 2, 900), async {
-        sleep(MIDDLE).await;
+        sleep(STEP_DELAY).await;
         drop(runner);
     });
     let response = answer?.status.to_string();
-    Incident::take(response, id, &fleet, "job_answered").await
+    Incident::collect(response, id, &fleet, "job_answered").await
 }
 
-/// More jobs come than the endpoints can run in their callers' time; the last one is refused at once.
+/// Submits more jobs than the endpoint can run before their deadlines; the last one is refused at once.
 pub(crate) async fn overload(program: &Path) -> Result<Incident> {
-    let fleet = calm(program, 1, 1, TASK).await?;
+    let fleet = start_warm(program, 1, 1, TASK_DURATION).await?;
     let node = &fleet.nodes[0];
-    let id = 0xb00 + CROWD;
-    let crowd = join_all((0..CROWD).map(|n| node.submit(0xb00 + n, 4, 900)));
-    let (_, answer) = tokio::join!(crowd, async {
-        sleep(MIDDLE).await;
+    let id = 0xb00 + OVERLOAD_JOBS;
+    let earlier = join_all((0..OVERLOAD_JOBS).map(|n| node.submit(0xb00 + n, 4, 900)));
+    let (_, answer) = tokio::join!(earlier, async {
+        sleep(STEP_DELAY).await;
         node.submit(id, 4, 900).await
     });
     let response = answer?.status.to_string();
-    Incident::take(response, id, &fleet, "job_refused").await
+    Incident::collect(response, id, &fleet, "job_refused").await
 }
 
-/// Jobs that must be stored come at an instance that coordinates their shard. The store answers the first, and leaves all calls
-/// for the second unanswered: whether that one was stored is open when its caller's time is gone.
+/// Submits two jobs of one shard that must be stored. The store answers the first, and no call for the second: whether that
+/// one was stored is unknown when its deadline passes.
 pub(crate) async fn lost_store(program: &Path) -> Result<Incident> {
-    let fleet = calm(program, 2, 2, TASK).await?;
+    let fleet = start_warm(program, 2, 2, TASK_DURATION).await?;
     let id = 0xc01;
     let before = (1..).find(|n| JobId(*n).shard() == JobId(id).shard());
     let step = json!({"count": 2, "cpu": 1000, "mem_mb": 64, "estimated_ms": 900});
@@ -150,5 +159,5 @@
     }
     fleet.store.mood(Mood::Silent);
     let response = node.post(&path(id), &body).await?.status.to_string();
-    Incident::take(response, id, &fleet, "request_unanswered").await
+    Incident::collect(response, id, &fleet, "request_unanswered").await
 }
--- a/tests/trace/runs.rs
+++ b/tests/trace/runs.rs
@@ -1,4 +1,4 @@
-//! Failed requests on real instances, walked from their ids to their causes by the log alone.
+//! Traces of failed requests on real instances: the logs alone must show the cause.
 
 use std::{
     path::Path,
@@ -11,9 +11,9 @@
         self,
         Incident, //
     },
+    run_trace, //
     stderr,
     stdout,
-    trace, //
 };
 use crate::support::Result;
 
@@ -21,8 +21,8 @@
     Path::new(env!("CARGO_BIN_EXE_poplarknot"))
 }
 
-/// Traces an incident's job in the logs that its instances left.
-fn story(incident: &Incident) -> Output {
+/// Runs `poplarknot trace` for an incident's job on the logs of its instances.
+fn trace_incident(incident: &Incident) -> Output {
     let folder = tempfile::tempdir().expect("a folder can be made");
     let mut args = vec![incident.job.clone()];
     for log in &incident.logs {
@@ -31,24 +31,24 @@
         args.push(path.to_string_lossy().into_owned());
     }
     let args: Vec<&str> = args.iter().map(String::as_str).collect();
-    let output = trace(&args, b"");
+    let output = run_trace(&args, b"");
     assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
     output
 }
 
-/// Checks that a story has some events in this order, whatever else it has between them.
+/// Asserts that a printed trace has the expected events in this order, with any others between them.
 #[track_caller]
-fn assert_told(output: &Output, expected: &[&str]) {
+fn assert_events_in_order(output: &Output, expected: &[&str]) {
     let events = events(output);
-    let mut left = events.iter();
+    let mut remaining = events.iter();
     for event in expected {
-        let found = left.any(|told| told == event);
+        let found = remaining.any(|printed| printed == event);
         assert!(found, "{event} of {expected:?} in {}", stdout(output));
     }
 }
 
-/// The instance that took the job in is killed. Its caller's connection breaks; two peers find it silent and stop what ran;
-/// the caller comes again elsewhere and has its answer. The killed instance says nothing after the start.
+/// A killed instance logs nothing about its failure: the logs of its peers must show that they lost it, abandoned its batch
+/// and answered the caller's retry.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_instance_is_told_by_its_peers() -> Result {
     let incident = incidents::lost_instance(program()).await?;
@@ -56,7 +56,7 @@
         incident.response,
         "a broken connection, and 200 when it came again"
     );
-    let output = story(&incident);
+    let output = trace_incident(&incident);
     let expected = [
         "job_accepted",
         "batch_sent",
@@ -65,8 +65,8 @@
         "job_accepted",
         "job_answered",
     ];
-    assert_told(&output, &expected);
-    assert_told(
+    assert_events_in_order(&output, &expected);
+    assert_events_in_order(
         &output,
         &["task_started", "batch_abandoned", "job_accepted"],
     );
@@ -74,7 +74,7 @@
     Ok(())
 }
 
-/// The only endpoint dies with the job's tasks, and none is left to run them in their caller's time.
+/// The only endpoint dies while it runs the job's tasks: the owner's log must show why the job wasn't done in time.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_endpoint_is_told_by_its_owner() -> Result {
     let incident = incidents::lost_endpoint(program()).await?;
@@ -88,29 +88,28 @@
         "job_given_up",
         "job_answered",
     ];
-    assert_told(&story(&incident), &expected);
+    assert_events_in_order(&trace_incident(&incident), &expected);
     Ok(())
 }
 
-/// More jobs come than can be run in time; the last is refused at once, and the log says why.
+/// Under overload, a job that can't end in time is refused: the log must show the reason.
 #[tokio::test(flavor = "multi_thread")]
 async fn overload_is_told_by_the_refusal() -> Result {
     let incident = incidents::overload(program()).await?;
     assert_eq!(incident.response, "503");
-    let output = story(&incident);
-    assert_told(&output, &["job_refused"]);
+    let output = trace_incident(&incident);
+    assert_events_in_order(&output, &["job_refused"]);
     assert!(stdout(&output).contains(r#"reason="it would end too late""#));
     Ok(())
 }
 
-/// The store falls silent after the job's shard was taken up; whether the job was stored is open when its caller's time is
-/// gone.
+/// The store stops answering while the job is stored: the log must show this as the cause of the timeout.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_store_is_told_beside_the_request() -> Result {
     let incident = incidents::lost_store(program()).await?;
     assert_eq!(incident.response, "504");
-    assert_told(
-        &story(&incident),
+    assert_events_in_order(
+        &trace_incident(&incident),
         &["~shard_held", "~store_lost", "request_unanswered"],
     );
     Ok(())
