--- a/tests/trace/incidents.rs
+++ b/tests/trace/incidents.rs
@@ -112,7 +112,7 @@
         Ok(answer) => answer.status.to_string(),
         Err(_) => "a broken connection".to_owned(),
     };
-    let response = format!("{response}, and {} when it came again", second?.status);
+    let response = format!("{response}, and {} on the retry", second?.status);
     Incident::collect(response, id, &fleet, "job_answered").await
 }
 
--- a/tests/trace/runs.rs
+++ b/tests/trace/runs.rs
@@ -54,7 +54,7 @@
     let incident = incidents::lost_instance(program()).await?;
     assert_eq!(
         incident.response,
-        "a broken connection, and 200 when it came again"
+        "a broken connection, and 200 on the retry"
     );
     let output = trace_incident(&incident);
     let expected = [
