--- a/src/core.rs
+++ b/src/core.rs
@@ -200,7 +200,7 @@
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Output> {
         let pause = now.since(self.now);
         if pause >= PAUSE_THRESHOLD && self.now != Time::default() {
-            self.log_event(Code::Awoke, format!("for {pause}"));
+            self.log_event(Code::Stalled, format!("for {pause}"));
         }
         self.now = self.now.max(now);
         self.run_timers();
@@ -365,7 +365,7 @@
     fn log_forgotten(&mut self, dropped: usize) {
         // Keys expire by age all the time; only a full registry is logged.
         if dropped > 0 && self.registry.is_full() {
-            self.log_event(Code::Forgotten, format!("{dropped} keys"));
+            self.log_event(Code::AnswersDropped, format!("{dropped} keys"));
         }
     }
 
--- a/src/core/claim_resolution.rs
+++ b/src/core/claim_resolution.rs
@@ -109,7 +109,7 @@
     fn schedule_claim_read(&mut self, mut job: Job<Received>, nonce: Nonce) {
         if !matches!(job.stage.wait, Wait::ReadBack(_)) {
             let key = job.submission.key.as_ref().map(ToString::to_string);
-            self.log_event(Code::ClaimUnsettled, key.unwrap_or_default());
+            self.log_event(Code::ClaimAnswerLost, key.unwrap_or_default());
         }
         job.stage.wait = Wait::ReadBack(nonce);
         let at = self.now + READ_BACK_DELAY;
--- a/src/core/config/edit.rs
+++ b/src/core/config/edit.rs
@@ -279,7 +279,7 @@
                 // only one copy take effect. If it fails, the rows that come back show whether an earlier copy took
                 // effect, or the head has moved so that none can.
                 if result == Completion::Unknown {
-                    self.log_event(Code::ChangeUnsettled, describe_plan(&plan));
+                    self.log_event(Code::ChangeAnswerLost, describe_plan(&plan));
                 }
                 let now = self.now;
                 if let Some(pending) = self.edits.queue.front_mut() {
--- a/src/core/execution.rs
+++ b/src/core/execution.rs
@@ -243,7 +243,7 @@
                     self.conclude(attempt, None, Conclusion::Lost);
                 } else {
                     // Prevents a second run: the task may still run, which only the endpoint knows.
-                    self.log_event(Code::StartLost, attempt.to_string());
+                    self.log_event(Code::StartUnanswered, attempt.to_string());
                     self.request_status(&pending, false);
                 }
             }
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -47,7 +47,7 @@
     rows::JobStore,
 };
 use crate::{
-    clock::wall,
+    clock::unix_millis,
     dispatch::{
         id::Epoch,
         message::{
@@ -103,9 +103,9 @@
     let identity = Identity {
         contact: contact.clone(),
         centre: settings.centre.clone(),
-        incarnation: wall(),
+        incarnation: unix_millis(),
         share: settings.share,
-        epoch: Epoch(wall() / 1_000),
+        epoch: Epoch(unix_millis() / 1_000),
     };
     let heartbeat_socket = UdpSocket::bind(settings.peers).await;
     let heartbeat_socket = heartbeat_socket.map_err(|source| Error::Listen {
--- a/src/instance/calls.rs
+++ b/src/instance/calls.rs
@@ -83,7 +83,7 @@
 
     /// Closes the idle connections to an endpoint.
     pub fn close_idle(&self, address: &str) {
-        self.pool.borrow_mut().forget(address);
+        self.pool.borrow_mut().remove(address);
     }
 }
 
@@ -111,7 +111,7 @@
         hub.metrics.count_connection();
     }
     let (path, body) = order::encode(order);
-    let mut request = http::json_request(Method::POST, address, path, Bytes::from(body));
+    let mut request = http::build_json_request(Method::POST, address, path, Bytes::from(body));
     let headers = request.headers_mut();
     if let Ok(expected) = HeaderValue::from_str(endpoint.as_str()) {
         headers.insert(HeaderName::from_static(order::EXPECTED_HEADER), expected);
--- a/src/instance/metrics.rs
+++ b/src/instance/metrics.rs
@@ -67,13 +67,13 @@
         let buckets = || exponential_buckets(first, ratio, count);
         Self {
             answers: r.add("answers", "Answers to callers"),
-            answer_latency: r.histogram(
+            answer_latency: r.add_histogram(
                 "answer_seconds",
                 "Time from a caller's request to its answer",
                 buckets(),
             ),
             calls: r.add("calls", "Calls to endpoints"),
-            start_latency: r.histogram(
+            start_latency: r.add_histogram(
                 "start_seconds",
                 "Time from a start order to the endpoint's reply",
                 buckets(),
--- a/src/instance/peers.rs
+++ b/src/instance/peers.rs
@@ -55,7 +55,7 @@
     },
     fleet_capnp::mailbox,
     prelude::*,
-    rpc::network,
+    rpc::build_network,
 };
 
 /// How long connecting to a peer may take: some round trips, and less than the silence that ends a session.
@@ -276,7 +276,7 @@
             .await
             .ok()?
             .ok()?;
-        let mut system = RpcSystem::new(network(stream, Side::Client), None);
+        let mut system = RpcSystem::new(build_network(stream, Side::Client), None);
         let client = system.bootstrap(Side::Server);
         let driver = spawn_local(async move {
             // An error shows in the next delivery.
@@ -352,7 +352,7 @@
         let hub = hub.clone();
         let connection = spawn_local(async move {
             let client: mailbox::Client = capnp_rpc::new_client(MailboxServer { hub });
-            let network = network(stream, Side::Server);
+            let network = build_network(stream, Side::Server);
             // The connection ends when the peer closes it, or is replaced by the next one.
             RpcSystem::new(network, Some(client.client)).await.ok();
         });
