--- a/src/error.rs
+++ b/src/error.rs
@@ -70,7 +70,7 @@
     },
     /// The log is set up already.
     #[error("the log is set up already")]
-    Logged,
+    LogInitialized,
     /// No instance could be asked: nothing was run or changed.
     #[error("no instance could be asked, so nothing was run or changed:{}", lines(.0))]
     Unreachable(Vec<String>),
@@ -101,7 +101,7 @@
         "no line about job {job} in {}; lines skipped as unreadable: {skipped}, left out by instances: {left_out}",
         logs.join(", ")
     )]
-    Untold {
+    JobNotLogged {
         /// The job.
         job: JobId,
         /// The logs that were read.
--- a/src/event.rs
+++ b/src/event.rs
@@ -48,7 +48,7 @@
         .set_target_level(LevelFilter::Off)
         .set_location_level(LevelFilter::Off)
         .build();
-    WriteLogger::init(level, config, writer).map_err(|_| Error::Logged)
+    WriteLogger::init(level, config, writer).map_err(|_| Error::LogInitialized)
 }
 
 /// An event: a number from the catalogue, and the words of this occurrence.
--- a/src/trace.rs
+++ b/src/trace.rs
@@ -196,7 +196,7 @@
     }
 
     fn untold(&self, left_out: u64) -> Error {
-        Error::Untold {
+        Error::JobNotLogged {
             job: self.job,
             logs: self
                 .logs
