--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -22,7 +22,7 @@
         },
         platform,
         proxy::Proxy,
-        until,
+        wait_until,
         worker,
         Result, //
     },
@@ -101,7 +101,7 @@
             fleet.add_instance(i).await?;
         }
         fleet.enlist().await?;
-        cluster::seed(&fleet.instances, &cluster::records()).await?;
+        cluster::apply_records(&fleet.instances, &cluster::default_records()).await?;
         fleet.settle().await?;
         Ok(fleet)
     }
@@ -111,7 +111,7 @@
     }
 
     fn worker(&self, name: &str, i: usize) -> Entry {
-        let mut entry = worker::entry(&format!("{name}-{i}"), self.centre(i));
+        let mut entry = worker::new_entry(&format!("{name}-{i}"), self.centre(i));
         entry.slots = self.slots;
         entry.connections = self.slots * 8;
         entry
@@ -207,18 +207,18 @@
     /// Returns the bytes between instances, and those to and from the platform.
     pub(crate) fn bytes(&self) -> (f64, f64) {
         let links = self.links.iter().flatten();
-        let peers: u64 = links.map(|link| link.proxy.bytes()).sum();
-        let platform: u64 = self.platforms.iter().map(Proxy::bytes).sum();
+        let peers: u64 = links.map(|link| link.proxy.forwarded_bytes()).sum();
+        let platform: u64 = self.platforms.iter().map(Proxy::forwarded_bytes).sum();
         (peers as f64, platform as f64)
     }
 }
 
 async fn switch(proxy: &mut Proxy, cut: bool) -> Result {
     if cut {
-        proxy.cut().await;
+        proxy.close().await;
         return Ok(());
     }
-    proxy.restore()
+    proxy.reopen()
 }
 
 /// Running processes; all of them end when this is dropped.
@@ -301,7 +301,7 @@
         let endpoints = (self.entries.len() + self.ghosts.len()) as f64;
         let peers = self.instances.len() as f64 - 1.0;
         for instance in self.callers() {
-            until("an instance sees everybody", || async {
+            wait_until("an instance sees everybody", || async {
                 let metrics = Metrics::read(&[instance]).await.ok()?;
                 let seen = |name, all| metrics.get(name) == all;
                 let all = seen("endpoints_eligible", endpoints) && seen("peers_alive", peers);
@@ -359,7 +359,7 @@
             instance.stop()?;
         }
         for instance in &mut self.instances {
-            instance.exit().await?;
+            instance.wait_exit().await?;
         }
         Ok(())
     }
--- a/examples/measure/outage.rs
+++ b/examples/measure/outage.rs
@@ -234,7 +234,11 @@
     tokio::time::sleep(MIDDLE).await;
     let failed = Instant::now();
     if silent {
-        fleet.proxies.iter().take(VICTIMS).for_each(|p| p.silence());
+        fleet
+            .proxies
+            .iter()
+            .take(VICTIMS)
+            .for_each(|p| p.blackhole_open());
     } else {
         fleet.workers(|i| i < VICTIMS, Order::Kill).await?;
     }
@@ -263,7 +267,7 @@
     }
     let late = late(victims(&callers, other, jobs), failed).await?;
     if frozen {
-        fleet.instances[0].thaw()?;
+        fleet.instances[0].resume()?;
         while first.join_next().await.is_some() {}
     } else {
         fleet.instances.remove(0);
@@ -274,7 +278,7 @@
 
 async fn hit(fleet: &mut Fleet, frozen: bool) -> Result {
     match frozen {
-        true => fleet.instances[0].freeze(),
+        true => fleet.instances[0].pause(),
         false => fleet.instances[0].kill().await,
     }
 }
--- a/examples/measure/policy.rs
+++ b/examples/measure/policy.rs
@@ -84,7 +84,7 @@
 
 impl<'a> Model<'a> {
     fn new(jobs: &'a [Job], policy: Policy, centres: usize, outstanding: u32) -> Result<Self> {
-        let entry = |i: usize| worker::entry(&format!("worker-{i}"), CENTRES[i % centres]);
+        let entry = |i: usize| worker::new_entry(&format!("worker-{i}"), CENTRES[i % centres]);
         let entries: Vec<Entry> = (0..WORKERS).map(entry).collect();
         let instance = |i: usize| -> Result<Instance> {
             let centre = CENTRES[i % centres].parse()?;
--- a/examples/measure/records.rs
+++ b/examples/measure/records.rs
@@ -32,7 +32,7 @@
         },
         instance::TOKEN,
         Result,
-        PATIENCE, //
+        WAIT_TIMEOUT, //
     },
     Effort,
 };
@@ -100,7 +100,7 @@
     let token = format!("Bearer {TOKEN}");
     let mut client = Client::connect(instance).await?;
     let begin = Instant::now();
-    while begin.elapsed() < PATIENCE {
+    while begin.elapsed() < WAIT_TIMEOUT {
         let headers = [("authorization", token.as_str())];
         let answer = client.send(hyper::Method::GET, &path, &headers, "").await?;
         if answer.status == 200 {
--- a/examples/measure/role.rs
+++ b/examples/measure/role.rs
@@ -46,7 +46,7 @@
             Worker, //
         },
         Result,
-        PATIENCE, //
+        WAIT_TIMEOUT, //
     },
 };
 
@@ -72,14 +72,14 @@
 /// Plays the platform; besides its own address it offers a view for each data centre.
 pub(crate) async fn play_platform() -> Result {
     let settings = platform::Settings {
-        sync: Duration::from_millis(5),
+        commit_latency: Duration::from_millis(5),
         ..platform::Settings::default()
     };
     let platform = Platform::start(settings)?;
     let lists: Arc<Mutex<Vec<List>>> = Arc::default();
     let view = |i: usize| {
         let lists = lists.clone();
-        platform.view(move |list| {
+        platform.serve_view(move |list| {
             let lists = lists.lock().unwrap();
             *list = lists.get(i).cloned().unwrap_or_default();
         })
@@ -91,10 +91,10 @@
     let mut orders = BufReader::new(tokio::io::stdin()).lines();
     while let Some(line) = orders.next_line().await? {
         match serde_json::from_str(&line)? {
-            Order::List(list) => platform.list(|l| *l = list),
+            Order::List(list) => platform.update_list(|l| *l = list),
             Order::Views(changed) => *lists.lock().unwrap() = changed,
-            Order::Down(true) => platform.down().await,
-            Order::Down(false) => platform.up()?,
+            Order::Down(true) => platform.take_down().await,
+            Order::Down(false) => platform.bring_up()?,
             _ => {}
         }
         say(&platform.counters())?;
@@ -120,10 +120,10 @@
     match order {
         Order::Fail(places) => places
             .iter()
-            .for_each(|i| workers[*i].behave(|b| b.fail = true)),
+            .for_each(|i| workers[*i].update_behaviour(|b| b.fail = true)),
         Order::Slow(places, factor) => places
             .iter()
-            .for_each(|i| workers[*i].behave(|b| b.slow = factor)),
+            .for_each(|i| workers[*i].update_behaviour(|b| b.sleep_factor = factor)),
         Order::Kill(places) => {
             for i in places {
                 workers[i].kill().await;
@@ -186,7 +186,7 @@
 
     async fn reply<T: DeserializeOwned>(&mut self) -> Result<T> {
         let mut line = String::new();
-        tokio::time::timeout(PATIENCE, self.replies.read_line(&mut line)).await??;
+        tokio::time::timeout(WAIT_TIMEOUT, self.replies.read_line(&mut line)).await??;
         Ok(serde_json::from_str(&line)?)
     }
 }
--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -44,7 +44,7 @@
         Worker, //
     },
     Result,
-    PATIENCE, //
+    WAIT_TIMEOUT, //
 };
 use tokio::{
     io::{
@@ -104,7 +104,7 @@
 }
 
 async fn play_worker(name: &str, centre: &str) -> Result {
-    let worker = Worker::start(worker::entry(name, centre))?;
+    let worker = Worker::start(worker::new_entry(name, centre))?;
     println!("{}", serde_json::to_string(&worker.entry())?);
     end_of_input().await
 }
@@ -137,7 +137,7 @@
         self.children.push(child);
         let mut line = String::new();
         let mut output = BufReader::new(output);
-        tokio::time::timeout(PATIENCE, output.read_line(&mut line)).await??;
+        tokio::time::timeout(WAIT_TIMEOUT, output.read_line(&mut line)).await??;
         Ok(serde_json::from_str(&line)?)
     }
 
@@ -158,7 +158,7 @@
             self.instances.push(builder.start().await?);
         }
         self.enlist(platform).await?;
-        cluster::seed(&self.instances, &cluster::records()).await
+        cluster::apply_records(&self.instances, &cluster::default_records()).await
     }
 
     /// Puts everybody on the platform's list.
@@ -190,7 +190,7 @@
     async fn end(mut self) -> Result {
         for instance in &mut self.instances {
             instance.stop()?;
-            instance.exit().await?;
+            instance.wait_exit().await?;
         }
         for child in &mut self.children {
             drop(child.stdin.take());
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -43,9 +43,9 @@
 };
 use serde_json::Value;
 use support::{
-    until,
+    wait_until,
     Result,
-    PATIENCE, //
+    WAIT_TIMEOUT, //
 };
 use tempfile::TempDir;
 use tokio::time::{
@@ -110,7 +110,7 @@
     let mut jobs = 0;
     while begun.elapsed() < span {
         let answer = fleet.nodes[0].submit(0xf00 + jobs, 1, 20);
-        let answer = timeout(PATIENCE, answer).await??;
+        let answer = timeout(WAIT_TIMEOUT, answer).await??;
         assert_eq!(answer.status, 200, "job {jobs}");
         jobs += 1;
         sleep(PAUSE).await;
@@ -170,7 +170,7 @@
     let mut fleet = Fleet::start(&program, 1, 1, TASK).await?;
     let jobs = hand_in(&fleet, Duration::from_secs(2)).await?;
     assert!(jobs > 5, "only {jobs} jobs");
-    until("the jobs are counted", || async {
+    wait_until("the jobs are counted", || async {
         let answered = counted(&fleet, "job_answered").await.ok()?;
         (answered == jobs).then_some(())
     })
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -35,9 +35,9 @@
         self,
         Client, //
     },
-    until,
+    wait_until,
     Result,
-    PATIENCE, //
+    WAIT_TIMEOUT, //
 };
 use tokio::{
     io::{
@@ -114,7 +114,7 @@
     fleet.store.compact();
     configure(&fleet.store, 9, 3_000);
     for node in &fleet.nodes {
-        until("the configuration is in force", || async {
+        wait_until("the configuration is in force", || async {
             node.log().contains("\"version\":9").then_some(())
         })
         .await?;
@@ -214,7 +214,7 @@
     let fleet = Fleet::start(program(), 1, 1, SHORT).await?;
     let node = &fleet.nodes[0];
     configure_idle(&fleet.store, 9, 4_000, IDLE.as_millis() as u64);
-    until("the configuration is in force", || async {
+    wait_until("the configuration is in force", || async {
         node.log().contains("\"version\":9").then_some(())
     })
     .await?;
@@ -262,14 +262,14 @@
     let fleet = Fleet::start(program(), 1, 1, SHORT).await?;
     let node = &fleet.nodes[0];
     configure_idle(&fleet.store, 9, 4_000, 400);
-    until("the configuration is in force", || async {
+    wait_until("the configuration is in force", || async {
         node.log().contains("\"version\":9").then_some(())
     })
     .await?;
     let mut stream = TcpStream::connect(node.front()).await?;
     stream.write_all(b"GET /q/ HTT").await?;
     let mut rest = Vec::new();
-    tokio::time::timeout(PATIENCE, stream.read_to_end(&mut rest)).await??;
+    tokio::time::timeout(WAIT_TIMEOUT, stream.read_to_end(&mut rest)).await??;
     Ok(())
 }
 
@@ -324,7 +324,7 @@
     let answer = fleet.nodes[0].submit(1, 6, 60).await?;
     assert_eq!(state(&answer), "completed", "{}", fleet.logs());
     fleet.nodes[1].signal(Signal::SIGCONT)?;
-    until("it has heard the others again", || async {
+    wait_until("it has heard the others again", || async {
         let answer = fleet.nodes[1].submit(2, 6, 60).await.ok()?;
         (state(&answer) == "completed").then_some(())
     })
@@ -351,7 +351,7 @@
 async fn leaving_endpoint_gets_nothing_new() -> Result {
     let fleet = Fleet::start(program(), 2, 4, SHORT).await?;
     fleet.runners[0].leave(&fleet.store);
-    until("all owners know", || async {
+    wait_until("all owners know", || async {
         fleet.logs().contains("endpoint_leaving").then_some(())
     })
     .await?;
@@ -381,12 +381,12 @@
             .sum()
     };
     let evacuate = async {
-        until("it runs there", || async {
+        wait_until("it runs there", || async {
             (here(&fleet) > 0).then_some(())
         })
         .await?;
         fleet.store.set("op", "evacuate/ulemiste", &json!({}));
-        until("all know", || async {
+        wait_until("all know", || async {
             let told = |node: &Node| node.log().contains("centre_evacuated");
             fleet.nodes.iter().all(told).then_some(())
         })
@@ -413,7 +413,7 @@
     }
     assert_eq!(here(&fleet), before, "{}", fleet.logs());
     fleet.store.remove("op", "evacuate/ulemiste");
-    until("all know", || async {
+    wait_until("all know", || async {
         let told = |node: &Node| node.log().contains("centre_returned");
         fleet.nodes.iter().all(told).then_some(())
     })
@@ -546,7 +546,7 @@
     let node = &fleet.nodes[0];
     let answer = node.submit(0xabc, 1, 60_000).await?;
     assert_eq!(answer.status, 503);
-    until("the log tells it", || async {
+    wait_until("the log tells it", || async {
         let log = node.log();
         let line = log.lines().find(|line| line.contains("0000000000000abc"))?;
         line.contains("it would end too late").then_some(())
@@ -580,7 +580,7 @@
     for node in &fleet.nodes {
         node.ready().await?;
     }
-    until("the job is complete", || async {
+    wait_until("the job is complete", || async {
         let answer = fleet.nodes[1].get(&path).await.ok()?;
         (state(&answer) == "completed").then_some(())
     })
@@ -610,7 +610,7 @@
         fleet.nodes[0].post(&path, &stored(2, &[])).await?.status,
         200
     );
-    until("a task runs", || async {
+    wait_until("a task runs", || async {
         let mut past = fleet.runners.iter().flat_map(|runner| runner.history());
         past.next().map(|_| ())
     })
@@ -621,7 +621,7 @@
         let unknown = format!("{PREFIX}{:016x}", 0x99);
         assert_eq!(node.get(&unknown).await?.status, 410);
     }
-    until("nothing runs", || async {
+    wait_until("nothing runs", || async {
         let mut past = fleet.runners.iter().flat_map(|runner| runner.history());
         past.all(|p| p.until.is_some()).then_some(())
     })
--- a/tests/platform/fleet.rs
+++ b/tests/platform/fleet.rs
@@ -47,9 +47,9 @@
         Response, //
     },
     proxy::Proxy,
-    until,
+    wait_until,
     Result,
-    PATIENCE, //
+    WAIT_TIMEOUT, //
 };
 
 /// The host that jobs name.
@@ -138,7 +138,7 @@
     pub(crate) async fn ready(&self) -> Result {
         let address = format!("{}:8167", self.ip).parse().unwrap();
         let what = format!("{} is ready", self.name);
-        let ready = until(&what, || async {
+        let ready = wait_until(&what, || async {
             let answer = client::get(address, "/api/ready").await.ok()?;
             (answer.status == 200).then_some(())
         });
@@ -189,7 +189,7 @@
 
     pub(crate) async fn exit(&mut self) -> Result<ExitStatus> {
         let child = self.child.get_mut().unwrap();
-        Ok(tokio::time::timeout(PATIENCE, child.wait()).await??)
+        Ok(tokio::time::timeout(WAIT_TIMEOUT, child.wait()).await??)
     }
 
     /// Hands a job of equal tasks in and waits for its answer.
--- a/tests/platform/runner.rs
+++ b/tests/platform/runner.rs
@@ -29,7 +29,7 @@
 use crate::support::{
     proxy::Proxy,
     server::{
-        json as answer,
+        json_response as answer,
         Request,
         Response,
         Server, //
--- a/tests/platform/store.rs
+++ b/tests/platform/store.rs
@@ -26,7 +26,7 @@
 };
 
 use crate::support::server::{
-    json as answer,
+    json_response as answer,
     Request,
     Response,
     Server, //
--- a/tests/proofs.rs
+++ b/tests/proofs.rs
@@ -49,7 +49,7 @@
     instance::Instance,
     platform::Settings,
     proxy::Mode,
-    until,
+    wait_until,
     worker::{
         Output,
         Worker, //
@@ -78,7 +78,7 @@
 /// Begins a cluster whose waits are short, with a fault proxy in front of every part.
 fn cluster() -> Builder {
     Builder::new(env!("CARGO_BIN_EXE_poplarknot"))
-        .proxied()
+        .with_proxies()
         .workers(2)
         .set("timing", "heartbeat", "100ms")
         .set("timing", "silence", "800ms")
@@ -97,7 +97,7 @@
         let range = range(owner).await?;
         let job = with(nowhere.clone(), "key", format!("{range}.known"));
         for other in &cluster.instances {
-            until("the instances know each other", || async {
+            wait_until("the instances know each other", || async {
                 let told = ask(other.callers, &job, &[]).await.ok()?;
                 (told.answer.reason == Reason::NoService).then_some(())
             })
@@ -186,7 +186,7 @@
 
 /// Submits a job until it is complete.
 async fn complete(cluster: &Cluster, instance: usize, job: &Value) -> Result {
-    until("the job is complete", || async {
+    wait_until("the job is complete", || async {
         let told = submit(cluster, instance, job).await.ok()?;
         (told.answer.outcome == Outcome::Complete).then(|| told.completes(job))
     })
@@ -196,8 +196,8 @@
 /// Waits until a worker has started the first task of a job, and returns which.
 async fn started(cluster: &Cluster, job: &Value) -> Result<usize> {
     let id = &ids(job)[0];
-    until("the task has started", || async {
-        let has = |worker: &Worker| worker.started().iter().any(|s| s.id == *id);
+    wait_until("the task has started", || async {
+        let has = |worker: &Worker| worker.started_tasks().iter().any(|s| s.id == *id);
         cluster.workers.iter().position(has)
     })
     .await
@@ -205,7 +205,7 @@
 
 /// Returns how often each task of a job has started.
 fn counts(cluster: &Cluster, job: &Value) -> Vec<usize> {
-    let starts = cluster.starts();
+    let starts = cluster.count_starts();
     let count = |id: &String| starts.get(id).copied().unwrap_or(0);
     ids(job).iter().map(count).collect()
 }
--- a/tests/proofs/answers.rs
+++ b/tests/proofs/answers.rs
@@ -13,7 +13,7 @@
     let proxies = &cluster.proxies;
     for proxy in proxies.workers.iter().chain(&proxies.peers) {
         let mut draw = || Duration::from_millis(random.random_range(0..150));
-        proxy.set(Mode::Delay {
+        proxy.set_mode(Mode::Delay {
             up: draw(),
             down: draw(),
         });
--- a/tests/proofs/callers.rs
+++ b/tests/proofs/callers.rs
@@ -7,7 +7,7 @@
 /// Waits until a job is in progress at an instance.
 async fn in_progress(cluster: &Cluster, instance: usize, key: &str) -> Result {
     let path = format!("/v1/jobs/risk/{key}");
-    until("the job is in progress", || async {
+    wait_until("the job is in progress", || async {
         let told = client::get(cluster.instances[instance].callers, &path)
             .await
             .ok()?;
@@ -18,7 +18,7 @@
 
 /// Waits until no worker has anything left, so that nothing more can start.
 async fn quiet(cluster: &Cluster) -> Result {
-    until("the workers are idle", || async {
+    wait_until("the workers are idle", || async {
         let mut loads = cluster.workers.iter().map(|worker| worker.load());
         loads
             .all(|load| load.running + load.queued == 0)
@@ -31,7 +31,7 @@
 ///
 /// A job whose key isn't claimed yet is in progress too, and can't be told "not run" when it is cancelled: the key may be another's.
 async fn admitted(cluster: &Cluster, instance: usize, tasks: usize) -> Result {
-    until("all tasks are admitted", || async {
+    wait_until("all tasks are admitted", || async {
         let callers = cluster.instances[instance].callers;
         let metrics = client::get(callers, "/metrics").await.ok()?;
         let text = String::from_utf8_lossy(&metrics.body).into_owned();
@@ -39,7 +39,7 @@
             .lines()
             .find(|line| line.starts_with("poplarknot_tasks_waiting "))?;
         let waiting: usize = line.split(' ').nth(1)?.parse().ok()?;
-        let started: usize = cluster.starts().values().sum();
+        let started: usize = cluster.count_starts().values().sum();
         (waiting + started == tasks).then_some(())
     })
     .await
@@ -50,7 +50,12 @@
 #[tokio::test]
 async fn a_wave_of_cancellations_is_answered() -> Result {
     let few = |worker: &mut poplarknot::table::wire::Worker| worker.slots = 2;
-    let cluster = launch(cluster().worker(few).set("limits", "outstanding", 2)).await?;
+    let cluster = launch(
+        cluster()
+            .configure_worker(few)
+            .set("limits", "outstanding", 2),
+    )
+    .await?;
     let wave = |i| {
         let mut job = job(&format!("wave-{i}"), [90_000, 1]);
         job["tasks"][0]["expected_ms"] = json!(1);
@@ -126,7 +131,7 @@
         told.is(Outcome::NotRun, Reason::NoService, 404);
     }
     // Without the table it can't be told whether an earlier copy ran, unless the key is new.
-    cluster.platform.down().await;
+    cluster.platform.take_down().await;
     let told = ask(cluster.instances[0].callers, &large, FIRST).await?;
     told.is(Outcome::NotRun, Reason::Impossible, 422);
     let told = submit(&cluster, 0, &large).await?;
@@ -141,7 +146,7 @@
 #[tokio::test]
 async fn an_instance_that_overslept_starts_nothing_late() -> Result {
     let one = |worker: &mut poplarknot::table::wire::Worker| worker.slots = 1;
-    let builder = cluster().workers(1).instances(1).worker(one);
+    let builder = cluster().workers(1).instances(1).configure_worker(one);
     let cluster = launch(builder.set("limits", "outstanding", 1)).await?;
     let busy = job("busy", [600]);
     let first = send(&cluster, 0, &busy);
@@ -149,7 +154,7 @@
     let waiting = (0..5).map(|i| with(job(&format!("waiting-{i}"), [1]), "deadline_ms", 1_000));
     let waiting: Vec<_> = waiting.collect();
     let callers: Vec<_> = waiting.iter().map(|job| send(&cluster, 0, job)).collect();
-    until("five tasks wait for the slot", || async {
+    wait_until("five tasks wait for the slot", || async {
         let metrics = client::get(cluster.instances[0].callers, "/metrics")
             .await
             .ok()?;
@@ -157,12 +162,12 @@
         text.contains("poplarknot_tasks_waiting 5\n").then_some(())
     })
     .await?;
-    cluster.instances[0].freeze()?;
+    cluster.instances[0].pause()?;
     quiet(&cluster).await?;
     sleep(Duration::from_millis(1_100)).await;
     let later = job("later", [1]);
     let last = send(&cluster, 0, &later);
-    cluster.instances[0].thaw()?;
+    cluster.instances[0].resume()?;
     first.await??.completes(&busy);
     last.await??.completes(&later);
     for caller in callers {
@@ -208,7 +213,7 @@
         (told.status, told.answer()?.outcome),
         (400, Outcome::NotRun)
     );
-    assert!(cluster.starts().is_empty());
+    assert!(cluster.count_starts().is_empty());
     Ok(())
 }
 
@@ -243,7 +248,7 @@
     let cluster = launch(cluster().set("limits", "connections", 3)).await?;
     let callers = cluster.instances[0].callers;
     let mut held = Vec::new();
-    until("three connections are held", || async {
+    wait_until("three connections are held", || async {
         let mut client = Client::connect(callers).await.ok()?;
         client.get("/healthz").await.ok().map(|_| client)
     })
--- a/tests/proofs/leaving.rs
+++ b/tests/proofs/leaving.rs
@@ -33,7 +33,7 @@
 async fn an_endpoint_that_the_list_calls_leaving_gets_nothing() -> Result {
     let lag = Duration::from_millis(400);
     let platform = Settings {
-        lag,
+        list_lag: lag,
         ..Settings::default()
     };
     let cluster = launch(cluster().platform(platform).workers(3)).await?;
@@ -43,9 +43,9 @@
     let mut entry = cluster.workers[0].entry();
     entry.address = cluster.proxies.workers[0].address().to_string();
     entry.state = State::Leaving;
-    cluster.platform.enlist(entry);
+    cluster.platform.register_endpoint(entry);
     burst(&cluster, "meanwhile", 10).await?;
-    until("both instances have the list", || async {
+    wait_until("both instances have the list", || async {
         let told = |log: String| log.contains("E022") && log.contains("worker-0");
         cluster
             .instances
@@ -69,7 +69,7 @@
     let long = job("long", [800; 24]);
     let caller = send(&cluster, 0, &long);
     started(&cluster, &long).await?;
-    cluster.workers[0].behave(|b| b.leaving = true);
+    cluster.workers[0].update_behaviour(|b| b.leaving = true);
     burst(&cluster, "told", 30).await?;
     avoided(&cluster, "after").await?;
     caller.await??.completes(&long);
@@ -84,7 +84,7 @@
     let mut cluster = launch(cluster().workers(3)).await?;
     burst(&cluster, "before", 10).await?;
     let before = cluster.workers[0].counters();
-    cluster.proxies.workers[0].cut().await;
+    cluster.proxies.workers[0].close().await;
     let jobs = burst(&cluster, "after", 30).await?;
     jobs.iter().for_each(|job| started_each(&cluster, job, 1));
     assert_eq!(cluster.workers[0].counters(), before);
@@ -120,7 +120,7 @@
     let elsewhere = job("elsewhere", [1]);
     submit(&cluster, 1, &elsewhere).await?.completes(&elsewhere);
     cluster.instances[0].stop()?;
-    until("it drains", || async {
+    wait_until("it drains", || async {
         cluster.instances[0].log().contains("E003").then_some(())
     })
     .await?;
@@ -133,7 +133,7 @@
     for ((job, _), caller) in all.iter().zip(callers) {
         caller.await??.completes(job);
     }
-    assert_eq!(cluster.instances[0].exit().await?.code(), Some(0));
+    assert_eq!(cluster.instances[0].wait_exit().await?.code(), Some(0));
     for job in &table {
         submit(&cluster, 1, job).await?.completes(job);
     }
@@ -179,7 +179,7 @@
         let mut told = String::new();
         timeout(PROMPT, slow.read_to_string(&mut told)).await??;
         assert!(told.contains("poplarknot-outcome: not-run"), "{told}");
-        assert_eq!(cluster.instances[0].exit().await?.code(), Some(0));
+        assert_eq!(cluster.instances[0].wait_exit().await?.code(), Some(0));
     }
     Ok(())
 }
--- a/tests/proofs/ranges.rs
+++ b/tests/proofs/ranges.rs
@@ -14,21 +14,21 @@
 async fn a_range_is_served_through_an_outage_and_a_cut() -> Result {
     let mut cluster = launch(cluster()).await?;
     let range = range(&cluster.instances[0]).await?;
-    cluster.platform.down().await;
+    cluster.platform.take_down().await;
     let (here, there, cut) = (keyed(&range, "a"), keyed(&range, "b"), keyed(&range, "c"));
     for job in [&here, &there] {
         submit(&cluster, 1, job).await?.completes(job);
         submit(&cluster, 0, job).await?.completes(job);
     }
     for proxy in &mut cluster.proxies.peers {
-        proxy.cut().await;
+        proxy.close().await;
     }
     let told = submit(&cluster, 1, &cut).await?;
     told.is(Outcome::Unknown, Reason::OwnerGone, 504);
     started_each(&cluster, &cut, 0);
     submit(&cluster, 0, &cut).await?.completes(&cut);
     for proxy in &mut cluster.proxies.peers {
-        proxy.restore()?;
+        proxy.reopen()?;
     }
     complete(&cluster, 1, &cut).await?;
     for job in [&here, &there, &cut] {
@@ -53,7 +53,7 @@
     // The forwarded submission is answered for as soon as its connection is gone.
     caller.await??.is(Outcome::Unknown, Reason::OwnerGone, 504);
     cluster.restart(0).await?;
-    cluster.instances[0].ready().await?;
+    cluster.instances[0].wait_ready().await?;
     for instance in [0, 1] {
         for job in [&ended, &slow, &new] {
             let told = submit(&cluster, instance, job).await?;
--- a/tests/proofs/restart.rs
+++ b/tests/proofs/restart.rs
@@ -25,7 +25,7 @@
     async fn complete(&self, job: &Value, mut at: usize) -> Result {
         let lost = AtomicBool::new(false);
         let lost = &lost;
-        until("the job is complete", || {
+        wait_until("the job is complete", || {
             at += 1;
             let callers = self.callers.lock().expect("no caller panics").clone();
             let callers = callers[at % callers.len()];
@@ -74,9 +74,9 @@
     let calls: Vec<_> = (0..8).map(|_| tokio::spawn(load.clone().call())).collect();
     for i in 0..cluster.instances.len() {
         cluster.instances[i].stop()?;
-        assert_eq!(cluster.instances[i].exit().await?.code(), Some(0));
+        assert_eq!(cluster.instances[i].wait_exit().await?.code(), Some(0));
         cluster.restart(i).await?;
-        cluster.instances[i].ready().await?;
+        cluster.instances[i].wait_ready().await?;
         show(&cluster);
     }
     load.ended.store(true, Ordering::Release);
--- a/tests/proofs/resubmission.rs
+++ b/tests/proofs/resubmission.rs
@@ -48,9 +48,9 @@
     let job = job("stopped", [700, 20]);
     let first = send(&cluster, 0, &job);
     started(&cluster, &job).await?;
-    cluster.instances[0].freeze()?;
+    cluster.instances[0].pause()?;
     let told = submit(&cluster, 1, &job).await;
-    cluster.instances[0].thaw()?;
+    cluster.instances[0].resume()?;
     told?.is(Outcome::Unknown, Reason::OwnerGone, 504);
     first.await??.completes(&job);
     complete(&cluster, 1, &job).await?;
@@ -69,7 +69,7 @@
     for job in [&short, &long] {
         submit(&cluster, 0, job).await?.completes(job);
     }
-    until("the outcomes are recorded", || async {
+    wait_until("the outcomes are recorded", || async {
         (cluster.platform.rows("outcome/").len() == 2).then_some(())
     })
     .await?;
@@ -83,7 +83,7 @@
     told.is(Outcome::Unknown, Reason::OwnerGone, 504);
     cluster.restart(0).await?;
     for instance in &cluster.instances {
-        instance.ready().await?;
+        instance.wait_ready().await?;
     }
     for instance in [0, 1] {
         let told = submit(&cluster, instance, &lost).await?;
--- a/tests/proofs/store.rs
+++ b/tests/proofs/store.rs
@@ -16,7 +16,7 @@
     let cluster = launch(cluster()).await?;
     for i in 0..4 {
         let job = job(&format!("lost-{i}"), [10]);
-        cluster.platform.fault(|f| f.swallow = 1);
+        cluster.platform.update_faults(|f| f.dropped_answers = 1);
         submit(&cluster, 0, &job).await?.completes(&job);
         submit(&cluster, 1, &job).await?.completes(&job);
         started_each(&cluster, &job, 1);
@@ -37,7 +37,7 @@
     let lateness = Duration::from_millis(900);
     cluster
         .platform
-        .fault(|f| (f.late, f.lateness) = (1, lateness));
+        .update_faults(|f| (f.late_commits, f.commit_delay) = (1, lateness));
     submit(&cluster, 0, &job).await?.completes(&job);
     sleep(lateness).await;
     for instance in [0, 1] {
@@ -55,11 +55,13 @@
     let cluster = launch(cluster()).await?;
     let job = with(job("after", [10]), "deadline_ms", 500);
     let late = Duration::from_millis(1_500);
-    cluster.platform.fault(|f| (f.late, f.lateness) = (9, late));
+    cluster
+        .platform
+        .update_faults(|f| (f.late_commits, f.commit_delay) = (9, late));
     let told = ask(cluster.instances[0].callers, &job, FIRST).await?;
     refused(&told, Outcome::NotRun);
-    cluster.platform.fault(|f| f.late = 0);
-    until("the claim lands", || async {
+    cluster.platform.update_faults(|f| f.late_commits = 0);
+    wait_until("the claim lands", || async {
         cluster.platform.row("claim/risk/after")
     })
     .await?;
@@ -122,13 +124,13 @@
 #[tokio::test]
 async fn an_outage_refuses_only_what_needs_a_claim() -> Result {
     let cluster = launch(cluster()).await?;
-    cluster.platform.down().await;
+    cluster.platform.take_down().await;
     let down = survive(&cluster, "down").await?;
-    cluster.platform.up()?;
+    cluster.platform.bring_up()?;
     recover(&cluster, &down).await?;
-    cluster.platform.fault(|f| f.unavailable = true);
+    cluster.platform.update_faults(|f| f.unavailable = true);
     let unavailable = survive(&cluster, "unavailable").await?;
-    cluster.platform.fault(|f| f.unavailable = false);
+    cluster.platform.update_faults(|f| f.unavailable = false);
     recover(&cluster, &unavailable).await
 }
 
@@ -138,13 +140,15 @@
 #[tokio::test]
 async fn a_table_that_hangs_refuses_soon() -> Result {
     let cluster = launch(cluster()).await?;
-    cluster.platform.fault(|f| f.hang = true);
+    cluster.platform.update_faults(|f| f.hang = true);
     let hung = survive(&cluster, "hung").await?;
-    cluster.platform.fault(|f| f.hang = false);
+    cluster.platform.update_faults(|f| f.hang = false);
     recover(&cluster, &hung).await?;
-    cluster.platform.fault(|f| f.slow = Duration::from_secs(2));
+    cluster
+        .platform
+        .update_faults(|f| f.delay = Duration::from_secs(2));
     let slow = survive(&cluster, "slow").await?;
-    cluster.platform.fault(|f| f.slow = Duration::ZERO);
+    cluster.platform.update_faults(|f| f.delay = Duration::ZERO);
     recover(&cluster, &slow).await
 }
 
@@ -154,7 +158,7 @@
     let cluster = launch(cluster()).await?;
     cluster
         .platform
-        .fault(|f| f.slow = Duration::from_millis(150));
+        .update_faults(|f| f.delay = Duration::from_millis(150));
     let job = job("slow", [10, 10]);
     for instance in [0, 1] {
         submit(&cluster, instance, &job).await?.completes(&job);
--- a/tests/proofs/together.rs
+++ b/tests/proofs/together.rs
@@ -73,32 +73,34 @@
         let (first, proxies) = (&cluster.instances[0], &mut cluster.proxies);
         match self {
             // It may be dead already.
-            Self::FreezeInstance => first.freeze().unwrap_or_default(),
+            Self::FreezeInstance => first.pause().unwrap_or_default(),
             Self::KillInstance => cluster.instances[0].kill().await?,
             Self::DrainInstance => first.stop().unwrap_or_default(),
             Self::KillWorker => cluster.workers[0].kill().await,
-            Self::FreezeWorker => cluster.workers[0].freeze(true),
-            Self::SilenceWorkers => proxies.workers.iter().for_each(|p| p.silence()),
-            Self::SwallowWorker => proxies.workers[0].set(Mode::SWALLOW),
-            Self::CutWorker => proxies.workers[0].cut().await,
-            Self::LeaveWorker => cluster.workers[0].behave(|b| b.leaving = true),
+            Self::FreezeWorker => cluster.workers[0].set_paused(true),
+            Self::SilenceWorkers => proxies.workers.iter().for_each(|p| p.blackhole_open()),
+            Self::SwallowWorker => proxies.workers[0].set_mode(Mode::DROP_ANSWERS),
+            Self::CutWorker => proxies.workers[0].close().await,
+            Self::LeaveWorker => cluster.workers[0].update_behaviour(|b| b.leaving = true),
             Self::DelayPeers => {
                 let (up, down) = (Duration::from_millis(150), Duration::from_millis(90));
-                proxies.peers[0].set(Mode::Delay { up, down });
+                proxies.peers[0].set_mode(Mode::Delay { up, down });
             }
-            Self::CutPeers => proxies.peers[0].cut().await,
-            Self::SilencePeers => proxies.peers.iter().for_each(|p| p.silence()),
-            Self::LoseClaims => cluster.platform.fault(|f| f.swallow = 3),
+            Self::CutPeers => proxies.peers[0].close().await,
+            Self::SilencePeers => proxies.peers.iter().for_each(|p| p.blackhole_open()),
+            Self::LoseClaims => cluster.platform.update_faults(|f| f.dropped_answers = 3),
             Self::DelayClaims => {
                 let late = Duration::from_millis(700);
-                cluster.platform.fault(|f| (f.late, f.lateness) = (3, late));
+                cluster
+                    .platform
+                    .update_faults(|f| (f.late_commits, f.commit_delay) = (3, late));
             }
             Self::CutPlatform => {
                 if let Some(proxy) = &mut proxies.platform {
-                    proxy.cut().await;
+                    proxy.close().await;
                 }
             }
-            Self::HangPlatform => cluster.platform.fault(|f| f.hang = true),
+            Self::HangPlatform => cluster.platform.update_faults(|f| f.hang = true),
             Self::CancelJobs => {
                 for i in (0..JOBS).step_by(3) {
                     let path = format!("/v1/jobs/risk/job-{i}");
@@ -114,14 +116,14 @@
     async fn end(self, cluster: &mut Cluster) -> Result {
         let proxies = &mut cluster.proxies;
         match self {
-            Self::FreezeInstance => cluster.instances[0].thaw().unwrap_or_default(),
-            Self::FreezeWorker => cluster.workers[0].freeze(false),
-            Self::SwallowWorker => proxies.workers[0].set(Mode::Pass),
-            Self::DelayPeers => proxies.peers[0].set(Mode::Pass),
-            Self::CutWorker => proxies.workers[0].restore()?,
-            Self::CutPeers => proxies.peers[0].restore()?,
-            Self::CutPlatform => proxies.platform.iter_mut().try_for_each(|p| p.restore())?,
-            Self::HangPlatform => cluster.platform.fault(|f| f.hang = false),
+            Self::FreezeInstance => cluster.instances[0].resume().unwrap_or_default(),
+            Self::FreezeWorker => cluster.workers[0].set_paused(false),
+            Self::SwallowWorker => proxies.workers[0].set_mode(Mode::Pass),
+            Self::DelayPeers => proxies.peers[0].set_mode(Mode::Pass),
+            Self::CutWorker => proxies.workers[0].reopen()?,
+            Self::CutPeers => proxies.peers[0].reopen()?,
+            Self::CutPlatform => proxies.platform.iter_mut().try_for_each(|p| p.reopen())?,
+            Self::HangPlatform => cluster.platform.update_faults(|f| f.hang = false),
             _ => {}
         }
         Ok(())
--- a/tests/proofs/workers.rs
+++ b/tests/proofs/workers.rs
@@ -13,7 +13,7 @@
 async fn warm(cluster: &Cluster) -> Result {
     let job = with(job("warm", [30; 16]), "key", Value::Null);
     submit(cluster, 0, &job).await?.completes(&job);
-    let idle = |worker: &Worker| worker.started().is_empty();
+    let idle = |worker: &Worker| worker.started_tasks().is_empty();
     assert!(!cluster.workers.iter().any(idle));
     Ok(())
 }
@@ -92,7 +92,7 @@
             .proxies
             .workers
             .iter()
-            .for_each(|proxy| proxy.silence());
+            .for_each(|proxy| proxy.blackhole_open());
         submit(&cluster, 0, &job).await?.completes(&job);
         // An idempotent task may have been hedged instead.
         if class != "idempotent" {
@@ -113,7 +113,7 @@
         .proxies
         .workers
         .iter()
-        .for_each(|proxy| proxy.silence());
+        .for_each(|proxy| proxy.blackhole_open());
     sleep(Duration::from_millis(150)).await;
     let (_, stops) = received(&cluster);
     let job = job("trusted", [20; 8]);
@@ -136,7 +136,7 @@
             .proxies
             .workers
             .iter()
-            .for_each(|proxy| proxy.silence());
+            .for_each(|proxy| proxy.blackhole_open());
         caller.await??.completes(&job);
         started_each(&cluster, &job, 1);
     }
@@ -153,7 +153,7 @@
         let job = of_class(class, 300);
         let caller = send(&cluster, 0, &job);
         let worker = started(&cluster, &job).await?;
-        cluster.proxies.workers[worker].set(Mode::SWALLOW);
+        cluster.proxies.workers[worker].set_mode(Mode::DROP_ANSWERS);
         let told = caller.await??;
         if class == "idempotent" {
             told.completes(&job);
@@ -177,7 +177,7 @@
         told.is(Outcome::Failed, Reason::TaskFailed, 502);
     }
     started_each(&cluster, &job, 1);
-    until("the rest is stopped", || async {
+    wait_until("the rest is stopped", || async {
         let busy = |worker: &Worker| worker.load().running > 0;
         (!cluster.workers.iter().any(busy)).then_some(())
     })
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -59,7 +59,7 @@
         Direction,
         Mode, //
     },
-    until,
+    wait_until,
     Result, //
 };
 use tokio::time::{
@@ -217,7 +217,7 @@
     let accepted: Vec<u64> = ledger.lock().unwrap().accepted.iter().copied().collect();
     for id in accepted {
         let mut turn = 0;
-        let complete = until("a stored job is complete", || {
+        let complete = wait_until("a stored job is complete", || {
             turn += 1;
             let node = slots[turn % slots.len()].node.lock().unwrap().clone();
             async move {
@@ -430,15 +430,15 @@
             up: Duration::from_millis(40),
             down: Duration::from_millis(40),
         },
-        Mode::Lose {
+        Mode::Drop {
             direction: Direction::Up,
             close: false,
         },
-        Mode::Lose {
+        Mode::Drop {
             direction: Direction::Down,
             close: false,
         },
-        Mode::SWALLOW,
+        Mode::DROP_ANSWERS,
     ];
     let mut healing = FuturesUnordered::new();
     while Instant::now() < end {
@@ -451,14 +451,14 @@
         };
         let link = &links[random.random_range(0..links.len())];
         if random.random_ratio(1, 5) {
-            link.silence();
+            link.blackhole_open();
             continue;
         }
-        link.set(modes[random.random_range(0..modes.len())]);
+        link.set_mode(modes[random.random_range(0..modes.len())]);
         let span = Duration::from_millis(random.random_range(100..2_500));
         healing.push(async move {
             sleep(span).await;
-            link.set(Mode::Pass);
+            link.set_mode(Mode::Pass);
         });
     }
     while healing.next().await.is_some() {}
--- a/tests/standin.rs
+++ b/tests/standin.rs
@@ -36,7 +36,7 @@
         Mode,
         Proxy, //
     },
-    until,
+    wait_until,
     worker::{
         self,
         Worker, //
@@ -113,18 +113,18 @@
 #[tokio::test]
 async fn commits_take_effect_without_an_answer_or_late() -> Result {
     let platform = Platform::start(Settings::default())?;
-    platform.fault(|f| f.swallow = 1);
+    platform.update_faults(|f| f.dropped_answers = 1);
     let answer = client::post(platform.address(), "/table/commit", &[], &insert(&["a"])).await;
     assert!(answer.is_err());
     assert!(platform.row("a").is_some());
 
-    platform.fault(|f| (f.late, f.lateness) = (1, Duration::from_millis(50)));
+    platform.update_faults(|f| (f.late_commits, f.commit_delay) = (1, Duration::from_millis(50)));
     let address = platform.address();
     let late =
         tokio::spawn(
             async move { client::post(address, "/table/commit", &[], &insert(&["b"])).await },
         );
-    until("the late write applies", || async { platform.row("b") }).await?;
+    wait_until("the late write applies", || async { platform.row("b") }).await?;
     assert!(!late.is_finished());
     late.abort();
     Ok(())
@@ -136,11 +136,11 @@
     let mut open = Client::connect(platform.address()).await?;
     open.get("/instances").await?;
 
-    platform.down().await;
+    platform.take_down().await;
     assert!(open.get("/instances").await.is_err());
     assert!(Client::connect(platform.address()).await.is_err());
 
-    platform.up()?;
+    platform.bring_up()?;
     assert_eq!(
         client::get(platform.address(), "/instances").await?.status,
         200
@@ -150,7 +150,7 @@
 
 #[tokio::test]
 async fn an_attempt_starts_once_and_a_barred_one_never() -> Result {
-    let worker = Worker::start(worker::entry("w", "maardu"))?;
+    let worker = Worker::start(worker::new_entry("w", "maardu"))?;
     let (first, second) = (start(0, 20), start(0, 20));
     let (first, second) = tokio::join!(
         client::post(worker.address(), "/tasks", &[], &first),
@@ -158,7 +158,7 @@
     );
     assert!(matches!(first?.json()?, Reply::Done { .. }));
     assert!(matches!(second?.json()?, Reply::Done { .. }));
-    assert_eq!(worker.started().len(), 1);
+    assert_eq!(worker.started_tasks().len(), 1);
 
     let barred = start(1, 0);
     assert!(matches!(
@@ -171,13 +171,13 @@
         answer.json()?,
         Reply::NotStarted { leaving: false, .. }
     ));
-    assert_eq!(worker.started().len(), 1);
+    assert_eq!(worker.started_tasks().len(), 1);
     Ok(())
 }
 
 #[tokio::test]
 async fn a_stopped_task_tells_whether_it_had_started() -> Result {
-    let mut entry = worker::entry("w", "maardu");
+    let mut entry = worker::new_entry("w", "maardu");
     entry.slots = 1;
     let worker = Worker::start(entry)?;
     let address = worker.address();
@@ -187,18 +187,18 @@
         )
     };
     let running = send(0);
-    until("one runs", || async {
+    wait_until("one runs", || async {
         (worker.load().running == 1).then_some(())
     })
     .await?;
     let queued = send(1);
-    until("one waits", || async {
+    wait_until("one waits", || async {
         (worker.load().queued == 1).then_some(())
     })
     .await?;
-    worker.behave(|b| b.queue = 1);
+    worker.update_behaviour(|b| b.queue = 1);
     let full = send(2).await??.json()?;
-    worker.behave(|b| b.leaving = true);
+    worker.update_behaviour(|b| b.leaving = true);
     let leaving = send(3).await??.json()?;
 
     stop(&worker, start(1, 0).attempt).await?;
@@ -208,17 +208,17 @@
     assert!(matches!(leaving, Reply::NotStarted { leaving: true, .. }));
     assert!(matches!(queued.await??.json()?, Reply::NotStarted { .. }));
     assert!(matches!(running.await??.json()?, Reply::Failed { .. }));
-    assert_eq!(worker.started().len(), 1);
+    assert_eq!(worker.started_tasks().len(), 1);
     Ok(())
 }
 
 #[tokio::test]
 async fn a_killed_worker_ends_its_tasks_and_refuses() -> Result {
-    let worker = Worker::start(worker::entry("w", "maardu"))?;
+    let worker = Worker::start(worker::new_entry("w", "maardu"))?;
     let address = worker.address();
     let answer =
         tokio::spawn(async move { client::post(address, "/tasks", &[], &start(0, 60_000)).await });
-    until("it runs", || async {
+    wait_until("it runs", || async {
         (worker.load().running == 1).then_some(())
     })
     .await?;
@@ -237,7 +237,7 @@
     let mut old = Client::connect(proxy.address()).await?;
     old.get("/instances").await?;
 
-    proxy.silence();
+    proxy.blackhole_open();
 
     tokio::select! {
         biased;
@@ -247,7 +247,7 @@
         }
     }
     assert_eq!(platform.counters().lists, 2);
-    assert_eq!(proxy.accepted(), 2);
+    assert_eq!(proxy.accepted_count(), 2);
     Ok(())
 }
 
@@ -255,11 +255,11 @@
 async fn a_swallowed_answer_leaves_its_request_delivered() -> Result {
     let platform = Platform::start(Settings::default())?;
     let mut proxy = Proxy::start(platform.address())?;
-    proxy.set(Mode::SWALLOW);
+    proxy.set_mode(Mode::DROP_ANSWERS);
     assert!(client::get(proxy.address(), "/instances").await.is_err());
     assert_eq!(platform.counters().lists, 1);
 
-    proxy.set(Mode::Delay {
+    proxy.set_mode(Mode::Delay {
         up: Duration::from_millis(1),
         down: Duration::from_millis(1),
     });
@@ -273,10 +273,10 @@
     assert_eq!(put.await?.status, 204);
     assert_eq!(client.get("/objects/a").await?.body.len(), 1 << 20);
 
-    proxy.cut().await;
+    proxy.close().await;
     assert!(client.get("/objects/a").await.is_err());
     assert!(Client::connect(proxy.address()).await.is_err());
-    proxy.restore()?;
+    proxy.reopen()?;
     assert_eq!(
         client::get(proxy.address(), "/objects/a").await?.status,
         200
@@ -303,10 +303,10 @@
         "{}",
         first.log()
     );
-    first.freeze()?;
+    first.pause()?;
     first.stop()?;
-    first.thaw()?;
-    assert_eq!(first.exit().await?.code(), Some(3));
+    first.resume()?;
+    assert_eq!(first.wait_exit().await?.code(), Some(3));
 
     let mut second = builder.start().await?;
     second.kill().await?;
--- a/tests/support.rs
+++ b/tests/support.rs
@@ -30,14 +30,14 @@
 pub type Result<T = ()> = std::result::Result<T, Box<dyn std::error::Error + Send + Sync>>;
 
 /// How long the harness waits for an event before it gives up.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Waits until `check` gives a value.
 ///
 /// # Errors
 ///
 /// Gives up, naming `what`, when the harness runs out of patience.
-pub async fn until<T, F>(what: &str, mut check: impl FnMut() -> F) -> Result<T>
+pub async fn wait_until<T, F>(what: &str, mut check: impl FnMut() -> F) -> Result<T>
 where
     F: Future<Output = Option<T>>,
 {
@@ -49,7 +49,7 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, attempt)
+    tokio::time::timeout(WAIT_TIMEOUT, attempt)
         .await
         .map_err(|_| format!("gave up waiting until {what}").into())
 }
--- a/tests/support/cluster.rs
+++ b/tests/support/cluster.rs
@@ -28,7 +28,7 @@
         Platform, //
     },
     proxy::Proxy,
-    until,
+    wait_until,
     worker::{
         self,
         Worker, //
@@ -43,7 +43,7 @@
 pub const SERVICE: &str = "notebook";
 
 /// Returns the configuration that the harness seeds; the one place that knows its form.
-pub fn records() -> Vec<Value> {
+pub fn default_records() -> Vec<Value> {
     vec![
         json!({"schema": 1, "kind": "pool", "name": "workers"}),
         json!({
@@ -57,9 +57,9 @@
 }
 
 /// Submits the configuration through the first instance and waits until all have it.
-pub async fn seed(instances: &[Instance], records: &[Value]) -> Result {
+pub async fn apply_records(instances: &[Instance], records: &[Value]) -> Result {
     for instance in instances {
-        instance.ready().await?;
+        instance.wait_ready().await?;
     }
     let token = format!("Bearer {TOKEN}");
     let headers = [("authorization", token.as_str())];
@@ -77,7 +77,7 @@
     let text = |field: &str| last[field].as_str().unwrap_or_default();
     let path = format!("/v1/records/{}/{}", text("kind"), text("name"));
     for instance in instances {
-        until("the configuration is in force", || async {
+        wait_until("the configuration is in force", || async {
             let mut client = Client::connect(instance.callers).await.ok()?;
             let answer = client.send(Method::GET, &path, &headers, "").await.ok()?;
             (answer.status == 200).then_some(())
@@ -111,7 +111,7 @@
             workers: 4,
             settings: Vec::new(),
             platform: platform::Settings::default(),
-            records: records(),
+            records: default_records(),
             worker: |_| {},
             proxied: false,
         }
@@ -136,7 +136,7 @@
     }
 
     /// Changes every worker before it starts.
-    pub fn worker(mut self, change: fn(&mut Entry)) -> Self {
+    pub fn configure_worker(mut self, change: fn(&mut Entry)) -> Self {
         self.worker = change;
         self
     }
@@ -155,7 +155,7 @@
     }
 
     /// Puts a proxy in front of the platform, of each worker and of each instance's peer port.
-    pub fn proxied(mut self) -> Self {
+    pub fn with_proxies(mut self) -> Self {
         self.proxied = true;
         self
     }
@@ -182,7 +182,7 @@
             let instance = self.new_instance(i, cluster.platform_address());
             cluster.add_instance(&instance).await?;
         }
-        seed(&cluster.instances, &self.records).await?;
+        apply_records(&cluster.instances, &self.records).await?;
         Ok(cluster)
     }
 
@@ -192,7 +192,7 @@
 
     fn new_worker(&self, i: usize) -> Entry {
         let centre = self.centre(i);
-        let mut entry = worker::entry(&format!("worker-{i}"), centre);
+        let mut entry = worker::new_entry(&format!("worker-{i}"), centre);
         entry.rack = format!("{centre}-{}", i / self.centres.len() / RACK);
         (self.worker)(&mut entry);
         entry
@@ -256,7 +256,7 @@
             entry.address = proxy.address().to_string();
             self.proxies.workers.push(proxy);
         }
-        self.platform.enlist(entry);
+        self.platform.register_endpoint(entry);
         self.workers.push(worker);
         Ok(())
     }
@@ -270,7 +270,7 @@
             address = proxy.address();
             self.proxies.peers.push(proxy);
         }
-        self.platform.register(instance.member(address)?);
+        self.platform.register_instance(instance.member(address)?);
         self.instances.push(instance);
         Ok(())
     }
@@ -292,8 +292,8 @@
     }
 
     /// Counts the starts of each task, by name, over all workers.
-    pub fn starts(&self) -> std::collections::HashMap<String, usize> {
-        worker::starts(&self.workers)
+    pub fn count_starts(&self) -> std::collections::HashMap<String, usize> {
+        worker::count_starts(&self.workers)
     }
 }
 
--- a/tests/support/instance.rs
+++ b/tests/support/instance.rs
@@ -36,9 +36,9 @@
 
 use super::{
     client,
-    until,
+    wait_until,
     Result,
-    PATIENCE, //
+    WAIT_TIMEOUT, //
 };
 
 /// The operator that every instance of the harness knows.
@@ -128,7 +128,7 @@
             .stderr(log)
             .kill_on_drop(true)
             .spawn()?;
-        let listening = tokio::time::timeout(PATIENCE, listening(&mut child)).await;
+        let listening = tokio::time::timeout(WAIT_TIMEOUT, listening(&mut child)).await;
         let (callers, peers) = listening
             .map_err(Into::into)
             .and_then(|l| l)
@@ -208,24 +208,24 @@
     }
 
     /// Pauses the process.
-    pub fn freeze(&self) -> Result {
+    pub fn pause(&self) -> Result {
         self.signal(Signal::SIGSTOP)
     }
 
     /// Lets the process go on.
-    pub fn thaw(&self) -> Result {
+    pub fn resume(&self) -> Result {
         self.signal(Signal::SIGCONT)
     }
 
     /// Waits for its end.
-    pub async fn exit(&mut self) -> Result<ExitStatus> {
-        Ok(tokio::time::timeout(PATIENCE, self.child.wait()).await??)
+    pub async fn wait_exit(&mut self) -> Result<ExitStatus> {
+        Ok(tokio::time::timeout(WAIT_TIMEOUT, self.child.wait()).await??)
     }
 
     /// Waits until it is ready.
-    pub async fn ready(&self) -> Result {
+    pub async fn wait_ready(&self) -> Result {
         let what = format!("{} is ready", self.builder.name);
-        until(&what, || async {
+        wait_until(&what, || async {
             let answer = client::get(self.callers, "/readyz").await.ok()?;
             (answer.status == 200).then_some(())
         })
--- a/tests/support/platform.rs
+++ b/tests/support/platform.rs
@@ -38,8 +38,8 @@
 
 use super::{
     server::{
-        json,
-        raw,
+        json_response,
+        response,
         Request,
         Response,
         Server, //
@@ -58,13 +58,13 @@
     /// Take requests and never answer; nothing takes effect.
     pub hang: bool,
     /// Wait before every operation.
-    pub slow: Duration,
+    pub delay: Duration,
     /// Apply the next commits, so many, and close without an answer.
-    pub swallow: u32,
-    /// Leave the next commits, so many, without an answer and apply them after `lateness`.
-    pub late: u32,
+    pub dropped_answers: u32,
+    /// Leave the next commits, so many, without an answer and apply them after `commit_delay`.
+    pub late_commits: u32,
     /// How late.
-    pub lateness: Duration,
+    pub commit_delay: Duration,
 }
 
 /// What has been asked of the platform.
@@ -176,7 +176,9 @@
         let mut state = self.state();
         change(&mut state.list);
         let list = state.list.clone();
-        state.lists.push((Instant::now() + self.settings.lag, list));
+        state
+            .lists
+            .push((Instant::now() + self.settings.list_lag, list));
     }
 
     async fn handle(self: Arc<Self>, request: Request) -> Response {
@@ -184,9 +186,9 @@
         if faults.hang {
             std::future::pending::<()>().await;
         }
-        tokio::time::sleep(faults.slow).await;
+        tokio::time::sleep(faults.delay).await;
         if faults.unavailable {
-            return raw(503, "");
+            return response(503, "");
         }
         let sent = request.body.len();
         let answer = self.clone().route(request).await;
@@ -219,11 +221,11 @@
             (&Method::PUT, "/instances") => {
                 let list: List = serde_json::from_slice(&request.body).ok()?;
                 self.change(|l| *l = list);
-                raw(204, "")
+                response(204, "")
             }
             (method, path) => match path.strip_prefix("/objects/") {
                 Some(name) => self.object(method, name, request.body.clone()),
-                None => raw(404, ""),
+                None => response(404, ""),
             },
         }
     }
@@ -241,16 +243,16 @@
         let body = serde_json::to_vec(&list).ok()?;
         let etag = format!("\"{}\"", Digest::of(&body));
         if known.as_ref() == Some(&etag) {
-            return raw(304, "");
+            return response(304, "");
         }
-        let mut answer = raw(200, body)?;
+        let mut answer = response(200, body)?;
         answer.headers_mut().insert("etag", etag.parse().ok()?);
         Some(answer)
     }
 
     async fn commit(self: Arc<Self>, body: &[u8]) -> Response {
         let Ok(commit) = serde_json::from_slice::<Commit>(body) else {
-            return raw(400, "");
+            return response(400, "");
         };
         let (swallow, late) = self.count(&commit);
         // A task of its own: a client that goes away doesn't take its commit back.
@@ -258,7 +260,7 @@
         let applied = tokio::spawn(async move {
             tokio::time::sleep(late.unwrap_or_default()).await;
             let _permit = shared.commits.acquire().await;
-            tokio::time::sleep(shared.settings.sync).await;
+            tokio::time::sleep(shared.settings.commit_latency).await;
             let committed = shared.state().apply(&commit);
             committed
         });
@@ -269,7 +271,7 @@
         if swallow {
             return None;
         }
-        json(200, &committed)
+        json_response(200, &committed)
     }
 
     /// Counts a commit and tells which faults it meets.
@@ -278,18 +280,18 @@
         state.counters.commits += 1;
         state.counters.groups += commit.groups.len() as u64;
         let faults = &mut state.faults;
-        let (swallow, late) = (faults.swallow > 0, faults.late > 0);
-        faults.swallow = faults.swallow.saturating_sub(1);
-        faults.late = faults.late.saturating_sub(1);
-        (swallow, late.then_some(faults.lateness))
+        let (swallow, late) = (faults.dropped_answers > 0, faults.late_commits > 0);
+        faults.dropped_answers = faults.dropped_answers.saturating_sub(1);
+        faults.late_commits = faults.late_commits.saturating_sub(1);
+        (swallow, late.then_some(faults.commit_delay))
     }
 
     fn read(&self, key: &str) -> Response {
         let mut state = self.state();
         state.counters.reads += 1;
         match state.rows.get(key) {
-            Some(row) => json(200, row),
-            None => raw(404, ""),
+            Some(row) => json_response(200, row),
+            None => response(404, ""),
         }
     }
 
@@ -297,7 +299,7 @@
         let mut state = self.state();
         state.counters.scans += 1;
         let rows = state.scan(prefix, after, limit);
-        json(200, &Scan { rows })
+        json_response(200, &Scan { rows })
     }
 
     fn object(&self, method: &Method, name: &str, body: Bytes) -> Response {
@@ -305,11 +307,11 @@
         state.counters.objects += 1;
         if method == Method::PUT {
             state.objects.insert(name.to_owned(), body);
-            return raw(204, "");
+            return response(204, "");
         }
         match state.objects.get(name) {
-            Some(bytes) => raw(200, bytes.clone()),
-            None => raw(404, ""),
+            Some(bytes) => response(200, bytes.clone()),
+            None => response(404, ""),
         }
     }
 }
@@ -322,19 +324,19 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Settings {
     /// How long a commit takes to become durable.
-    pub sync: Duration,
+    pub commit_latency: Duration,
     /// How many commits are made at once; one makes them serial.
-    pub parallel: usize,
+    pub parallel_commits: usize,
     /// How far the list lags behind.
-    pub lag: Duration,
+    pub list_lag: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            sync: Duration::from_millis(5),
-            parallel: 4,
-            lag: Duration::ZERO,
+            commit_latency: Duration::from_millis(5),
+            parallel_commits: 4,
+            list_lag: Duration::ZERO,
         }
     }
 }
@@ -350,7 +352,7 @@
     pub fn start(settings: Settings) -> Result<Self> {
         let shared = Arc::new(Shared {
             state: Mutex::default(),
-            commits: Semaphore::new(settings.parallel),
+            commits: Semaphore::new(settings.parallel_commits),
             settings,
         });
         let handler = shared.clone();
@@ -365,43 +367,43 @@
 
     /// Opens one more address, where the list reads as `change` makes it: a part of the network that reaches
     /// the others by addresses of its own.
-    pub fn view(&self, change: impl Fn(&mut List) + Send + Sync + 'static) -> Result<Server> {
+    pub fn serve_view(&self, change: impl Fn(&mut List) + Send + Sync + 'static) -> Result<Server> {
         let (shared, change): (_, Arc<Change>) = (self.shared.clone(), Arc::new(change));
         let show = move |request| shared.clone().show(request, change.clone());
         Ok(Server::start(usize::MAX, show)?)
     }
 
     /// Drops all connections and refuses new ones.
-    pub async fn down(&self) {
+    pub async fn take_down(&self) {
         self.server.close().await;
     }
 
     /// Listens again.
-    pub fn up(&self) -> Result {
+    pub fn bring_up(&self) -> Result {
         Ok(self.server.open()?)
     }
 
     /// Switches faults.
-    pub fn fault(&self, change: impl FnOnce(&mut Faults)) {
+    pub fn update_faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.shared.state().faults);
     }
 
     /// Changes the list.
-    pub fn list(&self, change: impl FnOnce(&mut List)) {
+    pub fn update_list(&self, change: impl FnOnce(&mut List)) {
         self.shared.change(change);
     }
 
     /// Puts an instance on the list, in place of an older entry of its name.
-    pub fn register(&self, member: Member) {
-        self.list(|list| {
+    pub fn register_instance(&self, member: Member) {
+        self.update_list(|list| {
             list.instances.retain(|m| m.name != member.name);
             list.instances.push(member);
         });
     }
 
     /// Puts an endpoint on the list, in place of an older entry of its name.
-    pub fn enlist(&self, worker: Worker) {
-        self.list(|list| {
+    pub fn register_endpoint(&self, worker: Worker) {
+        self.update_list(|list| {
             list.endpoints.retain(|w| w.name != worker.name);
             list.endpoints.push(worker);
         });
--- a/tests/support/proxy.rs
+++ b/tests/support/proxy.rs
@@ -67,7 +67,7 @@
         down: Duration,
     },
     /// Those of one direction are lost.
-    Lose {
+    Drop {
         /// The direction.
         direction: Direction,
         /// Whether the first loss closes the connection.
@@ -77,7 +77,7 @@
 
 impl Mode {
     /// Loses answers: requests arrive, and the connection closes in place of the answer.
-    pub const SWALLOW: Self = Self::Lose {
+    pub const DROP_ANSWERS: Self = Self::Drop {
         direction: Direction::Down,
         close: true,
     };
@@ -123,7 +123,7 @@
             }),
             accept: None,
         };
-        proxy.restore()?;
+        proxy.reopen()?;
         Ok(proxy)
     }
 
@@ -133,24 +133,24 @@
     }
 
     /// Switches the mode.
-    pub fn set(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: Mode) {
         *self.shared.mode.lock().unwrap() = mode;
     }
 
     /// Silences the open connections for good: bytes vanish both ways and a close goes unseen.
-    pub fn silence(&self) {
+    pub fn blackhole_open(&self) {
         self.shared.generation.fetch_add(1, Ordering::SeqCst);
     }
 
     /// Closes all connections and refuses new ones.
-    pub async fn cut(&mut self) {
+    pub async fn close(&mut self) {
         if let Some(accept) = self.accept.take() {
             accept.end().await;
         }
     }
 
     /// Takes connections again after a cut.
-    pub fn restore(&mut self) -> Result {
+    pub fn reopen(&mut self) -> Result {
         if self.accept.is_none() {
             let shared = self.shared.clone();
             let serve = move |client| connection(client, shared.clone());
@@ -160,12 +160,12 @@
     }
 
     /// Returns how many connections have been taken.
-    pub fn accepted(&self) -> u64 {
+    pub fn accepted_count(&self) -> u64 {
         self.shared.accepted.load(Ordering::SeqCst)
     }
 
     /// Returns how many bytes have been passed on, both ways.
-    pub fn bytes(&self) -> u64 {
+    pub fn forwarded_bytes(&self) -> u64 {
         self.shared.bytes.load(Ordering::SeqCst)
     }
 }
@@ -240,7 +240,7 @@
         match (self.shared.mode(), self.direction) {
             (Mode::Delay { up, .. }, Direction::Up) => Ok(Some(up)),
             (Mode::Delay { down, .. }, Direction::Down) => Ok(Some(down)),
-            (Mode::Lose { direction, close }, own) if direction == own => match close {
+            (Mode::Drop { direction, close }, own) if direction == own => match close {
                 true => Err(Close),
                 false => Ok(None),
             },
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -126,12 +126,12 @@
 pub type Response = Option<hyper::Response<Full<Bytes>>>;
 
 /// Makes an answer with a JSON body.
-pub fn json(status: u16, body: &impl Serialize) -> Response {
-    raw(status, serde_json::to_vec(body).ok()?)
+pub fn json_response(status: u16, body: &impl Serialize) -> Response {
+    response(status, serde_json::to_vec(body).ok()?)
 }
 
 /// Makes an answer.
-pub fn raw(status: u16, body: impl Into<Bytes>) -> Response {
+pub fn response(status: u16, body: impl Into<Bytes>) -> Response {
     let answer = hyper::Response::builder().status(status);
     answer.body(Full::new(body.into())).ok()
 }
--- a/tests/support/worker.rs
+++ b/tests/support/worker.rs
@@ -47,8 +47,8 @@
 
 use super::{
     server::{
-        json,
-        raw,
+        json_response,
+        response,
         Request,
         Response,
         Server, //
@@ -84,7 +84,7 @@
 
 /// A task that began to run.
 #[derive(Debug, Clone)]
-pub struct Started {
+pub struct StartedTask {
     /// The name of the task.
     pub id: String,
     /// The attempt.
@@ -99,7 +99,7 @@
     /// Fail every task at its start.
     pub fail: bool,
     /// Stretch every sleep by this factor.
-    pub slow: f64,
+    pub sleep_factor: f64,
     /// Refuse new tasks and finish what is there.
     pub leaving: bool,
     /// Tasks that wait for a slot; more are refused.
@@ -110,7 +110,7 @@
     fn default() -> Self {
         Self {
             fail: false,
-            slow: 1.0,
+            sleep_factor: 1.0,
             leaving: false,
             queue: 1_024,
         }
@@ -158,7 +158,7 @@
     running: JoinSet<()>,
     load: Load,
     behaviour: Behaviour,
-    started: Vec<Started>,
+    started: Vec<StartedTask>,
     counters: Counters,
 }
 
@@ -215,13 +215,13 @@
         match (&request.method, parts.as_slice()) {
             (&Method::POST, ["tasks"]) => match serde_json::from_slice(&request.body) {
                 Ok(start) => self.start(start).await,
-                Err(error) => raw(400, error.to_string()),
+                Err(error) => response(400, error.to_string()),
             },
             (&Method::GET, ["tasks", attempt]) => self.look(attempt.parse().ok()?),
             (&Method::POST, ["tasks", attempt, "stop"]) => self.stop(attempt.parse().ok()?).await,
             // Not of the endpoint's interface: an example reads the counters this way.
-            (&Method::GET, ["counters"]) => json(200, &self.state().counters),
-            _ => raw(404, ""),
+            (&Method::GET, ["counters"]) => json_response(200, &self.state().counters),
+            _ => response(404, ""),
         }
     }
 
@@ -231,7 +231,7 @@
             Err(refusal) => refusal,
         };
         let refused = matches!(reply, Reply::NotStarted { .. });
-        json(if refused { 503 } else { 200 }, &reply)
+        json_response(if refused { 503 } else { 200 }, &reply)
     }
 
     /// Takes a start, or finds what an earlier one of the same attempt has led to.
@@ -303,7 +303,7 @@
         state.load.queued -= 1;
         state.load.running += 1;
         state.counters.ran += 1;
-        state.started.push(Started {
+        state.started.push(StartedTask {
             id: payload.id.clone(),
             attempt: start.attempt,
             at: Instant::now(),
@@ -319,7 +319,7 @@
             Some(None) => state.barred(),
             Some(Some(task)) => task.status(),
         };
-        json(200, &status)
+        json_response(200, &status)
     }
 
     async fn stop(&self, attempt: Attempt) -> Response {
@@ -329,11 +329,11 @@
             state.attempts.entry(attempt).or_insert(None).clone()
         };
         let Some(task) = known else {
-            return json(200, &self.state().barred());
+            return json_response(200, &self.state().barred());
         };
         task.stop.notify_one();
         let reply = task.ended().await?;
-        json(200, &Status::Ended { reply })
+        json_response(200, &Status::Ended { reply })
     }
 }
 
@@ -345,7 +345,7 @@
     if behaviour.fail {
         return Err("the worker fails everything".to_owned());
     }
-    let sleep = Duration::from_millis(payload.sleep_ms).mul_f64(behaviour.slow);
+    let sleep = Duration::from_millis(payload.sleep_ms).mul_f64(behaviour.sleep_factor);
     tokio::time::sleep(sleep).await;
     if payload.fail {
         return Err("the task fails".to_owned());
@@ -365,7 +365,7 @@
 /// # Panics
 ///
 /// Panics when the name or the data centre is no name.
-pub fn entry(name: &str, centre: &str) -> Entry {
+pub fn new_entry(name: &str, centre: &str) -> Entry {
     Entry {
         name: name.parse().expect("the name of a worker"),
         centre: centre.parse().expect("the name of a data centre"),
@@ -424,13 +424,13 @@
     }
 
     /// Switches its behaviour.
-    pub fn behave(&self, change: impl FnOnce(&mut Behaviour)) {
+    pub fn update_behaviour(&self, change: impl FnOnce(&mut Behaviour)) {
         change(&mut self.shared.state().behaviour);
     }
 
     /// Stops answering, or goes on; connections stay open.
-    pub fn freeze(&self, frozen: bool) {
-        self.shared.frozen.send_replace(frozen);
+    pub fn set_paused(&self, paused: bool) {
+        self.shared.frozen.send_replace(paused);
     }
 
     /// Ends listener, connections and tasks.
@@ -455,7 +455,7 @@
     }
 
     /// Returns the log of starts.
-    pub fn started(&self) -> Vec<Started> {
+    pub fn started_tasks(&self) -> Vec<StartedTask> {
         self.shared.state().started.clone()
     }
 
@@ -466,9 +466,9 @@
 }
 
 /// Counts the starts of each task, by name, over all workers.
-pub fn starts(workers: &[Worker]) -> HashMap<String, usize> {
+pub fn count_starts(workers: &[Worker]) -> HashMap<String, usize> {
     let mut starts = HashMap::new();
-    for started in workers.iter().flat_map(Worker::started) {
+    for started in workers.iter().flat_map(Worker::started_tasks) {
         *starts.entry(started.id).or_default() += 1;
     }
     starts
--- a/tests/trace/scenes.rs
+++ b/tests/trace/scenes.rs
@@ -19,7 +19,7 @@
     },
     store::Mood,
     support::{
-        until,
+        wait_until,
         Result, //
     },
 };
@@ -56,7 +56,7 @@
     async fn take(seen: String, id: u64, fleet: &Fleet, event: &str) -> Result<Self> {
         let job = format!("{id:016x}");
         let (event, field) = (format!("\"{event}\""), format!("\"{job}\""));
-        until("the log tells it", || async {
+        wait_until("the log tells it", || async {
             let logs = fleet.logs();
             let mut lines = logs.lines();
             lines
