--- a/src/caller.rs
+++ b/src/caller.rs
@@ -1,4 +1,4 @@
-//! The side towards callers and operators: an HTTP server.
+//! The HTTP server for callers and operators.
 
 use std::{
     cell::{
@@ -87,142 +87,145 @@
 mod admin;
 pub mod status;
 
-/// The header that carries the outcome of a job.
-const OUTCOME: &str = "poplarknot-outcome";
+/// The response header with the outcome of a job.
+const OUTCOME_HEADER: &str = "poplarknot-outcome";
 
-/// The header that carries the range that callers may take keys from.
-const RANGE: &str = "poplarknot-range";
+/// The response header with the range from which callers may draw keys.
+const RANGE_HEADER: &str = "poplarknot-range";
 
-/// The header by which a caller says that it never sent the key before.
-const FIRST: &str = "poplarknot-first";
+/// The request header by which a caller states that it hasn't sent the key before.
+const FIRST_HEADER: &str = "poplarknot-first";
 
-/// How often the end looks for connections that are still open.
-const FLUSH: Duration = Duration::from_millis(5);
+/// Interval between two checks for open connections at shutdown.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a connection beyond the bound gets. Its request is not read, so nothing more can be said of it.
-const OVERLOADED: &str = "{\"outcome\":\"unknown\",\"reason\":\"busy\",\
+/// The body sent to a connection above the limit. Its request isn't read, so the outcome is unknown.
+const OVERLOAD_BODY: &str = "{\"outcome\":\"unknown\",\"reason\":\"busy\",\
     \"detail\":\"too many connections; nothing was read\",\"retry_after_ms\":500}";
 
-/// How long the rejection of a connection beyond the bound may take.
+/// Time limit for the rejection of one connection above the limit.
 const REJECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Connections beyond the bound that are rejected at once with an answer; any more are closed.
-const REJECTIONS: usize = 64;
+/// Connections above the limit that are answered at the same time; any more are closed without an answer.
+const MAX_REJECTING: usize = 64;
 
 type Reply = Response<Full<Bytes>>;
 
-/// What the callers' thread needs of the rest.
+/// What the server needs from the rest of the instance.
 pub struct Context {
     /// The settings.
     pub settings: Arc<Settings>,
     /// The metrics.
     pub metrics: Arc<Metrics>,
-    /// What the decisions show.
+    /// The state that the decision thread publishes.
     pub status: Arc<decision::Status>,
-    /// Turns true when the instance has drained.
-    pub ended: watch::Receiver<bool>,
+    /// Becomes true when the instance has drained and its threads are to end.
+    pub shutdown: watch::Receiver<bool>,
 }
 
-/// What all connections share.
+/// State shared by all connections.
 struct Shared {
     context: Context,
     operators: admin::Operators,
-    back: ring::Sender<Input>,
-    serial: Cell<u64>,
-    connections: Cell<usize>,
-    waiting: RefCell<HashMap<message::Request, oneshot::Sender<Output>>>,
+    inputs: ring::Sender<Input>,
+    last_request: Cell<u64>,
+    open_connections: Cell<usize>,
+    /// Requests without an answer yet.
+    waiters: RefCell<HashMap<message::Request, oneshot::Sender<Output>>>,
 }
 
-/// Serves callers until the decisions end.
+/// Serves callers until the decision thread ends, then waits until the last answers are sent.
 pub async fn serve(
     context: Context,
     listener: TcpListener,
-    mut answers: ring::Receiver<Output>,
-    back: ring::Sender<Input>,
+    mut outputs: ring::Receiver<Output>,
+    inputs: ring::Sender<Input>,
 ) {
     let operators = admin::Operators::new(&context.settings.operators);
     let shared = Rc::new(Shared {
         context,
         operators,
-        back,
-        serial: Cell::new(0),
-        connections: Cell::new(0),
-        waiting: RefCell::default(),
+        inputs,
+        last_request: Cell::new(0),
+        open_connections: Cell::new(0),
+        waiters: RefCell::default(),
     });
-    let acceptor = spawn_local(accept(shared.clone(), listener));
-    while let Some(output) = answers.next().await {
+    let acceptor = spawn_local(accept_connections(shared.clone(), listener));
+    while let Some(output) = outputs.next().await {
         shared.deliver(output);
     }
     acceptor.abort();
-    shared.finish().await;
+    shared.wait_for_connections().await;
 }
 
-async fn accept(shared: Rc<Shared>, listener: TcpListener) {
+/// Accepts connections until the task is aborted.
+async fn accept_connections(shared: Rc<Shared>, listener: TcpListener) {
     loop {
         match listener.accept().await {
-            Ok((stream, from)) => shared.clone().connect(stream, from),
-            // Out of file descriptors, most likely: they come back as connections end.
+            Ok((stream, from)) => shared.clone().spawn_connection(stream, from),
+            // Most likely out of file descriptors, which closing connections free.
             Err(_) => sleep(Duration::from_millis(10)).await,
         }
     }
 }
 
 impl Shared {
-    /// Waits until every connection has sent its last answer.
+    /// Waits until every connection has sent its last answer, or for the receive timeout.
     ///
-    /// The answers of the last jobs arrive together with the end of the drain. If the thread ended there, their
-    /// callers would see the connection close and never learn what became of them. No connection takes a new
-    /// request by now, and one that is still being received is refused, so each ends after its answer.
-    async fn finish(&self) {
-        self.waiting.borrow_mut().clear();
-        let ended = async {
-            while self.connections.get() > 0 {
-                sleep(FLUSH).await;
+    /// The last answers arrive together with the end of the drain. If the thread ended at once, their callers would
+    /// see the connection close and never learn the outcome. Connections take no new request by now, and a request
+    /// that is still being received is refused.
+    async fn wait_for_connections(&self) {
+        self.waiters.borrow_mut().clear();
+        let closed = async {
+            while self.open_connections.get() > 0 {
+                sleep(CLOSE_POLL_INTERVAL).await;
             }
         };
-        timeout(self.context.settings.timing.receive.duration(), ended)
+        timeout(self.context.settings.timing.receive.duration(), closed)
             .await
             .ok();
     }
 
-    /// Serves a connection, unless there are too many.
-    fn connect(self: Rc<Self>, stream: TcpStream, from: SocketAddr) {
-        let bound = self.context.settings.limits.connections;
-        let open = self.connections.get();
-        if open >= bound + REJECTIONS {
+    /// Serves a connection on a task of its own; rejects or closes it above the connection limit.
+    fn spawn_connection(self: Rc<Self>, stream: TcpStream, from: SocketAddr) {
+        let limit = self.context.settings.limits.connections;
+        let open = self.open_connections.get();
+        if open >= limit + MAX_REJECTING {
             return;
         }
-        self.connections.set(open + 1);
+        self.open_connections.set(open + 1);
         spawn_local(async move {
-            if open < bound {
+            if open < limit {
                 self.serve_connection(stream, from).await;
             } else {
                 timeout(REJECT_TIMEOUT, reject(stream)).await.ok();
             }
-            self.connections.set(self.connections.get() - 1);
+            self.open_connections.set(self.open_connections.get() - 1);
         });
     }
 
-    /// Hands an answer to the connection that waits for it.
+    /// Sends an output to the request that waits for it.
     fn deliver(&self, output: Output) {
         let request = match &output {
             Output::Answer(request, _) | Output::Report(request, _) => *request,
             _ => return,
         };
-        // A caller that hung up has taken its receiver along.
-        if let Some(waiter) = self.waiting.borrow_mut().remove(&request) {
+        // The receiver is gone if the caller has disconnected.
+        if let Some(waiter) = self.waiters.borrow_mut().remove(&request) {
             waiter.send(output).ok();
         }
     }
 
+    /// Serves the requests of a connection until it closes or the instance shuts down.
     async fn serve_connection(self: &Rc<Self>, stream: TcpStream, from: SocketAddr) {
         stream.set_nodelay(true).ok();
         let settings = &self.context.settings;
         let service = service_fn(|request| {
             let shared = self.clone();
-            async move { Ok::<_, std::convert::Infallible>(shared.answer(request, from).await) }
+            async move { Ok::<_, std::convert::Infallible>(shared.route(request, from).await) }
         });
-        let mut ended = self.context.ended.clone();
+        let mut shutdown = self.context.shutdown.clone();
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(settings.timing.receive.duration())
@@ -230,24 +233,25 @@
             .serve_connection(TokioIo::new(stream), service);
         tokio::pin!(connection);
         tokio::select! {
-            // A caller that breaks the protocol or hangs up ends its connection, which concerns nobody else.
+            // A protocol error or a disconnect ends this connection only.
             _ = connection.as_mut() => return,
-            _ = ended.wait_for(|ended| *ended) => {}
+            _ = shutdown.wait_for(|shutdown| *shutdown) => {}
         }
         connection.as_mut().graceful_shutdown();
         connection.await.ok();
     }
 
-    async fn answer(self: Rc<Self>, request: Request<Incoming>, from: SocketAddr) -> Reply {
+    /// Answers a request by its method and path.
+    async fn route(self: Rc<Self>, request: Request<Incoming>, from: SocketAddr) -> Reply {
         let path = request.uri().path().to_owned();
         let parts: Vec<_> = path.split('/').skip(1).collect();
         match (request.method(), &parts[..]) {
             (&Method::POST, ["v1", "jobs"]) => self.submit(request).await,
-            (&Method::GET, ["v1", "jobs", team, key]) => self.find(team, key, false).await,
-            (&Method::DELETE, ["v1", "jobs", team, key]) => self.find(team, key, true).await,
+            (&Method::GET, ["v1", "jobs", team, key]) => self.find_job(team, key, false).await,
+            (&Method::DELETE, ["v1", "jobs", team, key]) => self.find_job(team, key, true).await,
             (&Method::GET, ["v1", "range"]) => {
                 let range = lock(&self.context.status.range).clone();
-                json(StatusCode::OK, format!("{{\"range\":\"{range}\"}}"))
+                json_reply(StatusCode::OK, format!("{{\"range\":\"{range}\"}}"))
             }
             (&Method::GET, ["metrics"]) => {
                 let text = self.context.metrics.render().unwrap_or_default();
@@ -256,39 +260,41 @@
                 reply.headers_mut().insert(CONTENT_TYPE, kind);
                 reply
             }
-            (&Method::GET, ["healthz"]) => json(StatusCode::OK, "{\"healthy\":true}"),
+            (&Method::GET, ["healthz"]) => json_reply(StatusCode::OK, "{\"healthy\":true}"),
             (&Method::GET, ["readyz"]) => self.readiness(),
             (_, ["v1", "records" | "audit" | "instances", ..]) => {
                 self.administer(request, from).await
             }
-            (_, ["v1", "jobs" | "range", ..] | ["metrics" | "healthz" | "readyz"]) => problem(
+            (_, ["v1", "jobs" | "range", ..] | ["metrics" | "healthz" | "readyz"]) => error_reply(
                 StatusCode::METHOD_NOT_ALLOWED,
                 "this path has no such method",
             ),
-            _ => problem(
+            _ => error_reply(
                 StatusCode::NOT_FOUND,
                 "there is no such path; see docs/API.md",
             ),
         }
     }
 
+    /// Answers a readiness probe.
     fn readiness(&self) -> Reply {
         if self.context.status.ready.load(Ordering::Acquire) {
-            json(StatusCode::OK, "{\"ready\":true}")
+            json_reply(StatusCode::OK, "{\"ready\":true}")
         } else {
-            json(StatusCode::SERVICE_UNAVAILABLE, "{\"ready\":false}")
+            json_reply(StatusCode::SERVICE_UNAVAILABLE, "{\"ready\":false}")
         }
     }
 
+    /// Submits a job and waits for its answer.
     async fn submit(&self, request: Request<Incoming>) -> Reply {
         let first = request
             .headers()
-            .get(FIRST)
+            .get(FIRST_HEADER)
             .is_some_and(|value| value == "true");
-        let body = match self.body(request).await {
+        let body = match self.read_body(request).await {
             Ok(body) => body,
             Err(mut answer) => {
-                // The key is in the part that never came, and may have run under an earlier request.
+                // The key may be in the missing part, and an earlier request with it may have run.
                 if answer.reason == Reason::Incomplete && !first {
                     answer.outcome = Outcome::Unknown;
                 }
@@ -305,7 +311,7 @@
         let key = submission.key.clone();
         let bytes = body.len();
         let digest = Digest::of(&body);
-        let answer = self.ask(|request| Input::Submit {
+        let answer = self.send_input(|request| Input::Submit {
             request,
             submission,
             digest,
@@ -314,9 +320,9 @@
         });
         match answer.await {
             Some(Output::Answer(_, answer)) => self.reply(&answer),
-            // This request started nothing, but its key may have run under an earlier one.
+            // This request started nothing, but an earlier one with its key may have run.
             _ => {
-                let mut answer = self.not_taken();
+                let mut answer = self.refusal();
                 if key.is_some() && !first {
                     answer.outcome = Outcome::Unknown;
                 }
@@ -325,24 +331,29 @@
         }
     }
 
-    /// Refuses a request that the decisions never took.
-    fn not_taken(&self) -> Answer {
-        if *self.context.ended.borrow() {
-            let detail = "this instance has ended; try another";
+    /// Returns the refusal of a request that didn't reach the decision thread.
+    fn refusal(&self) -> Answer {
+        if *self.context.shutdown.borrow() {
+            let detail = "this instance has shut down; try another one";
             return Answer::refusal(Reason::Draining, detail).with_retry(Span::millis(50));
         }
         self.context.metrics.ring_refused();
         Event::new(Code::RingFull, "from the callers").log();
-        Answer::refusal(Reason::Busy, "the instance has no room").with_retry(Span::millis(500))
+        Answer::refusal(Reason::Busy, "the instance is overloaded").with_retry(Span::millis(500))
     }
 
-    async fn find(&self, team: &str, key: &str, cancel: bool) -> Reply {
+    /// Returns the answer to a job, after cancelling it if `cancel` is set.
+    async fn find_job(&self, team: &str, key: &str, cancel: bool) -> Reply {
         let (team, key) = match (team.parse::<Team>(), key.parse::<Key>()) {
             (Ok(team), Ok(key)) => (team, key),
-            (Err(fault), _) => return problem(StatusCode::BAD_REQUEST, &format!("team: {fault}")),
-            (_, Err(fault)) => return problem(StatusCode::BAD_REQUEST, &format!("key: {fault}")),
+            (Err(fault), _) => {
+                return error_reply(StatusCode::BAD_REQUEST, &format!("team: {fault}"))
+            }
+            (_, Err(fault)) => {
+                return error_reply(StatusCode::BAD_REQUEST, &format!("key: {fault}"))
+            }
         };
-        let answer = self.ask(|request| {
+        let answer = self.send_input(|request| {
             if cancel {
                 Input::Cancel { request, team, key }
             } else {
@@ -351,24 +362,28 @@
         });
         match answer.await {
             Some(Output::Answer(_, answer)) => self.reply(&answer),
-            _ => problem(StatusCode::SERVICE_UNAVAILABLE, "the instance has no room"),
+            _ => error_reply(
+                StatusCode::SERVICE_UNAVAILABLE,
+                "the instance is overloaded or has shut down",
+            ),
         }
     }
 
-    /// Puts an input to the decisions and waits for what comes of it; none where the ring is full or has ended.
-    async fn ask(&self, input: impl FnOnce(message::Request) -> Input) -> Option<Output> {
-        if *self.context.ended.borrow() {
+    /// Sends an input to the decision thread and waits for its output. Returns `None` if the ring is full or the
+    /// instance has shut down.
+    async fn send_input(&self, input: impl FnOnce(message::Request) -> Input) -> Option<Output> {
+        if *self.context.shutdown.borrow() {
             return None;
         }
-        self.serial.set(self.serial.get() + 1);
-        let request = message::Request(self.serial.get());
+        self.last_request.set(self.last_request.get() + 1);
+        let request = message::Request(self.last_request.get());
         let (sender, receiver) = oneshot::channel();
-        self.waiting.borrow_mut().insert(request, sender);
+        self.waiters.borrow_mut().insert(request, sender);
         let waiter = Waiter {
             shared: self,
             request,
         };
-        if self.back.push(input(request)).is_err() {
+        if self.inputs.push(input(request)).is_err() {
             return None;
         }
         let output = receiver.await.ok();
@@ -376,16 +391,16 @@
         output
     }
 
-    /// Reads the whole body of a request, within its bounds of size and time.
-    async fn body(&self, request: Request<Incoming>) -> Result<Bytes, Answer> {
-        let bound = self.context.settings.limits.body;
-        let wait = self.context.settings.timing.receive;
-        let body = Limited::new(request.into_body(), bound).collect();
-        match timeout(wait.duration(), body).await {
+    /// Reads the whole body of a request, within the limits of size and time.
+    async fn read_body(&self, request: Request<Incoming>) -> Result<Bytes, Answer> {
+        let limit = self.context.settings.limits.body;
+        let allowed = self.context.settings.timing.receive;
+        let body = Limited::new(request.into_body(), limit).collect();
+        match timeout(allowed.duration(), body).await {
             Ok(Ok(body)) => Ok(body.to_bytes()),
             Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Answer::refusal(
                 Reason::TooLarge,
-                format!("body: more than the {bound} bytes allowed"),
+                format!("body: exceeds the limit of {limit} bytes"),
             )),
             Ok(Err(error)) => Err(Answer::refusal(
                 Reason::Incomplete,
@@ -393,48 +408,49 @@
             )),
             Err(_) => Err(Answer::refusal(
                 Reason::Incomplete,
-                format!("body: not received within {wait}"),
+                format!("body: not received within {allowed}"),
             )),
         }
     }
 
+    /// Returns the HTTP response with an answer.
     fn reply(&self, answer: &Answer) -> Reply {
-        let status = StatusCode::from_u16(status::of(answer.reason)).unwrap_or_default();
+        let status = StatusCode::from_u16(status::for_reason(answer.reason)).unwrap_or_default();
         let body = serde_json::to_vec(answer).unwrap_or_default();
-        let mut reply = json(status, body);
+        let mut reply = json_reply(status, body);
         let headers = reply.headers_mut();
-        let mut put = |name: &'static str, value: String| {
+        let mut set = |name: &'static str, value: String| {
             if let Ok(value) = value.parse() {
                 headers.insert(name, value);
             }
         };
-        put(OUTCOME, answer.outcome.to_string());
-        put(RANGE, lock(&self.context.status.range).clone());
+        set(OUTCOME_HEADER, answer.outcome.to_string());
+        set(RANGE_HEADER, lock(&self.context.status.range).clone());
         if let Some(retry) = answer.retry {
             let seconds = retry.as_millis().div_ceil(1_000);
-            put(RETRY_AFTER.as_str(), seconds.to_string());
+            set(RETRY_AFTER.as_str(), seconds.to_string());
         }
         reply
     }
 }
 
-/// Rejects a connection beyond the bound.
+/// Rejects a connection above the limit.
 async fn reject(mut stream: TcpStream) {
-    let mut seen = [0; 1024];
-    // What has come is taken first: closing over unread bytes would reset the connection under the answer.
-    if stream.read(&mut seen).await.is_err() {
+    let mut buffer = [0; 1024];
+    // Closing with unread bytes would reset the connection before the caller reads the answer.
+    if stream.read(&mut buffer).await.is_err() {
         return;
     }
     let reply = format!(
-        "HTTP/1.1 503 Service Unavailable\r\ncontent-type: application/json\r\n{OUTCOME}: unknown\r\n\
-         retry-after: 1\r\nconnection: close\r\ncontent-length: {}\r\n\r\n{OVERLOADED}",
-        OVERLOADED.len()
+        "HTTP/1.1 503 Service Unavailable\r\ncontent-type: application/json\r\n{OUTCOME_HEADER}: unknown\r\n\
+         retry-after: 1\r\nconnection: close\r\ncontent-length: {}\r\n\r\n{OVERLOAD_BODY}",
+        OVERLOAD_BODY.len()
     );
     stream.write_all(reply.as_bytes()).await.ok();
     stream.shutdown().await.ok();
 }
 
-/// A request that waits; when it is dropped before its answer, the caller has hung up.
+/// A request without an answer yet. Its drop before the answer means that the caller has disconnected.
 struct Waiter<'a> {
     shared: &'a Shared,
     request: message::Request,
@@ -442,15 +458,15 @@
 
 impl Drop for Waiter<'_> {
     fn drop(&mut self) {
-        let waiting = self.shared.waiting.borrow_mut().remove(&self.request);
-        if waiting.is_some() {
-            // Where the ring is full the job merely goes on, as it does with a key.
-            self.shared.back.push(Input::Hangup(self.request)).ok();
+        let waiter = self.shared.waiters.borrow_mut().remove(&self.request);
+        if waiter.is_some() {
+            // If the ring is full, the job runs on, as one with a key does.
+            self.shared.inputs.push(Input::Hangup(self.request)).ok();
         }
     }
 }
 
-fn json(status: StatusCode, body: impl Into<Bytes>) -> Reply {
+fn json_reply(status: StatusCode, body: impl Into<Bytes>) -> Reply {
     let mut reply = Response::new(Full::new(body.into()));
     *reply.status_mut() = status;
     let kind = HeaderValue::from_static("application/json");
@@ -458,12 +474,12 @@
     reply
 }
 
-/// Makes a reply that says what is wrong; the path or method never reached the decisions.
-fn problem(status: StatusCode, detail: &str) -> Reply {
-    json(status, serde_json::json!({ "detail": detail }).to_string())
+/// Returns a reply with an error that was found before the decision thread was involved.
+fn error_reply(status: StatusCode, detail: &str) -> Reply {
+    json_reply(status, serde_json::json!({ "detail": detail }).to_string())
 }
 
-fn report(report: &Report) -> Reply {
+fn report_reply(report: &Report) -> Reply {
     let status = StatusCode::from_u16(report.status()).unwrap_or_default();
-    json(status, report.body())
+    json_reply(status, report.body())
 }
--- a/src/caller/status.rs
+++ b/src/caller/status.rs
@@ -1,9 +1,9 @@
-//! The HTTP status of each answer.
+//! HTTP status codes of answers.
 
 use crate::prelude::*;
 
-/// Returns the HTTP status of an answer with this reason.
-pub fn of(reason: Reason) -> u16 {
+/// Returns the HTTP status code of an answer with this reason.
+pub fn for_reason(reason: Reason) -> u16 {
     match reason {
         Reason::Done => 200,
         Reason::Running => 202,
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -153,7 +153,7 @@
         settings: settings.clone(),
         metrics: metrics.clone(),
         status: status.clone(),
-        ended: ended.clone(),
+        shutdown: ended.clone(),
     };
     let (s, m) = (settings.clone(), metrics.clone());
     let (s2, m2) = (settings.clone(), metrics.clone());
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -648,7 +648,7 @@
     ];
     let interface = include_str!("../docs/API.md");
     for (reason, expected) in statuses {
-        assert_eq!(status::of(reason), expected, "{reason}");
+        assert_eq!(status::for_reason(reason), expected, "{reason}");
         let row = format!("| `{reason}` | {expected} |");
         assert!(interface.contains(&row), "{row}");
     }
