--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command-line interface.
 
 mod admin;
 mod audit;
@@ -37,11 +37,11 @@
 Commands:
     serve     Runs an instance
     dispatch  Runs an instance on the platform, by the platform's own settings file
-    check     Checks a settings file and names every fault
+    check     Checks a settings file and lists every fault
     submit    Submits a burst and prints its answer
     record    Submits, amends, withdraws and shows configuration records
     audit     Shows who changed the configuration, when and how
-    trace     Tells a job's story from the logs of 'dispatch'
+    trace     Shows the history of a job from the logs of 'dispatch'
 
 Options:
     -h, --help       Prints this help, or that of a command
@@ -49,22 +49,22 @@
 
 Exit codes: 0 done, 1 failed at run time, 2 wrong usage, 3 wrong settings;
 of submit: 0 complete, 4 failed, 5 not run, 6 unknown;
-of record and audit: 5 no instance could be asked, 6 a change may be in force or not.
+of record and audit: 5 no instance could be reached, 6 a change may be in force or not.
 ";
 
-/// Runs the command that the arguments name, those after the program's name.
+/// Runs the command that the arguments name. The program's own name isn't among them.
 ///
-/// An error is printed on standard error, once.
+/// Prints an error on standard error.
 pub fn run(args: impl IntoIterator<Item = String>) -> ExitCode {
     let args: Vec<String> = args.into_iter().collect();
-    let exit = choose(&args).unwrap_or_else(|error| {
+    let exit = run_command(&args).unwrap_or_else(|error| {
         eprintln!("poplarknot: {error}");
         Exit::from(&error)
     });
     exit.into()
 }
 
-fn choose(args: &[String]) -> Result<Exit, Error> {
+fn run_command(args: &[String]) -> Result<Exit, Error> {
     let Some((command, rest)) = args.split_first() else {
         return Err(Error::Usage("no command is given".to_owned()));
     };
@@ -78,11 +78,11 @@
         "record" => record::run(rest),
         "audit" => audit::run(rest),
         "trace" => trace::run(rest),
-        other => Err(Error::Usage(format!("there is no command '{other}'"))),
+        other => Err(Error::Usage(format!("unknown command '{other}'"))),
     }
 }
 
-/// Prints on standard output. A reader that has gone away, as in `poplarknot --help | head`, is no error.
+/// Prints on standard output. A closed pipe, as in `poplarknot --help | head`, isn't an error.
 fn print(text: &str) -> Result<Exit, Error> {
     let mut output = io::stdout().lock();
     let written = output
@@ -97,7 +97,7 @@
     }
 }
 
-/// What one command takes.
+/// The usage text and the options of one command.
 struct Syntax {
     brief: &'static str,
     options: Options,
@@ -111,7 +111,7 @@
         Self { brief, options }
     }
 
-    /// Parses the arguments; none where the help was asked for and has been printed.
+    /// Parses the arguments. Prints the help and returns `None` if it's asked for.
     fn parse(&self, args: &[String]) -> Result<Option<Matches>, Error> {
         let matches = self.options.parse(args);
         let matches = matches.map_err(|e| Error::Usage(e.to_string()))?;
@@ -123,13 +123,11 @@
     }
 }
 
-/// Returns the only free argument.
-fn only(mut free: Vec<String>, what: &str) -> Result<String, Error> {
+/// Returns the only positional argument; `what` names it in errors.
+fn single_argument(mut free: Vec<String>, what: &str) -> Result<String, Error> {
     match (free.pop(), free.pop()) {
         (Some(argument), None) => Ok(argument),
         (None, _) => Err(Error::Usage(format!("{what} is missing"))),
-        (Some(second), Some(_)) => {
-            Err(Error::Usage(format!("'{second}' is one argument too many")))
-        }
+        (Some(second), Some(_)) => Err(Error::Usage(format!("unexpected argument '{second}'"))),
     }
 }
--- a/src/cli/admin.rs
+++ b/src/cli/admin.rs
@@ -1,4 +1,4 @@
-//! The client of the administration API.
+//! The client of the HTTP API for operators.
 
 use std::{
     fs,
@@ -15,7 +15,7 @@
 
 use super::{
     client::{
-        address_option,
+        add_address_option,
         addresses,
         Call,
         Failure, //
@@ -29,44 +29,44 @@
     prelude::*, //
 };
 
-/// The variable that holds the token where there is no file.
+/// The environment variable with the token, read if no file is given.
 const TOKEN_VARIABLE: &str = "POPLARKNOT_TOKEN";
 
-/// The header that names the change, so that a repeated request is one change.
+/// The request header with the id of a change, so that a retry doesn't apply it twice.
 const OPERATION_HEADER: &str = "poplarknot-operation";
 
-/// How often a request is sent before giving up.
-const ATTEMPTS: usize = 3;
+/// Attempts to send a request; more if there are more addresses.
+const MIN_ATTEMPTS: usize = 3;
 
-/// Before the second attempt; each further wait is twice as long.
-const BACKOFF: Duration = Duration::from_millis(200);
+/// Delay before the first address is tried again; it doubles with each further attempt.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
 
-/// How long to wait for each answer.
-const WAIT: Duration = Duration::from_secs(15);
+/// Time limit for each answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What an operator asks of the administration API.
-pub(super) struct Ask {
+/// A request to the API for operators.
+pub(super) struct AdminRequest {
     pub(super) method: Method,
     pub(super) path: String,
     pub(super) body: Bytes,
-    /// The change that it is; none where it only reads.
+    /// The id of the change; `None` for a read.
     pub(super) operation: Option<Operation>,
 }
 
-/// Adds the options of every administration command.
-pub(super) fn options(options: &mut Options) {
-    address_option(options);
+/// Adds the options that all commands for operators share.
+pub(super) fn add_options(options: &mut Options) {
+    add_address_option(options);
     let brief = format!("Reads the operator's token from FILE [the variable {TOKEN_VARIABLE}]");
     options.optopt("", "token-file", &brief, "FILE");
 }
 
-/// Draws an operation.
-pub(super) fn draw() -> Operation {
+/// Returns a random id for a change.
+pub(super) fn random_operation() -> Operation {
     Operation(rand::rng().random())
 }
 
-impl Ask {
-    /// Makes a question that changes nothing.
+impl AdminRequest {
+    /// Returns a request that only reads.
     pub(super) fn get(path: String) -> Self {
         Self {
             method: Method::GET,
@@ -76,9 +76,13 @@
         }
     }
 
-    /// Asks, and prints the answer.
+    /// Sends the request and prints the answer.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no instance answers or if the answer isn't a success.
     pub(super) async fn run(self, matches: &Matches) -> Result<Exit, Error> {
-        let call = self.call(&token(matches)?);
+        let call = self.build_call(&read_token(matches)?);
         let reply = self.send(&call, &addresses(matches)).await?;
         let text = String::from_utf8_lossy(&reply.body);
         if !reply.status.is_success() {
@@ -90,7 +94,7 @@
         print(&format!("{}\n", text.trim_end()))
     }
 
-    fn call(&self, token: &str) -> Call {
+    fn build_call(&self, token: &str) -> Call {
         let mut headers = vec![("authorization", format!("Bearer {token}"))];
         if let Some(operation) = self.operation {
             headers.push((OPERATION_HEADER, operation.to_string()));
@@ -103,29 +107,29 @@
             path: self.path.clone(),
             headers,
             body: self.body.clone(),
-            wait: WAIT,
+            timeout: ANSWER_TIMEOUT,
         }
     }
 
-    /// Sends the request until an instance decides it.
+    /// Sends the request until an instance gives a final answer or the attempts run out.
     ///
-    /// Repeating a change is safe: its operation is drawn once, and an instance that finds it done says so
-    /// without doing it again.
+    /// A retry of a change is safe: all attempts carry the same operation id, and an instance doesn't apply an id
+    /// twice.
     async fn send(&self, call: &Call, addresses: &[String]) -> Result<Reply, Error> {
-        let attempts = ATTEMPTS.max(addresses.len());
-        let mut backoff = BACKOFF;
+        let attempts = MIN_ATTEMPTS.max(addresses.len());
+        let mut backoff = INITIAL_BACKOFF;
         let mut failures = Vec::new();
         let mut lost = false;
-        let mut undecided = None;
+        let mut retryable = None;
         for (i, address) in addresses.iter().cycle().take(attempts).enumerate() {
-            // The first round goes to instances not asked yet, which needs no wait.
+            // Each address is tried once before the first delay.
             if i >= addresses.len() {
                 tokio::time::sleep(backoff).await;
                 backoff *= 2;
             }
             match call.send(address).await {
-                Ok(reply) if decided(&reply) => return Ok(reply),
-                Ok(reply) => undecided = Some(reply),
+                Ok(reply) if is_final(&reply) => return Ok(reply),
+                Ok(reply) => retryable = Some(reply),
                 Err(Failure::Unsent(why)) => failures.push(why),
                 Err(Failure::Lost(why)) => {
                     failures.push(why);
@@ -133,8 +137,8 @@
                 }
             }
         }
-        match (self.operation.filter(|_| lost), undecided) {
-            (Some(operation), _) => Err(Error::Unsettled {
+        match (self.operation.filter(|_| lost), retryable) {
+            (Some(operation), _) => Err(Error::ChangeUnknown {
                 operation,
                 failures,
             }),
@@ -144,12 +148,12 @@
     }
 }
 
-/// Tells whether another attempt can't change the reply.
-fn decided(reply: &Reply) -> bool {
+/// Tells whether a retry can't change the reply.
+fn is_final(reply: &Reply) -> bool {
     !reply.status.is_server_error() && reply.status.as_u16() != 429
 }
 
-fn token(matches: &Matches) -> Result<String, Error> {
+fn read_token(matches: &Matches) -> Result<String, Error> {
     let token = match matches.opt_str("token-file") {
         Some(path) => fs::read_to_string(&path).map_err(|source| Error::Read { path, source })?,
         None => std::env::var(TOKEN_VARIABLE).map_err(|_| {
@@ -159,10 +163,10 @@
         })?,
     };
     let token = token.trim();
-    // The token itself is never shown.
+    // The error doesn't contain the token, since it may end up in a log.
     if token.is_empty() || !token.bytes().all(|b| b.is_ascii_graphic()) {
         return Err(Error::Usage(
-            "the token is empty or holds a character that no token has".to_owned(),
+            "the token is empty or contains a space or an unprintable character".to_owned(),
         ));
     }
     Ok(token.to_owned())
--- a/src/cli/audit.rs
+++ b/src/cli/audit.rs
@@ -5,11 +5,11 @@
 use super::{
     admin::{
         self,
-        Ask, //
+        AdminRequest, //
     },
     client::{
         block_on,
-        option, //
+        parse_option, //
     },
     exit::Exit,
     record::Target,
@@ -28,31 +28,31 @@
 pub(super) fn run(args: &[String]) -> Result<Exit, Error> {
     let mut syntax = Syntax::new(BRIEF);
     let options = &mut syntax.options;
-    admin::options(options);
+    admin::add_options(options);
     options.optopt("", "record", "Only changes of this record", "KIND/NAME");
     options.optopt("", "from", "Only changes at this time and later", "MS");
     options.optopt("", "until", "Only changes until this time", "MS");
     options.optopt(
         "",
         "after",
-        "Goes on after MARK, as the last answer told",
+        "Continues after MARK, as given by the last answer",
         "MARK",
     );
     let Some(matches) = syntax.parse(args)? else {
         return Ok(Exit::Success);
     };
     if let Some(stray) = matches.free.first() {
-        return Err(Error::Usage(format!("'{stray}' is one argument too many")));
+        return Err(Error::Usage(format!("unexpected argument '{stray}'")));
     }
-    let ask = Ask::get(path(&matches)?);
-    block_on(ask.run(&matches))?
+    let request = AdminRequest::get(build_path(&matches)?);
+    block_on(request.run(&matches))?
 }
 
-fn path(matches: &Matches) -> Result<String, Error> {
-    let record: Option<Target> = option(matches, "record")?;
-    let from: Option<u64> = option(matches, "from")?;
-    let to: Option<u64> = option(matches, "until")?;
-    let after: Option<Key> = option(matches, "after")?;
+fn build_path(matches: &Matches) -> Result<String, Error> {
+    let record: Option<Target> = parse_option(matches, "record")?;
+    let from: Option<u64> = parse_option(matches, "from")?;
+    let to: Option<u64> = parse_option(matches, "until")?;
+    let after: Option<Key> = parse_option(matches, "after")?;
     let record = record.map(|r| format!("record={r}"));
     let from = from.map(|ms| format!("from={ms}"));
     let to = to.map(|ms| format!("to={ms}"));
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,9 +1,9 @@
-//! `poplarknot check`: names every fault of a settings file.
+//! `poplarknot check`: lists every fault of a settings file.
 
 use super::{
     exit::Exit,
-    only,
     print,
+    single_argument,
     Syntax, //
 };
 use crate::{
@@ -13,12 +13,12 @@
 
 pub(super) fn run(args: &[String]) -> Result<Exit, Error> {
     let syntax = Syntax::new(
-        "Usage: poplarknot check FILE\n\nChecks a settings file and names every fault.",
+        "Usage: poplarknot check FILE\n\nChecks a settings file and lists every fault.",
     );
     let Some(matches) = syntax.parse(args)? else {
         return Ok(Exit::Success);
     };
-    let path = only(matches.free, "FILE")?;
+    let path = single_argument(matches.free, "FILE")?;
     Settings::load(&path)?;
     print(&format!("{path}: no faults\n"))
 }
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -1,4 +1,4 @@
-//! The client side of the commands: one request at a time over a fresh connection.
+//! The HTTP client of the commands. Each request has a connection of its own.
 
 use std::{
     fs,
@@ -31,54 +31,56 @@
     },
 };
 
-/// Where an instance of the shipped settings file listens.
-const ADDRESS: &str = "127.0.0.1:7400";
+/// The address of an instance with the shipped settings file.
+const DEFAULT_ADDRESS: &str = "127.0.0.1:7400";
 
-/// How long to wait for a connection.
-const CONNECT: Duration = Duration::from_secs(3);
+/// Time limit for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The largest answer that is taken, in bytes.
-const LARGEST_ANSWER: usize = 256 << 20;
+/// Size limit of an answer's body, in bytes.
+const MAX_ANSWER_BYTES: usize = 256 << 20;
 
-/// The name that stands for standard input.
+/// The file name that stands for standard input.
 pub(super) const STANDARD_INPUT: &str = "-";
 
-/// A request to any instance.
+/// A request that can be sent to any instance.
 #[derive(Debug, Clone)]
 pub(super) struct Call {
     pub(super) method: Method,
     pub(super) path: String,
     pub(super) headers: Vec<(&'static str, String)>,
     pub(super) body: Bytes,
-    /// How long to wait for the whole answer.
-    pub(super) wait: Duration,
+    /// Time limit for the whole answer.
+    pub(super) timeout: Duration,
 }
 
-/// Why there is no reply.
+/// Why a request got no reply.
 #[derive(Debug)]
 pub(super) enum Failure {
-    /// No byte of the request left.
+    /// No byte of the request was sent.
     Unsent(String),
-    /// The request may have arrived.
+    /// The request may have arrived at the instance.
     Lost(String),
 }
 
 impl Call {
-    /// Sends the request to one address.
+    /// Sends the request to one address and waits for the reply.
     pub(super) async fn send(&self, address: &str) -> Result<Reply, Failure> {
-        let connection = Connection::open_within(CONNECT, LARGEST_ANSWER, address).await;
+        let connection = Connection::open_within(CONNECT_TIMEOUT, MAX_ANSWER_BYTES, address).await;
         let mut connection = connection.map_err(|e| Failure::Unsent(format!("{address}: {e}")))?;
-        let request = self.request(address).map_err(Failure::Unsent)?;
-        match timeout(self.wait, connection.send(request)).await {
+        let request = self.build_request(address).map_err(Failure::Unsent)?;
+        match timeout(self.timeout, connection.send(request)).await {
             Ok(reply) => reply.map_err(|e| Failure::Lost(format!("{address}: {e}"))),
             Err(_) => {
-                let waited = self.wait.as_secs();
-                Err(Failure::Lost(format!("{address}: no answer in {waited} s")))
+                let seconds = self.timeout.as_secs();
+                Err(Failure::Lost(format!(
+                    "{address}: no answer within {seconds} s"
+                )))
             }
         }
     }
 
-    fn request(&self, address: &str) -> Result<Request<Full<Bytes>>, String> {
+    fn build_request(&self, address: &str) -> Result<Request<Full<Bytes>>, String> {
         let mut request = Request::builder()
             .method(&self.method)
             .uri(&self.path)
@@ -91,7 +93,7 @@
     }
 }
 
-/// Runs a future to its end on this thread.
+/// Runs a future to completion on this thread.
 pub(super) fn block_on<T>(future: impl Future<Output = T>) -> Result<T, Error> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -103,10 +105,9 @@
     Ok(runtime.block_on(future))
 }
 
-/// Adds the option that names addresses.
-pub(super) fn address_option(options: &mut Options) {
-    let brief =
-        format!("Sends it to the instance at ADDRESS, the next one where that fails [{ADDRESS}]");
+/// Adds the option for the addresses of instances.
+pub(super) fn add_address_option(options: &mut Options) {
+    let brief = format!("Sends the request to the instance at ADDRESS; repeat it to name fallbacks [{DEFAULT_ADDRESS}]");
     options.optmulti("t", "to", &brief, "ADDRESS");
 }
 
@@ -114,13 +115,13 @@
 pub(super) fn addresses(matches: &Matches) -> Vec<String> {
     let addresses = matches.opt_strs("to");
     if addresses.is_empty() {
-        return vec![ADDRESS.to_owned()];
+        return vec![DEFAULT_ADDRESS.to_owned()];
     }
     addresses
 }
 
-/// Returns an option's value.
-pub(super) fn option<T>(matches: &Matches, name: &str) -> Result<Option<T>, Error>
+/// Parses an option's value; returns `None` if the option isn't given.
+pub(super) fn parse_option<T>(matches: &Matches, name: &str) -> Result<Option<T>, Error>
 where
     T: std::str::FromStr,
     T::Err: std::fmt::Display,
@@ -128,12 +129,12 @@
     let Some(text) = matches.opt_str(name) else {
         return Ok(None);
     };
-    let wrong = |e| Error::Usage(format!("--{name} {text}: {e}"));
-    text.parse().map(Some).map_err(wrong)
+    let usage = |e| Error::Usage(format!("--{name} {text}: {e}"));
+    text.parse().map(Some).map_err(usage)
 }
 
-/// Reads a file, or standard input.
-pub(super) fn read(path: &str) -> Result<Vec<u8>, Error> {
+/// Reads a whole file, or standard input for `-`.
+pub(super) fn read_input(path: &str) -> Result<Vec<u8>, Error> {
     let mut bytes = Vec::new();
     let read = match path {
         STANDARD_INPUT => io::stdin().lock().read_to_end(&mut bytes),
--- a/src/cli/dispatch.rs
+++ b/src/cli/dispatch.rs
@@ -13,8 +13,8 @@
 pub(super) fn run(args: &[String]) -> Result<Exit, Error> {
     let mut syntax = Syntax::new(
         "Usage: poplarknot dispatch [--settings FILE]\n\n\
-         Runs an instance on the platform until SIGTERM has drained it. The settings are the platform's own file, \
-         as the variable POPLARKNOT_SETTINGS names it.",
+         Runs an instance on the platform. On SIGTERM it drains and ends. The settings are in the platform's own file, \
+         which the variable POPLARKNOT_SETTINGS names.",
     );
     syntax.options.optopt(
         "s",
@@ -26,7 +26,7 @@
         return Ok(Exit::Success);
     };
     if let Some(stray) = matches.free.first() {
-        return Err(Error::Usage(format!("'{stray}' is one argument too many")));
+        return Err(Error::Usage(format!("unexpected argument '{stray}'")));
     }
     let path = match matches.opt_str("settings") {
         Some(path) => path,
@@ -37,7 +37,7 @@
         path: path.clone(),
         source,
     })?;
-    let site = settings::parse(&text).map_err(|fault| Error::Site { path, fault })?;
+    let site = settings::parse(&text).map_err(|fault| Error::PlatformSettings { path, fault })?;
     instance::run(site)?;
     Ok(Exit::Success)
 }
--- a/src/cli/exit.rs
+++ b/src/cli/exit.rs
@@ -1,4 +1,4 @@
-//! Exit codes.
+//! Exit codes of the commands.
 
 use std::process::ExitCode;
 
@@ -7,12 +7,12 @@
     prelude::*, //
 };
 
-/// How a command ended, as scripts see it.
+/// The exit code of a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
-    /// It did what it was asked; for `submit`: the job is complete.
+    /// The command succeeded; for `submit`: the job is complete.
     Success = 0,
-    /// It failed at run time.
+    /// The command failed at run time.
     Failure = 1,
     /// The command line is wrong.
     Usage = 2,
@@ -20,9 +20,9 @@
     Settings = 3,
     /// `submit`: the job failed.
     Failed = 4,
-    /// `submit`: nothing was run; `record` and `audit`: no instance could be asked.
+    /// `submit`: nothing was run; `record` and `audit`: no instance could be reached.
     NotRun = 5,
-    /// `submit`: tasks may have run; `record`: the change may be in force or not.
+    /// `submit`: tasks may have run; `record`: the change may be in force.
     Unknown = 6,
 }
 
@@ -41,9 +41,9 @@
     fn from(error: &Error) -> Self {
         match error {
             Error::Usage(_) => Self::Usage,
-            Error::Settings { .. } | Error::Site { .. } => Self::Settings,
+            Error::Settings { .. } | Error::PlatformSettings { .. } => Self::Settings,
             Error::Unreachable(_) => Self::NotRun,
-            Error::Lost(_) | Error::Unsettled { .. } => Self::Unknown,
+            Error::AnswerLost(_) | Error::ChangeUnknown { .. } => Self::Unknown,
             _ => Self::Failure,
         }
     }
--- a/src/cli/record.rs
+++ b/src/cli/record.rs
@@ -11,12 +11,13 @@
 use super::{
     admin::{
         self,
-        Ask, //
+        AdminRequest, //
     },
     client::{
         block_on,
-        option,
-        read, //
+        parse_option,
+        read_input,
+        STANDARD_INPUT, //
     },
     exit::Exit,
     Syntax, //
@@ -36,66 +37,72 @@
 
 Submits, amends, withdraws and shows configuration records. A record is JSON in FILE or on standard input.
 
-Exit codes: 0 done, 1 refused, 5 no instance could be asked, 6 the change may be in force or not: repeat it
+Exit codes: 0 done, 1 refused, 5 no instance could be reached, 6 the change may be in force or not: retry it
 with the --operation that the message names.";
 
 pub(super) fn run(args: &[String]) -> Result<Exit, Error> {
     let mut syntax = Syntax::new(BRIEF);
     let options = &mut syntax.options;
-    admin::options(options);
-    options.optflag("", "dry-run", "Checks the change and makes none");
+    admin::add_options(options);
+    options.optflag("", "dry-run", "Checks the change without applying it");
     let brief = "Confirms a cut of a service's capacity to less than half";
     options.optflag("", "confirm", brief);
     options.optopt(
         "",
         "amends",
-        "The revision of the record that is changed",
+        "The revision of the record to change",
         "REVISION",
     );
-    options.optopt("", "operation", "Repeats the change of this id", "ID");
+    options.optopt("", "operation", "Retries the change with this id", "ID");
     let Some(matches) = syntax.parse(args)? else {
         return Ok(Exit::Success);
     };
-    let ask = ask(&matches)?;
-    block_on(ask.run(&matches))?
+    let request = build_request(&matches)?;
+    block_on(request.run(&matches))?
 }
 
-fn ask(matches: &Matches) -> Result<Ask, Error> {
+/// Returns the request of the action that the arguments name.
+fn build_request(matches: &Matches) -> Result<AdminRequest, Error> {
     let Some((action, rest)) = matches.free.split_first() else {
         return Err(Error::Usage("record: no action is given".to_owned()));
     };
     match action.as_str() {
         "submit" => {
-            let path = path("/v1/records".to_owned(), None, matches);
-            change(Method::POST, path, file(rest)?, matches)
+            let path = build_change_path("/v1/records".to_owned(), None, matches);
+            build_change(Method::POST, path, parse_file(rest)?, matches)
         }
         "amend" => {
-            let (target, rest) = target(rest)?;
-            let path = path(target.path(), Some(amends(matches)?), matches);
-            change(Method::PUT, path, file(rest)?, matches)
+            let (target, rest) = parse_target(rest)?;
+            let path = build_change_path(target.path(), Some(parse_amends(matches)?), matches);
+            build_change(Method::PUT, path, parse_file(rest)?, matches)
         }
         "withdraw" => {
-            let path = path(alone(rest)?.path(), Some(amends(matches)?), matches);
-            change(Method::DELETE, path, None, matches)
+            let path = build_change_path(
+                parse_only_target(rest)?.path(),
+                Some(parse_amends(matches)?),
+                matches,
+            );
+            build_change(Method::DELETE, path, None, matches)
         }
-        "list" => Ok(Ask::get(list(rest)?)),
-        "show" => Ok(Ask::get(alone(rest)?.path())),
-        "in-force" => Ok(Ask::get(alone(rest)?.path() + "/in-force")),
-        other => Err(Error::Usage(format!(
-            "record: there is no action '{other}'"
-        ))),
+        "list" => Ok(AdminRequest::get(build_list_path(rest)?)),
+        "show" => Ok(AdminRequest::get(parse_only_target(rest)?.path())),
+        "in-force" => Ok(AdminRequest::get(
+            parse_only_target(rest)?.path() + "/in-force",
+        )),
+        other => Err(Error::Usage(format!("record: unknown action '{other}'"))),
     }
 }
 
-fn change(
+/// Returns the request of a change, with a random operation id unless one is given.
+fn build_change(
     method: Method,
     path: String,
     file: Option<&str>,
     matches: &Matches,
-) -> Result<Ask, Error> {
-    let operation = option(matches, "operation")?.unwrap_or_else(admin::draw);
-    let body = file.map(read).transpose()?.unwrap_or_default();
-    Ok(Ask {
+) -> Result<AdminRequest, Error> {
+    let operation = parse_option(matches, "operation")?.unwrap_or_else(admin::random_operation);
+    let body = file.map(read_input).transpose()?.unwrap_or_default();
+    Ok(AdminRequest {
         method,
         path,
         body: body.into(),
@@ -103,7 +110,7 @@
     })
 }
 
-fn list(arguments: &[String]) -> Result<String, Error> {
+fn build_list_path(arguments: &[String]) -> Result<String, Error> {
     match arguments {
         [] => Ok("/v1/records".to_owned()),
         [kind] => {
@@ -112,11 +119,12 @@
                 .map_err(|e| Error::Usage(format!("KIND '{kind}' {e}")))?;
             Ok(format!("/v1/records?kind={kind}"))
         }
-        [_, stray, ..] => Err(excess(stray)),
+        [_, stray, ..] => Err(unexpected_argument(stray)),
     }
 }
 
-fn path(path: String, amends: Option<Revision>, matches: &Matches) -> String {
+/// Adds the query parameters of a change to a path.
+fn build_change_path(path: String, amends: Option<Revision>, matches: &Matches) -> String {
     let amends = amends.map(|revision| format!("amends={revision}"));
     let flag = |name: &str, query: &str| matches.opt_present(name).then(|| query.to_owned());
     let dry = flag("dry-run", "dry_run=true");
@@ -128,13 +136,14 @@
     format!("{path}?{}", query.join("&"))
 }
 
-fn amends(matches: &Matches) -> Result<Revision, Error> {
+fn parse_amends(matches: &Matches) -> Result<Revision, Error> {
     let missing =
-        || Error::Usage("--amends REVISION is missing; 'record show' tells it".to_owned());
-    option(matches, "amends")?.ok_or_else(missing)
+        || Error::Usage("--amends REVISION is missing; 'record show' prints it".to_owned());
+    parse_option(matches, "amends")?.ok_or_else(missing)
 }
 
-fn target(arguments: &[String]) -> Result<(Target, &[String]), Error> {
+/// Parses the first argument as a target and returns the rest.
+fn parse_target(arguments: &[String]) -> Result<(Target, &[String]), Error> {
     let Some((text, rest)) = arguments.split_first() else {
         return Err(Error::Usage("KIND/NAME is missing".to_owned()));
     };
@@ -143,33 +152,35 @@
     Ok((target, rest))
 }
 
-fn alone(arguments: &[String]) -> Result<Target, Error> {
-    match target(arguments)? {
+/// Parses the only argument as a target.
+fn parse_only_target(arguments: &[String]) -> Result<Target, Error> {
+    match parse_target(arguments)? {
         (target, []) => Ok(target),
-        (_, [stray, ..]) => Err(excess(stray)),
+        (_, [stray, ..]) => Err(unexpected_argument(stray)),
     }
 }
 
-fn file(arguments: &[String]) -> Result<Option<&str>, Error> {
+/// Returns the path of the file to read; `-` if none is given.
+fn parse_file(arguments: &[String]) -> Result<Option<&str>, Error> {
     match arguments {
-        [] => Ok(Some("-")),
+        [] => Ok(Some(STANDARD_INPUT)),
         [path] => Ok(Some(path)),
-        [_, stray, ..] => Err(excess(stray)),
+        [_, stray, ..] => Err(unexpected_argument(stray)),
     }
 }
 
-fn excess(stray: &str) -> Error {
-    Error::Usage(format!("'{stray}' is one argument too many"))
+fn unexpected_argument(stray: &str) -> Error {
+    Error::Usage(format!("unexpected argument '{stray}'"))
 }
 
-/// Names one record: `KIND/NAME`.
+/// The kind and name of a record, written as `KIND/NAME`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Target {
     kind: String,
     name: String,
 }
 
-/// Says that a text names no record.
+/// The error of a text that isn't of the form `KIND/NAME`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("is not KIND/NAME of letters, digits, '-', '_' and '.'")]
 pub(super) struct Malformed;
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -13,7 +13,7 @@
 
 pub(super) fn run(args: &[String]) -> Result<Exit, Error> {
     let mut syntax = Syntax::new(
-        "Usage: poplarknot serve --settings FILE\n\nRuns an instance until SIGTERM has drained it.",
+        "Usage: poplarknot serve --settings FILE\n\nRuns an instance. On SIGTERM it drains and ends.",
     );
     syntax
         .options
@@ -22,7 +22,7 @@
         return Ok(Exit::Success);
     };
     if let Some(stray) = matches.free.first() {
-        return Err(Error::Usage(format!("'{stray}' is one argument too many")));
+        return Err(Error::Usage(format!("unexpected argument '{stray}'")));
     }
     let Some(path) = matches.opt_str("settings") else {
         return Err(Error::Usage("--settings FILE is missing".to_owned()));
--- a/src/cli/submit.rs
+++ b/src/cli/submit.rs
@@ -21,13 +21,14 @@
 
 use super::{
     client::{
-        address_option,
+        add_address_option,
         addresses,
         block_on,
-        option,
-        read,
+        parse_option,
+        read_input,
         Call,
-        Failure, //
+        Failure,
+        STANDARD_INPUT, //
     },
     exit::Exit,
     print,
@@ -39,28 +40,28 @@
     prelude::*, //
 };
 
-/// The header that says that the key was never sent before.
+/// The request header that states that the key hasn't been sent before.
 const FIRST_HEADER: &str = "poplarknot-first";
 
-/// How long past its deadline an answer may be on its way.
-const GRACE: Duration = Duration::from_secs(5);
+/// Time past the deadline to wait for the answer to arrive.
+const ANSWER_GRACE: Duration = Duration::from_secs(5);
 
-/// How long to wait for the answer to a submission that names no deadline.
-const LONGEST_WAIT: Duration = Duration::from_secs(300);
+/// Time limit for the answer to a submission without a deadline.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(300);
 
-/// Between two pictures of the progress.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval between two redraws of the progress indicator.
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(100);
 
 const BRIEF: &str = "\
 Usage: poplarknot submit [OPTIONS] [FILE]
 
 Submits the burst in FILE, or on standard input, and prints the answer as JSON on standard output.
-An option goes before the field of the same name in the file.
+An option replaces the field of the same name in the file.
 
 Exit codes: 0 complete, 4 failed, 5 not run, 6 unknown.";
 
 pub(super) fn run(args: &[String]) -> Result<Exit, Error> {
-    let syntax = syntax();
+    let syntax = build_syntax();
     let Some(matches) = syntax.parse(args)? else {
         return Ok(Exit::Success);
     };
@@ -71,79 +72,82 @@
     Ok(answer.outcome.into())
 }
 
-fn syntax() -> Syntax {
+fn build_syntax() -> Syntax {
     let mut syntax = Syntax::new(BRIEF);
     let options = &mut syntax.options;
-    address_option(options);
-    options.optopt("", "team", "The team that pays for it", "TEAM");
-    options.optopt("", "service", "The service that it goes to", "SERVICE");
+    add_address_option(options);
+    options.optopt("", "team", "The team that is charged for it", "TEAM");
+    options.optopt("", "service", "The service that runs it", "SERVICE");
     options.optopt("", "key", "The idempotency key", "KEY");
     options.optopt("", "class", "idempotent, once or non-idempotent", "CLASS");
-    options.optopt("", "deadline", "The time until the answer", "MS");
-    let brief = "Says that KEY was never sent before, so that a refusal can be told as not run";
+    options.optopt("", "deadline", "The time limit for the answer", "MS");
+    let brief =
+        "States that KEY has not been sent before, so that a refusal can be reported as not run";
     options.optflag("", "first", brief);
     syntax
 }
 
-/// A submission ready to be sent, and sent again: a resubmission has to be the same to the byte.
+/// An encoded submission. A resubmission with the same key has to be identical byte for byte.
 struct Burst {
     body: Bytes,
-    keyed: bool,
+    has_key: bool,
+    /// Whether the caller states that the key hasn't been sent before.
     first: bool,
     tasks: usize,
-    wait: Duration,
+    timeout: Duration,
 }
 
-/// An answer with the text that it came in.
-struct Told {
+/// An answer with its original text.
+struct Received {
     outcome: Outcome,
     reason: Reason,
     text: String,
 }
 
 impl Burst {
+    /// Reads the submission and applies the options to it.
     fn read(matches: &Matches) -> Result<Self, Error> {
         let path = match matches.free.as_slice() {
-            [] => "-",
+            [] => STANDARD_INPUT,
             [path] => path,
             [_, stray, ..] => {
-                return Err(Error::Usage(format!("'{stray}' is one argument too many")));
+                return Err(Error::Usage(format!("unexpected argument '{stray}'")));
             }
         };
-        let body = overridden(&read(path)?, matches)?;
-        let submission: Submission = serde_json::from_slice(&body).map_err(wrong)?;
-        let deadline = submission.deadline.map(|d| d.duration() + GRACE);
+        let body = apply_options(&read_input(path)?, matches)?;
+        let submission: Submission = serde_json::from_slice(&body).map_err(invalid_submission)?;
+        let deadline = submission.deadline.map(|d| d.duration() + ANSWER_GRACE);
         Ok(Self {
             body: body.into(),
-            keyed: submission.key.is_some(),
+            has_key: submission.key.is_some(),
             first: matches.opt_present("first"),
             tasks: submission.tasks.len(),
-            wait: deadline.unwrap_or(LONGEST_WAIT),
+            timeout: deadline.unwrap_or(DEFAULT_TIMEOUT),
         })
     }
 
-    /// Submits to one address after the other.
+    /// Submits to one address after the other until one gives a final answer.
     ///
-    /// The next address is tried where the last one proved that it ran nothing, or where the burst has a key,
-    /// which a second request joins. Anything else could run the burst twice.
-    async fn submit(&self, addresses: &[String]) -> Result<Told, Error> {
-        let progress = progress(self.tasks);
-        let mut trail = Trail::default();
+    /// The next address is tried only if no earlier request can have run the burst, or if the burst has a key, so
+    /// that instances recognize a duplicate. Anything else could run the burst twice.
+    async fn submit(&self, addresses: &[String]) -> Result<Received, Error> {
+        let progress = start_progress(self.tasks);
+        let mut attempts = Attempts::default();
         for address in addresses {
             progress.set_message(format!("{} tasks at {address}", self.tasks));
-            // Once a request may have arrived, its key is no new one any more.
-            let call = self.call(self.first && trail.doubts.is_empty());
-            let settled = trail.note(address, call.send(address).await);
-            let doubled = !trail.doubts.is_empty() && !self.keyed;
-            if settled || doubled {
+            // The key isn't new any more once an earlier request may have arrived.
+            let call = self.build_call(self.first && attempts.unknown.is_empty());
+            let is_final = attempts.record(address, call.send(address).await);
+            let could_run_twice = !attempts.unknown.is_empty() && !self.has_key;
+            if is_final || could_run_twice {
                 break;
             }
         }
         progress.finish_and_clear();
-        trail.conclude()
+        attempts.into_result()
     }
 
-    fn call(&self, first: bool) -> Call {
+    fn build_call(&self, first: bool) -> Call {
         let mut headers = vec![("content-type", "application/json".to_owned())];
         if first {
             headers.push((FIRST_HEADER, "true".to_owned()));
@@ -153,62 +157,69 @@
             path: "/v1/jobs".to_owned(),
             headers,
             body: self.body.clone(),
-            wait: self.wait,
+            timeout: self.timeout,
         }
     }
 }
 
-/// What came of the requests so far.
+/// The results of the requests so far.
 #[derive(Default)]
-struct Trail {
-    last: Option<Told>,
-    /// Requests after which it is open whether the burst ran.
-    doubts: Vec<String>,
-    /// Requests of which no byte left.
+struct Attempts {
+    last_answer: Option<Received>,
+    /// Failures and answers after which the burst may have run.
+    unknown: Vec<String>,
+    /// Failures before any byte was sent.
     unsent: Vec<String>,
 }
 
-impl Trail {
-    /// Notes what came of a request, and tells whether it settles the burst.
-    fn note(&mut self, address: &str, result: Result<Reply, Failure>) -> bool {
+impl Attempts {
+    /// Records the result of a request, and tells whether it's final.
+    fn record(&mut self, address: &str, result: Result<Reply, Failure>) -> bool {
         match result {
             Err(Failure::Unsent(why)) => self.unsent.push(why),
-            Err(Failure::Lost(why)) => self.doubts.push(why),
-            Ok(reply) => match Told::read(&reply.body) {
-                Some(told) => return self.note_answer(address, told),
+            Err(Failure::Lost(why)) => self.unknown.push(why),
+            Ok(reply) => match Received::read(&reply.body) {
+                Some(answer) => return self.record_answer(address, answer),
                 None => {
                     let status = reply.status;
-                    self.doubts
-                        .push(format!("{address}: {status} without an answer"));
+                    self.unknown
+                        .push(format!("{address}: status {status} without an answer"));
                 }
             },
         }
         false
     }
 
-    fn note_answer(&mut self, address: &str, told: Told) -> bool {
-        let passing = told.passing();
-        if passing && told.outcome == Outcome::Unknown {
-            self.doubts.push(format!("{address}: {}", told.text));
+    fn record_answer(&mut self, address: &str, answer: Received) -> bool {
+        let transient = answer.is_transient();
+        if transient && answer.outcome == Outcome::Unknown {
+            self.unknown.push(format!("{address}: {}", answer.text));
         }
-        self.last = Some(told);
-        !passing
+        self.last_answer = Some(answer);
+        !transient
     }
 
-    /// Concludes from the last answer and from the failures on the way.
+    /// Returns the last answer if it holds for the burst as a whole.
     ///
-    /// A refusal speaks for its own request. Where an earlier request is in doubt, that one may have run: then
-    /// "not run" would be untrue of the burst, and it is not printed.
-    fn conclude(self) -> Result<Told, Error> {
-        match self.last {
-            Some(told) if self.doubts.is_empty() || told.outcome != Outcome::NotRun => Ok(told),
-            _ if !self.doubts.is_empty() => Err(Error::Lost(self.doubts)),
+    /// A "not run" answer holds for its own request only. If an earlier request may have run, it would be wrong for
+    /// the burst.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no request got an answer, or if the last answer is "not run" and an earlier request may have run.
+    fn into_result(self) -> Result<Received, Error> {
+        match self.last_answer {
+            Some(answer) if self.unknown.is_empty() || answer.outcome != Outcome::NotRun => {
+                Ok(answer)
+            }
+            _ if !self.unknown.is_empty() => Err(Error::AnswerLost(self.unknown)),
             _ => Err(Error::Unreachable(self.unsent)),
         }
     }
 }
 
-impl Told {
+impl Received {
+    /// Parses an answer; returns `None` if the body isn't one.
     fn read(body: &[u8]) -> Option<Self> {
         let answer: Answer = serde_json::from_slice(body).ok()?;
         Some(Self {
@@ -218,9 +229,9 @@
         })
     }
 
-    /// Tells whether the instance took nothing for a reason that may not hold at another one.
-    fn passing(&self) -> bool {
-        let reason = matches!(
+    /// Tells whether the instance refused for a reason that may not apply to another instance.
+    fn is_transient(&self) -> bool {
+        let transient = matches!(
             self.reason,
             Reason::Busy
                 | Reason::Draining
@@ -229,37 +240,44 @@
                 | Reason::Schema
                 | Reason::Store
         );
-        reason && matches!(self.outcome, Outcome::NotRun | Outcome::Unknown)
+        transient && matches!(self.outcome, Outcome::NotRun | Outcome::Unknown)
     }
 }
 
-/// Puts the options in place of the file's fields. Payloads stay as they are written, to the digit.
-fn overridden(bytes: &[u8], matches: &Matches) -> Result<Vec<u8>, Error> {
+/// Replaces fields of the file by options. Payloads are kept verbatim, since parsing numbers could lose digits.
+fn apply_options(bytes: &[u8], matches: &Matches) -> Result<Vec<u8>, Error> {
     let mut fields: BTreeMap<String, Box<RawValue>> =
-        serde_json::from_slice(bytes).map_err(wrong)?;
+        serde_json::from_slice(bytes).map_err(invalid_submission)?;
     let mut set = |name: &str, value: Option<Box<RawValue>>| {
         if let Some(value) = value {
             fields.insert(name.to_owned(), value);
         }
     };
-    set("team", raw(option::<Team>(matches, "team")?)?);
-    set("service", raw(option::<Service>(matches, "service")?)?);
-    set("key", raw(option::<Key>(matches, "key")?)?);
-    set("class", raw(option::<Class>(matches, "class")?)?);
-    set("deadline_ms", raw(option::<Span>(matches, "deadline")?)?);
-    serde_json::to_vec(&fields).map_err(wrong)
+    set("team", to_raw(parse_option::<Team>(matches, "team")?)?);
+    set(
+        "service",
+        to_raw(parse_option::<Service>(matches, "service")?)?,
+    );
+    set("key", to_raw(parse_option::<Key>(matches, "key")?)?);
+    set("class", to_raw(parse_option::<Class>(matches, "class")?)?);
+    set(
+        "deadline_ms",
+        to_raw(parse_option::<Span>(matches, "deadline")?)?,
+    );
+    serde_json::to_vec(&fields).map_err(invalid_submission)
 }
 
-fn raw(value: Option<impl Serialize>) -> Result<Option<Box<RawValue>>, Error> {
-    let raw = value.map(|v| to_raw_value(&v));
-    raw.transpose().map_err(wrong)
+fn to_raw(value: Option<impl Serialize>) -> Result<Option<Box<RawValue>>, Error> {
+    let value = value.map(|v| to_raw_value(&v));
+    value.transpose().map_err(invalid_submission)
 }
 
-fn wrong(error: serde_json::Error) -> Error {
-    Error::Usage(format!("the submission is wrong: {error}"))
+fn invalid_submission(error: serde_json::Error) -> Error {
+    Error::Usage(format!("invalid submission: {error}"))
 }
 
-fn progress(tasks: usize) -> ProgressBar {
+/// Shows a progress indicator if standard error is a terminal.
+fn start_progress(tasks: usize) -> ProgressBar {
     if !std::io::stderr().is_terminal() {
         return ProgressBar::hidden();
     }
@@ -267,6 +285,6 @@
     let style = style.unwrap_or_else(|_| ProgressStyle::default_spinner());
     let progress = ProgressBar::new_spinner().with_style(style);
     progress.set_message(format!("{tasks} tasks"));
-    progress.enable_steady_tick(TICK);
+    progress.enable_steady_tick(PROGRESS_INTERVAL);
     progress
 }
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -1,8 +1,8 @@
-//! `poplarknot trace`: tells one job's story from the logs of instances.
+//! `poplarknot trace`: shows the history of one job from the logs of instances.
 
 use super::{
     client::{
-        option,
+        parse_option,
         STANDARD_INPUT, //
     },
     exit::Exit,
@@ -24,13 +24,13 @@
 const BRIEF: &str = "\
 Usage: poplarknot trace [OPTIONS] JOB LOG...
 
-Tells a job's story in the order of time, from the logs of instances of 'poplarknot dispatch'. JOB is the 16 hexadecimal
-digits at the end of its path, LOG a file or - for standard input. Give the logs of all instances.
+Shows the history of a job in order of time, from the logs of instances of 'poplarknot dispatch'. JOB is the 16 hexadecimal
+digits at the end of the job's path, LOG a file or - for standard input. Give the logs of all instances.
 
-Lines marked as context don't name the job. They are of the instances and endpoints that it touched, or of the shard that
-holds it; where no task of it reached an endpoint, of all endpoints and racks. Times are relative to the job's first line,
-and in UTC. The clocks of instances differ a little, so lines of two instances that are close in time may stand in the
-wrong order.
+Lines marked as context don't name the job. They concern the instances and endpoints that it used and the shard that
+holds it; if no task of it reached an endpoint, all endpoints and racks. Times are relative to the job's first line, and
+in UTC. The clocks of instances differ slightly, so lines of two instances that are close in time may be in the wrong
+order.
 
 Lines that can't be read are skipped and counted on standard error.";
 
@@ -56,12 +56,12 @@
     if logs.is_empty() {
         return Err(Error::Usage("LOG is missing".to_owned()));
     }
-    let around = option(&matches, "around")?.unwrap_or(AROUND);
+    let around = parse_option(&matches, "around")?.unwrap_or(AROUND);
     if around > WIDEST {
-        return Err(Error::Usage(format!("--around is {WIDEST} at the most")));
+        return Err(Error::Usage(format!("--around must not exceed {WIDEST}")));
     }
     let tracer = Tracer::new(job).around(around);
-    let story = tracer.logs(logs.into_iter().map(source)).run()?;
+    let story = tracer.logs(logs.into_iter().map(to_source)).run()?;
     warn(&story);
     match matches.opt_present("json") {
         true => print(&story.raw()),
@@ -69,14 +69,14 @@
     }
 }
 
-fn source(name: String) -> Source {
+fn to_source(name: String) -> Source {
     match name.as_str() {
         STANDARD_INPUT => Source::Input,
         _ => Source::File(name),
     }
 }
 
-/// Tells on standard error what may be missing.
+/// Warns on standard error of lines that may be missing.
 fn warn(story: &Story) {
     for skip in &story.skipped {
         eprintln!("poplarknot: {skip}");
@@ -87,7 +87,7 @@
     if story.unsearched > 0 {
         let lines = story.unsearched;
         eprintln!(
-            "poplarknot: {lines} lines of a stream came too early to be kept as context; name the files instead"
+            "poplarknot: {lines} early lines of a stream were not searched for context; give the logs as files instead"
         );
     }
 }
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,4 +1,4 @@
-//! The errors that end a command, in words that help.
+//! The errors that end a command.
 
 use std::{
     fmt,
@@ -12,7 +12,7 @@
     settings::fault::Fault, //
 };
 
-/// Why a command ended without doing what it was asked.
+/// The reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The command line is wrong.
@@ -35,25 +35,25 @@
         source: io::Error,
     },
     /// The settings are wrong.
-    #[error("{path} has {}", list(faults))]
+    #[error("{path} has {}", format_faults(faults))]
     Settings {
         /// The file.
         path: String,
         /// Every fault in it.
         faults: Vec<Fault>,
     },
-    /// The platform's settings are wrong.
+    /// The platform's settings file is wrong.
     #[error("{path}: {fault}")]
-    Site {
+    PlatformSettings {
         /// The file.
         path: String,
-        /// The field, and what is wrong with it.
+        /// The field and what is wrong with it.
         fault: platform::Fault,
     },
     /// A listener can't be opened.
     #[error("can't listen for {what} at {address}: {source}")]
     Listen {
-        /// Who would connect there.
+        /// Who connects to it.
         what: &'static str,
         /// The address.
         address: String,
@@ -63,29 +63,29 @@
     /// A thread or its runtime can't be started.
     #[error("can't start the {what} thread: {source}")]
     Thread {
-        /// The thread's duty.
+        /// The thread's purpose.
         what: &'static str,
         /// Why.
         source: io::Error,
     },
-    /// The log is set up already.
-    #[error("the log is set up already")]
+    /// The process has a logger already.
+    #[error("the log is already initialized")]
     LogInitialized,
-    /// No instance could be asked: nothing was run or changed.
-    #[error("no instance could be asked, so nothing was run or changed:{}", lines(.0))]
+    /// No instance could be reached, so nothing was run or changed.
+    #[error("no instance could be reached, so nothing was run or changed:{}", format_lines(.0))]
     Unreachable(Vec<String>),
-    /// A submission may have arrived, and no answer came.
-    #[error("the answer was lost, and the tasks may have run:{}", lines(.0))]
-    Lost(Vec<String>),
-    /// A configuration change may have arrived, and no answer came.
+    /// No answer came to a submission that may have arrived.
+    #[error("the answer was lost, and the tasks may have run:{}", format_lines(.0))]
+    AnswerLost(Vec<String>),
+    /// No answer came to a configuration change that may have arrived.
     #[error(
-        "the change may be in force or not; repeat it with --operation {operation}:{}",
-        lines(failures)
+        "it is unknown whether the change is in force; retry it with --operation {operation}:{}",
+        format_lines(failures)
     )]
-    Unsettled {
-        /// The change.
+    ChangeUnknown {
+        /// The id of the change.
         operation: Operation,
-        /// What happened to each attempt.
+        /// The failure of each attempt.
         failures: Vec<String>,
     },
     /// An instance refused an operator's request.
@@ -93,7 +93,7 @@
     Refused {
         /// The HTTP status.
         status: u16,
-        /// What it said.
+        /// The body of its answer.
         body: String,
     },
     /// No log has a line about a job.
@@ -106,24 +106,24 @@
         job: JobId,
         /// The logs that were read.
         logs: Vec<String>,
-        /// Lines in them that can't be read.
+        /// Unreadable lines in them.
         skipped: u64,
-        /// Lines that instances left out of them.
+        /// Lines that instances left out of their logs.
         left_out: u64,
     },
-    /// This build can't do it.
-    #[error("this build has no '{0}'")]
+    /// This build doesn't support the feature.
+    #[error("this build doesn't support '{0}'")]
     Unsupported(&'static str),
 }
 
-fn list(faults: &[Fault]) -> String {
+fn format_faults(faults: &[Fault]) -> String {
     let count = match faults.len() {
         1 => "1 fault:".to_owned(),
         many => format!("{many} faults:"),
     };
-    count + &lines(faults)
+    count + &format_lines(faults)
 }
 
-fn lines(items: &[impl fmt::Display]) -> String {
+fn format_lines(items: &[impl fmt::Display]) -> String {
     items.iter().map(|item| format!("\n  {item}")).collect()
 }
--- a/src/prelude.rs
+++ b/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that most modules use.
+//! Types that most modules use.
 
 pub use crate::{
     id::{
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -1,4 +1,4 @@
-//! Runs an instance: opens its listeners, starts a thread for each duty and waits for its end.
+//! Runs an instance: opens its listeners, starts its threads and waits until it has drained.
 
 use std::{
     future::Future,
@@ -49,13 +49,13 @@
     table,
 };
 
-/// Places in the ring from the main thread.
-const CONTROL: usize = 8;
+/// Capacity of the ring from the main thread, in messages.
+const CONTROL_RING_CAPACITY: usize = 8;
 
-/// Ends the process when its thread panics: half an instance would hold its callers for good.
-struct Guard;
+/// Aborts the process when its thread panics: callers would wait forever for an instance that lacks a thread.
+struct AbortOnPanic;
 
-impl Drop for Guard {
+impl Drop for AbortOnPanic {
     fn drop(&mut self) {
         if std::thread::panicking() {
             std::process::abort();
@@ -67,7 +67,7 @@
 ///
 /// # Errors
 ///
-/// Fails where the instance can't listen at its addresses or start its threads.
+/// Fails if the instance can't listen on its addresses or start its threads.
 pub fn run(settings: Settings) -> Result<(), Error> {
     let settings = Arc::new(settings);
     let main = runtime("main")?;
@@ -80,11 +80,11 @@
         incarnation: Incarnation::random(&mut random),
         reach: settings.data_centres.clone(),
     };
-    let begun = format!(
+    let started = format!(
         "{} in {}, incarnation {}",
         identity.name, identity.centre, identity.incarnation
     );
-    Event::new(Code::Started, begun).log();
+    Event::new(Code::Started, started).log();
     println!(
         "listening callers={} peers={}",
         address(&callers),
@@ -96,46 +96,48 @@
         settings.timing.clone(),
         random.random(),
     );
-    let (control, drained, end, threads) = start(&settings, core, callers, peers)?;
-    main.block_on(wait(&settings, &control, drained))?;
-    end.send(true).ok();
+    let (control, drained, shutdown, threads) = start_threads(&settings, core, callers, peers)?;
+    main.block_on(wait_for_drain(&settings, &control, drained))?;
+    shutdown.send(true).ok();
     for thread in threads {
-        // A thread that panicked has ended the process already.
+        // A thread that panicked has aborted the process already.
         thread.join().ok();
     }
     Event::new(Code::Ended, "").log();
     Ok(())
 }
 
-type Started = (
+/// The ring from the main thread, the signal that the instance has drained, the signal that ends the threads, and
+/// the threads.
+type Handles = (
     ring::Sender<Input>,
     oneshot::Receiver<()>,
     watch::Sender<bool>,
     Vec<JoinHandle<()>>,
 );
 
-/// Joins the duties by rings and starts a thread for each.
-fn start(
+/// Creates the rings between the threads and starts the threads.
+fn start_threads(
     settings: &Arc<Settings>,
     core: Core,
     callers: std::net::TcpListener,
     peers: std::net::TcpListener,
-) -> Result<Started, Error> {
-    let places = settings.limits.ring;
+) -> Result<Handles, Error> {
+    let capacity = settings.limits.ring;
     let clock = Clock::start();
     let metrics = Arc::new(Metrics::new());
     let status = Arc::new(decision::Status::default());
-    let (end, ended) = watch::channel(false);
+    let (shutdown, shutting_down) = watch::channel(false);
     let (drained, has_drained) = oneshot::channel();
-    let (control, from_control) = ring::channel(CONTROL);
-    let (caller_in, from_callers) = ring::channel(places);
-    let (endpoint_in, from_endpoints) = ring::channel(places);
-    let (platform_in, from_platform) = ring::channel(places);
-    let (peer_in, from_peers) = ring::channel(places);
-    let (to_callers, caller_out) = ring::channel(places);
-    let (to_endpoints, endpoint_out) = ring::channel(places);
-    let (to_platform, platform_out) = ring::channel(places);
-    let (to_peers, peer_out) = ring::channel(places);
+    let (control, from_control) = ring::channel(CONTROL_RING_CAPACITY);
+    let (caller_in, from_callers) = ring::channel(capacity);
+    let (endpoint_in, from_endpoints) = ring::channel(capacity);
+    let (platform_in, from_platform) = ring::channel(capacity);
+    let (peer_in, from_peers) = ring::channel(capacity);
+    let (to_callers, caller_out) = ring::channel(capacity);
+    let (to_endpoints, endpoint_out) = ring::channel(capacity);
+    let (to_platform, platform_out) = ring::channel(capacity);
+    let (to_peers, peer_out) = ring::channel(capacity);
     let inlets = decision::Inlets {
         callers: from_callers,
         endpoints: from_endpoints,
@@ -153,70 +155,87 @@
         settings: settings.clone(),
         metrics: metrics.clone(),
         status: status.clone(),
-        shutdown: ended.clone(),
+        shutdown: shutting_down.clone(),
     };
-    let (s, m) = (settings.clone(), metrics.clone());
-    let (s2, m2) = (settings.clone(), metrics.clone());
-    let (s3, m3) = (settings.clone(), metrics.clone());
-    let (e, e2) = (ended.clone(), ended.clone());
+    let (endpoint_settings, endpoint_metrics) = (settings.clone(), metrics.clone());
+    let (platform_settings, platform_metrics) = (settings.clone(), metrics.clone());
+    let (peer_settings, peer_metrics) = (settings.clone(), metrics.clone());
+    let (endpoint_shutdown, platform_shutdown) = (shutting_down.clone(), shutting_down.clone());
     let threads = vec![
-        // These two end by themselves after the decisions, when the last answers have left.
-        thread("callers", move || async move {
-            if let Some(callers) = adopt(callers) {
+        // These two end by themselves after the decision thread, once the last answers are sent.
+        spawn_thread("callers", move || async move {
+            if let Some(callers) = into_tokio(callers) {
                 caller::serve(context, callers, caller_out, caller_in).await;
             }
         })?,
-        thread("peers", move || async move {
-            if let Some(peers) = adopt(peers) {
-                peer::serve(s3, m3, peers, peer_out, peer_in).await;
+        spawn_thread("peers", move || async move {
+            if let Some(peers) = into_tokio(peers) {
+                peer::serve(peer_settings, peer_metrics, peers, peer_out, peer_in).await;
             }
         })?,
-        thread("endpoints", move || {
-            until(e, endpoint::serve(s, clock, m, endpoint_out, endpoint_in))
+        spawn_thread("endpoints", move || {
+            run_until(
+                endpoint_shutdown,
+                endpoint::serve(
+                    endpoint_settings,
+                    clock,
+                    endpoint_metrics,
+                    endpoint_out,
+                    endpoint_in,
+                ),
+            )
         })?,
-        thread("platform", move || {
-            until(e2, table::serve(s2, m2, platform_out, platform_in))
+        spawn_thread("platform", move || {
+            run_until(
+                platform_shutdown,
+                table::serve(
+                    platform_settings,
+                    platform_metrics,
+                    platform_out,
+                    platform_in,
+                ),
+            )
         })?,
-        thread("decisions", move || {
-            let duty = decision::serve(core, clock, inlets, outlets, status, metrics, drained);
-            until(ended, duty)
+        spawn_thread("decisions", move || {
+            let task = decision::serve(core, clock, inlets, outlets, status, metrics, drained);
+            run_until(shutting_down, task)
         })?,
     ];
-    Ok((control, has_drained, end, threads))
+    Ok((control, has_drained, shutdown, threads))
 }
 
-/// Waits for the signal to end, and for the drain that follows it.
-async fn wait(
+/// Waits for a signal, then drains the instance. A second signal or the drain timeout interrupts the drain.
+async fn wait_for_drain(
     settings: &Settings,
     control: &ring::Sender<Input>,
     mut drained: oneshot::Receiver<()>,
 ) -> Result<(), Error> {
-    let mut term = on(SignalKind::terminate())?;
-    let mut int = on(SignalKind::interrupt())?;
-    either(&mut term, &mut int).await;
+    let mut term = signal_stream(SignalKind::terminate())?;
+    let mut int = signal_stream(SignalKind::interrupt())?;
+    wait_for_signal(&mut term, &mut int).await;
     control.send(Input::Drain).await;
-    let bound = settings.timing.drain.duration();
-    let early = tokio::select! {
+    let limit = settings.timing.drain.duration();
+    let cause = tokio::select! {
         _ = &mut drained => return Ok(()),
-        () = either(&mut term, &mut int) => "by a second signal",
-        () = tokio::time::sleep(bound) => "by its bound",
+        () = wait_for_signal(&mut term, &mut int) => "by a second signal",
+        () = tokio::time::sleep(limit) => "by the drain timeout",
     };
-    Event::new(Code::Interrupted, early).log();
+    Event::new(Code::Interrupted, cause).log();
     control.send(Input::Interrupt).await;
-    // The answers to what is left take no more than the flush of their outcomes.
+    // The outcomes of the remaining jobs are stored before they are answered.
     let flush = settings.timing.platform.times(2).duration();
     timeout(flush, drained).await.ok();
     Ok(())
 }
 
-fn on(kind: SignalKind) -> Result<Signal, Error> {
+fn signal_stream(kind: SignalKind) -> Result<Signal, Error> {
     signal(kind).map_err(|source| Error::Thread {
         what: "signal",
         source,
     })
 }
 
-async fn either(term: &mut Signal, int: &mut Signal) {
+async fn wait_for_signal(term: &mut Signal, int: &mut Signal) {
     tokio::select! {
         _ = term.recv() => {}
         _ = int.recv() => {}
@@ -249,19 +268,19 @@
         .map_err(|source| Error::Thread { what, source })
 }
 
-/// Starts the thread of one duty, with a runtime of its own.
-fn thread<F>(
+/// Starts a thread that runs a future on a runtime of its own.
+fn spawn_thread<F>(
     what: &'static str,
-    duty: impl FnOnce() -> F + Send + 'static,
+    task: impl FnOnce() -> F + Send + 'static,
 ) -> Result<JoinHandle<()>, Error>
 where
     F: Future<Output = ()>,
 {
     let runtime = runtime(what)?;
     let body = move || {
-        let _guard = Guard;
+        let _guard = AbortOnPanic;
         let local = LocalSet::new();
-        local.block_on(&runtime, duty());
+        local.block_on(&runtime, task());
     };
     let builder = std::thread::Builder::new().name(what.to_owned());
     builder
@@ -269,15 +288,15 @@
         .map_err(|source| Error::Thread { what, source })
 }
 
-/// Does a duty until the instance ends.
-async fn until(mut ended: watch::Receiver<bool>, duty: impl Future<Output = ()>) {
+/// Runs a task until it ends or the instance shuts down.
+async fn run_until(mut shutdown: watch::Receiver<bool>, task: impl Future<Output = ()>) {
     tokio::select! {
-        () = duty => {}
-        _ = ended.wait_for(|ended| *ended) => {}
+        () = task => {}
+        _ = shutdown.wait_for(|shutdown| *shutdown) => {}
     }
 }
 
-/// Makes a listener of this thread's runtime.
-fn adopt(listener: std::net::TcpListener) -> Option<TcpListener> {
+/// Registers a listener with this thread's runtime.
+fn into_tokio(listener: std::net::TcpListener) -> Option<TcpListener> {
     TcpListener::from_std(listener).ok()
 }
