--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -107,7 +107,9 @@
 
 /// Adds the option for the addresses of instances.
 pub(super) fn add_address_option(options: &mut Options) {
-    let brief = format!("Sends the request to the instance at ADDRESS; repeat it to name fallbacks [{DEFAULT_ADDRESS}]");
+    let brief = format!(
+        "Sends to the instance at ADDRESS; repeat it to name fallbacks [{DEFAULT_ADDRESS}]"
+    );
     options.optmulti("t", "to", &brief, "ADDRESS");
 }
 
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The program as its users run it.
+//! Tests of the commands, run as processes.
 
 use std::{
     fs,
@@ -52,7 +52,8 @@
 const DRAINING: &str =
     r#"{"outcome":"not-run","reason":"draining","detail":"the instance is draining"}"#;
 
-fn poplarknot(args: &[&str], input: &str) -> Output {
+/// Runs the program with these arguments and standard input.
+fn run(args: &[&str], input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_poplarknot"))
         .args(args)
         .env("POPLARKNOT_TOKEN", TOKEN)
@@ -68,7 +69,7 @@
     child.wait_with_output().expect("the program ends")
 }
 
-fn code(output: &Output) -> i32 {
+fn exit_code(output: &Output) -> i32 {
     output.status.code().expect("the program exits by itself")
 }
 
@@ -80,56 +81,59 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-fn temporary(name: &str, text: &str) -> PathBuf {
+/// Writes a file to the tests' temporary folder and returns its path.
+fn write_temporary(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     fs::write(&path, text).expect("the file is written");
     path
 }
 
-/// What a fake instance does with a connection.
+/// What a fake instance does with one connection.
 #[derive(Clone, Copy)]
-enum Act {
+enum Action {
     /// Answers with a status and a body.
     Answer(u16, &'static str),
     /// Reads the request and closes the connection.
-    Hangup,
+    Close,
 }
 
-/// A fake instance that treats its connections in the order of `acts`.
-struct Fake {
+/// A fake instance that takes one action for each connection, in order, and records the requests.
+struct FakeInstance {
     address: String,
     requests: mpsc::Receiver<String>,
 }
 
-impl Fake {
-    fn new(acts: impl IntoIterator<Item = Act>) -> Self {
+impl FakeInstance {
+    fn new(actions: impl IntoIterator<Item = Action>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let address = listener.local_addr().expect("it is bound").to_string();
         let (sender, requests) = mpsc::channel();
-        let acts: Vec<Act> = acts.into_iter().collect();
+        let actions: Vec<Action> = actions.into_iter().collect();
         thread::spawn(move || {
-            for act in acts {
+            for action in actions {
                 let (mut stream, _) = listener.accept().expect("a connection comes");
-                let request = receive(&mut stream);
-                // The test may have ended.
+                let request = read_request(&mut stream);
+                // The test may have ended and dropped the receiver.
                 let _ = sender.send(request);
-                if let Act::Answer(status, body) = act {
-                    answer(&mut stream, status, body);
+                if let Action::Answer(status, body) = action {
+                    send_answer(&mut stream, status, body);
                 }
             }
         });
         Self { address, requests }
     }
 
+    /// Returns the requests received since the last call.
     fn requests(&self) -> Vec<String> {
         self.requests.try_iter().collect()
     }
 }
 
-fn receive(stream: &mut TcpStream) -> String {
+/// Reads a request up to the end of its body.
+fn read_request(stream: &mut TcpStream) -> String {
     let mut text = String::new();
     let mut buffer = [0; 4_096];
-    while !whole(&text) {
+    while !is_complete(&text) {
         let count = stream.read(&mut buffer).expect("the request can be read");
         assert_ne!(count, 0, "the request ended early: {text}");
         text += std::str::from_utf8(&buffer[..count]).expect("the request is text");
@@ -137,7 +141,8 @@
     text
 }
 
-fn whole(request: &str) -> bool {
+/// Tells whether a request has its whole body.
+fn is_complete(request: &str) -> bool {
     let Some((head, body)) = request.split_once("\r\n\r\n") else {
         return false;
     };
@@ -147,7 +152,7 @@
     body.len() >= length.map_or(0, |l| l.parse().expect("a length is a number"))
 }
 
-fn answer(stream: &mut TcpStream, status: u16, body: &str) {
+fn send_answer(stream: &mut TcpStream, status: u16, body: &str) {
     let length = body.len();
     let head = format!("HTTP/1.1 {status} X\r\ncontent-length: {length}\r\n\r\n");
     let sent = stream.write_all((head + body).as_bytes());
@@ -158,16 +163,17 @@
     request.split_once("\r\n\r\n").expect("it has a body").1
 }
 
+/// Returns a header of a request; the name must be in lower case.
 fn header<'a>(request: &'a str, name: &str) -> Option<&'a str> {
     request
         .lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
 }
 
-/// An address at which nobody listens. The socket is kept, so that no other test gets its port.
-struct Deserted(TcpSocket);
+/// A port that refuses connections. The bound socket is kept, so that no other test gets the port.
+struct ClosedPort(TcpSocket);
 
-impl Deserted {
+impl ClosedPort {
     fn new() -> Self {
         let socket = TcpSocket::new_v4().expect("a socket can be made");
         let any = "127.0.0.1:0".parse().expect("it is an address");
@@ -182,16 +188,16 @@
 
 #[test]
 fn help_and_version_go_to_standard_output() {
-    let help = poplarknot(&["--help"], "");
-    assert_eq!(code(&help), 0);
+    let help = run(&["--help"], "");
+    assert_eq!(exit_code(&help), 0);
     for command in ["serve", "check", "submit", "record", "audit", "trace"] {
         assert!(stdout(&help).contains(command), "{command}");
-        let own = poplarknot(&[command, "--help"], "");
-        assert_eq!(code(&own), 0, "{command}");
+        let own = run(&[command, "--help"], "");
+        assert_eq!(exit_code(&own), 0, "{command}");
         let usage = format!("Usage: poplarknot {command}");
         assert!(stdout(&own).starts_with(&usage), "{}", stdout(&own));
     }
-    let version = poplarknot(&["--version"], "");
+    let version = run(&["--version"], "");
     let expected = format!("poplarknot {}\n", env!("CARGO_PKG_VERSION"));
     assert_eq!(stdout(&version), expected);
 }
@@ -215,8 +221,8 @@
         &["trace", "7239831d1d124ecb", "a.log", "--around", "2h"],
     ];
     for args in wrong {
-        let output = poplarknot(args, "");
-        assert_eq!(code(&output), 2, "{args:?}");
+        let output = run(args, "");
+        assert_eq!(exit_code(&output), 2, "{args:?}");
         assert_eq!(
             stderr(&output).lines().count(),
             1,
@@ -229,16 +235,16 @@
 
 #[test]
 fn a_file_that_is_missing_ends_with_code_1() {
-    let output = poplarknot(&["check", "no-such-file.ini"], "");
-    assert_eq!(code(&output), 1);
+    let output = run(&["check", "no-such-file.ini"], "");
+    assert_eq!(exit_code(&output), 1);
     assert!(stderr(&output).contains("no-such-file.ini"));
 }
 
 #[test]
 fn check_passes_the_shipped_settings() {
-    let path = temporary("shipped.ini", SHIPPED);
-    let output = poplarknot(&["check", &path.to_string_lossy()], "");
-    assert_eq!(code(&output), 0, "{}", stderr(&output));
+    let path = write_temporary("shipped.ini", SHIPPED);
+    let output = run(&["check", &path.to_string_lossy()], "");
+    assert_eq!(exit_code(&output), 0, "{}", stderr(&output));
 }
 
 #[test]
@@ -266,10 +272,10 @@
 [operators]
 anna = secret
 ";
-    let path = temporary("faults.ini", text);
-    let output = poplarknot(&["check", &path.to_string_lossy()], "");
-    let said = stderr(&output);
-    assert_eq!(code(&output), 3);
+    let path = write_temporary("faults.ini", text);
+    let output = run(&["check", &path.to_string_lossy()], "");
+    let message = stderr(&output);
+    assert_eq!(exit_code(&output), 3);
     let expected = [
         "14 faults",
         "[instance] name = entry one: allowed are",
@@ -288,18 +294,18 @@
         "[operators] anna: the token needs at least 16",
     ];
     for line in expected {
-        assert!(said.contains(line), "{line} is not in {said}");
+        assert!(message.contains(line), "{line} is not in {message}");
     }
-    assert!(!said.contains("secret"), "a token is shown: {said}");
+    assert!(!message.contains("secret"), "a token is shown: {message}");
 }
 
-/// The INI parser takes a line without `=` as the beginning of the next line's key. Without a check of its
-/// own, the operator would be told of a key that spans lines, and the setting below would be lost.
+/// The INI parser joins a line without `=` to the next one's key. Without the check, the setting below would be lost
+/// and the fault would name a key that spans lines.
 #[test]
 fn check_names_every_line_that_is_no_setting() {
-    let path = temporary("lines.ini", "[log\nlevel\n[log]\nlevel: info\n= info\n");
-    let output = poplarknot(&["check", &path.to_string_lossy()], "");
-    assert_eq!(code(&output), 3);
+    let path = write_temporary("lines.ini", "[log\nlevel\n[log]\nlevel: info\n= info\n");
+    let output = run(&["check", &path.to_string_lossy()], "");
+    assert_eq!(exit_code(&output), 3);
     for line in ["line 1: ", "line 2: ", "line 4: ", "line 5: "] {
         assert!(stderr(&output).contains(line), "{}", stderr(&output));
     }
@@ -353,7 +359,7 @@
 
 #[test]
 fn submit_prints_the_answer_and_sends_payloads_as_written() {
-    let fake = Fake::new([Act::Answer(200, COMPLETE)]);
+    let fake = FakeInstance::new([Action::Answer(200, COMPLETE)]);
     let args = [
         "submit",
         "--to",
@@ -365,8 +371,8 @@
         "--deadline",
         "900",
     ];
-    let output = poplarknot(&args, BURST);
-    assert_eq!(code(&output), 0, "{}", stderr(&output));
+    let output = run(&args, BURST);
+    assert_eq!(exit_code(&output), 0, "{}", stderr(&output));
     assert_eq!(stdout(&output), format!("{COMPLETE}\n"));
     assert_eq!(stderr(&output), "");
     let requests = fake.requests();
@@ -402,43 +408,43 @@
         ),
     ];
     for (text, status, expected) in outcomes {
-        let fake = Fake::new([Act::Answer(status, text)]);
-        let output = poplarknot(&["submit", "--to", &fake.address], BURST);
-        assert_eq!(code(&output), expected, "{text}");
+        let fake = FakeInstance::new([Action::Answer(status, text)]);
+        let output = run(&["submit", "--to", &fake.address], BURST);
+        assert_eq!(exit_code(&output), expected, "{text}");
         assert_eq!(stdout(&output), format!("{text}\n"));
     }
 }
 
 #[test]
 fn submit_refuses_a_malformed_burst_without_sending_it() {
-    let fake = Fake::new([Act::Answer(200, COMPLETE)]);
-    let output = poplarknot(&["submit", "--to", &fake.address], r#"{"team":"risk"}"#);
-    assert_eq!(code(&output), 2);
+    let fake = FakeInstance::new([Action::Answer(200, COMPLETE)]);
+    let output = run(&["submit", "--to", &fake.address], r#"{"team":"risk"}"#);
+    assert_eq!(exit_code(&output), 2);
     assert!(fake.requests().is_empty());
 }
 
-/// The first instance takes the request and dies before it answers. The burst has no key, so a second
-/// instance would see a new job and run it once more. The caller must be told that it can't be known.
+/// The first instance reads the request and closes the connection. Without a key, a second request could run the
+/// burst twice, so the outcome must be reported as unknown.
 #[test]
 fn submit_without_a_key_is_not_repeated_once_it_may_have_arrived() {
-    let first = Fake::new([Act::Hangup]);
-    let second = Fake::new([Act::Answer(200, COMPLETE)]);
-    let output = poplarknot(
+    let first = FakeInstance::new([Action::Close]);
+    let second = FakeInstance::new([Action::Answer(200, COMPLETE)]);
+    let output = run(
         &["submit", "--to", &first.address, "--to", &second.address],
         BURST,
     );
-    assert_eq!(code(&output), 6);
+    assert_eq!(exit_code(&output), 6);
     assert_eq!(stdout(&output), "");
     assert_eq!(first.requests().len(), 1);
     assert!(second.requests().is_empty());
 }
 
-/// The same with a key: the second instance joins the running job or gives its kept answer, which it can do
-/// only if the resubmission is the same to the byte.
+/// With a key, the burst is sent to the second instance, which recognizes a duplicate only if the resubmission is
+/// identical byte for byte.
 #[test]
 fn submit_with_a_key_is_repeated_to_the_byte() {
-    let first = Fake::new([Act::Hangup]);
-    let second = Fake::new([Act::Answer(200, COMPLETE)]);
+    let first = FakeInstance::new([Action::Close]);
+    let second = FakeInstance::new([Action::Answer(200, COMPLETE)]);
     let args = [
         "submit",
         "--key",
@@ -448,18 +454,18 @@
         "--to",
         &second.address,
     ];
-    let output = poplarknot(&args, BURST);
-    assert_eq!(code(&output), 0, "{}", stderr(&output));
+    let output = run(&args, BURST);
+    assert_eq!(exit_code(&output), 0, "{}", stderr(&output));
     let (first, second) = (first.requests(), second.requests());
     assert_eq!(body(&first[0]), body(&second[0]));
 }
 
-/// The first instance takes the request and dies; the second one drains and refuses. Its "not run" is true
-/// of the second request and says nothing of the first, so the burst as a whole is unknown.
+/// The first request may have run, and the second is refused by a draining instance. "Not run" would be wrong for
+/// the burst, so the outcome must be reported as unknown.
 #[test]
 fn submit_does_not_say_not_run_after_a_lost_request() {
-    let first = Fake::new([Act::Hangup]);
-    let second = Fake::new([Act::Answer(503, DRAINING)]);
+    let first = FakeInstance::new([Action::Close]);
+    let second = FakeInstance::new([Action::Answer(503, DRAINING)]);
     let args = [
         "submit",
         "--key",
@@ -469,82 +475,90 @@
         "--to",
         &second.address,
     ];
-    let output = poplarknot(&args, BURST);
-    assert_eq!(code(&output), 6);
+    let output = run(&args, BURST);
+    assert_eq!(exit_code(&output), 6);
     assert_eq!(stdout(&output), "");
 }
 
-/// The first instance has no room and can't tell whether an earlier request with this key ran. The second
-/// one has room: with a key it is safe to ask, and its answer is the answer to the burst.
+/// The first instance is overloaded and doesn't know whether an earlier request with this key ran. The key makes a
+/// second request safe, so the next instance must be asked.
 #[test]
 fn submit_with_a_key_goes_on_from_an_instance_that_is_in_doubt() {
-    const DOUBT: &str = r#"{"outcome":"unknown","reason":"busy","detail":"no room"}"#;
-    let first = Fake::new([Act::Answer(429, DOUBT), Act::Answer(429, DOUBT)]);
-    let second = Fake::new([Act::Answer(200, COMPLETE)]);
+    const UNKNOWN: &str = r#"{"outcome":"unknown","reason":"busy","detail":"no room"}"#;
+    let first = FakeInstance::new([Action::Answer(429, UNKNOWN), Action::Answer(429, UNKNOWN)]);
+    let second = FakeInstance::new([Action::Answer(200, COMPLETE)]);
     let both = ["--to", &first.address, "--to", &second.address];
-    let output = poplarknot(&[&["submit", "--key", "k-4"][..], &both].concat(), BURST);
+    let output = run(&[&["submit", "--key", "k-4"][..], &both].concat(), BURST);
     assert_eq!(
-        (code(&output), stdout(&output)),
+        (exit_code(&output), stdout(&output)),
         (0, format!("{COMPLETE}\n"))
     );
 
     let alone = ["submit", "--key", "k-4", "--to", &first.address];
-    let output = poplarknot(&alone, BURST);
-    assert_eq!((code(&output), stdout(&output)), (6, format!("{DOUBT}\n")));
+    let output = run(&alone, BURST);
+    assert_eq!(
+        (exit_code(&output), stdout(&output)),
+        (6, format!("{UNKNOWN}\n"))
+    );
 }
 
-/// A caller vouches that its key is new. The first request is lost after that, so the key is no new one any
-/// more: said again, it would let the second instance answer "not run" of a burst that may have run.
+/// A key isn't new once a request with it was lost. If it were still announced as new, the next instance could
+/// answer "not run" for a burst that may have run.
 #[test]
 fn submit_says_that_a_key_is_new_only_until_it_may_have_arrived() {
-    let first = Fake::new([Act::Answer(503, DRAINING)]);
-    let second = Fake::new([Act::Hangup]);
-    let third = Fake::new([Act::Answer(200, COMPLETE)]);
+    let first = FakeInstance::new([Action::Answer(503, DRAINING)]);
+    let second = FakeInstance::new([Action::Close]);
+    let third = FakeInstance::new([Action::Answer(200, COMPLETE)]);
     let mut args = vec!["submit", "--key", "k-5", "--first"];
     for fake in [&first, &second, &third] {
         args.extend(["--to", &fake.address]);
     }
-    let output = poplarknot(&args, BURST);
-    assert_eq!(code(&output), 0, "{}", stderr(&output));
-    let said = |fake: &Fake| header(&fake.requests()[0], "poplarknot-first").map(str::to_owned);
+    let output = run(&args, BURST);
+    assert_eq!(exit_code(&output), 0, "{}", stderr(&output));
+    let first_header =
+        |fake: &FakeInstance| header(&fake.requests()[0], "poplarknot-first").map(str::to_owned);
     let new = Some("true".to_owned());
     assert_eq!(
-        [said(&first), said(&second), said(&third)],
+        [
+            first_header(&first),
+            first_header(&second),
+            first_header(&third)
+        ],
         [new.clone(), new, None]
     );
 }
 
 #[test]
 fn submit_goes_on_where_nothing_was_run() {
-    let draining = Fake::new([Act::Answer(503, DRAINING)]);
-    let last = Fake::new([Act::Answer(200, COMPLETE)]);
-    let deserted = Deserted::new();
-    let nobody = deserted.address();
+    let draining = FakeInstance::new([Action::Answer(503, DRAINING)]);
+    let last = FakeInstance::new([Action::Answer(200, COMPLETE)]);
+    let closed = ClosedPort::new();
+    let refusing = closed.address();
     let args = [
         "submit",
         "--to",
-        &nobody,
+        &refusing,
         "--to",
         &draining.address,
         "--to",
         &last.address,
     ];
-    let output = poplarknot(&args, BURST);
-    assert_eq!(code(&output), 0, "{}", stderr(&output));
+    let output = run(&args, BURST);
+    assert_eq!(exit_code(&output), 0, "{}", stderr(&output));
     assert_eq!(draining.requests().len(), 1);
 
-    let output = poplarknot(&["submit", "--to", &nobody], BURST);
-    assert_eq!((code(&output), stdout(&output)), (5, String::new()));
+    let output = run(&["submit", "--to", &refusing], BURST);
+    assert_eq!((exit_code(&output), stdout(&output)), (5, String::new()));
 }
 
-/// An operator's change is committed, and the answer is lost. The repetition must carry the same operation,
-/// or the record would be submitted twice.
+/// The answer to a change is lost. The retry must carry the same operation id, or the record could be submitted
+/// twice.
 #[test]
 fn record_repeats_a_change_under_the_same_operation() {
-    let fake = Fake::new([Act::Hangup, Act::Answer(201, r#"{"revision":7}"#)]);
+    let fake = FakeInstance::new([Action::Close, Action::Answer(201, r#"{"revision":7}"#)]);
     let args = ["record", "submit", "--dry-run", "--to", &fake.address];
-    let output = poplarknot(&args, r#"{"kind":"service"}"#);
-    assert_eq!(code(&output), 0, "{}", stderr(&output));
+    let output = run(&args, r#"{"kind":"service"}"#);
+    assert_eq!(exit_code(&output), 0, "{}", stderr(&output));
     assert_eq!(stdout(&output), "{\"revision\":7}\n");
     let requests = fake.requests();
     assert!(requests[0].starts_with("POST /v1/records?dry_run=true HTTP/1.1\r\n"));
@@ -557,7 +571,7 @@
 
 #[test]
 fn record_tells_a_change_that_may_be_in_force() {
-    let fake = Fake::new([Act::Hangup, Act::Hangup, Act::Hangup]);
+    let fake = FakeInstance::new([Action::Close, Action::Close, Action::Close]);
     let args = [
         "record",
         "withdraw",
@@ -568,8 +582,8 @@
         "--to",
         &fake.address,
     ];
-    let output = poplarknot(&args, "");
-    assert_eq!(code(&output), 6);
+    let output = run(&args, "");
+    assert_eq!(exit_code(&output), 6);
     let requests = fake.requests();
     let operation = header(&requests[2], "poplarknot-operation").expect("it has one");
     assert!(stderr(&output).contains(operation), "{}", stderr(&output));
@@ -579,7 +593,7 @@
 
 #[test]
 fn record_and_audit_ask_what_they_are_told_to() {
-    let asks: [(&[&str], &str); 5] = [
+    let cases: [(&[&str], &str); 5] = [
         (&["record", "list"], "GET /v1/records HTTP"),
         (
             &["record", "list", "pool"],
@@ -608,14 +622,14 @@
             "GET /v1/audit?record=pool/left&from=1&to=2&after=0-f HTTP",
         ),
     ];
-    for (args, expected) in asks {
-        let fake = Fake::new([Act::Answer(403, "the token is not known")]);
+    for (args, expected) in cases {
+        let fake = FakeInstance::new([Action::Answer(403, "the token is not known")]);
         let args = [args, &["--to", &fake.address]].concat();
-        let output = poplarknot(&args, "");
-        assert_eq!(code(&output), 1, "{args:?}");
-        let said = stderr(&output);
-        assert!(said.contains("403: the token is not known"), "{said}");
-        assert!(!said.contains(TOKEN), "the token is shown: {said}");
+        let output = run(&args, "");
+        assert_eq!(exit_code(&output), 1, "{args:?}");
+        let message = stderr(&output);
+        assert!(message.contains("403: the token is not known"), "{message}");
+        assert!(!message.contains(TOKEN), "the token is shown: {message}");
         let request = fake.requests().remove(0);
         assert!(request.starts_with(expected), "{request}");
     }
--- a/tests/support.rs
+++ b/tests/support.rs
@@ -1,11 +1,11 @@
-//! Stand-ins for what an instance talks to, and a harness that runs real instances.
+//! Test doubles for the services that an instance calls, and a harness that runs real instances.
 //!
-//! All of it listens on loopback, on ports that the system picks. The stand-ins are tasks on the
-//! runtime of the test, so that a test reads their counters directly; examples run the same code as
-//! processes of their own and read the counters over HTTP.
-#![allow(dead_code, unreachable_pub)] // Each target uses its own part.
+//! Everything listens on loopback, on ports that the system assigns. The doubles are tasks on the runtime of the test,
+//! so that a test reads their counters directly; examples run the same code as separate processes and read the
+//! counters over HTTP.
+#![allow(dead_code, unreachable_pub)] // No target uses every helper.
 
-// The paths are given since examples load this file from another folder.
+// Explicit paths, since examples load this file from another folder.
 #[path = "support/client.rs"]
 pub mod client;
 #[path = "support/cluster.rs"]
@@ -29,19 +29,19 @@
 /// The result of a step of the harness.
 pub type Result<T = ()> = std::result::Result<T, Box<dyn std::error::Error + Send + Sync>>;
 
-/// How long the harness waits for an event before it gives up.
+/// Time limit of the harness for any single wait.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until `check` gives a value.
+/// Polls `check` until it returns a value.
 ///
 /// # Errors
 ///
-/// Gives up, naming `what`, when the harness runs out of patience.
+/// Fails after [`WAIT_TIMEOUT`] with an error that names `what`.
 pub async fn wait_until<T, F>(what: &str, mut check: impl FnMut() -> F) -> Result<T>
 where
     F: Future<Output = Option<T>>,
 {
-    let attempt = async {
+    let poll = async {
         loop {
             if let Some(value) = check().await {
                 return value;
@@ -49,7 +49,7 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(WAIT_TIMEOUT, attempt)
+    tokio::time::timeout(WAIT_TIMEOUT, poll)
         .await
-        .map_err(|_| format!("gave up waiting until {what}").into())
+        .map_err(|_| format!("timed out waiting until {what}").into())
 }
--- a/tests/support/client.rs
+++ b/tests/support/client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client for tests.
+//! An HTTP client for tests.
 
 use std::net::SocketAddr;
 
@@ -22,7 +22,7 @@
 /// Headers of a request.
 pub type Headers<'a> = &'a [(&'a str, &'a str)];
 
-/// An answer with its whole body.
+/// A response with its whole body.
 #[derive(Debug, Clone)]
 pub struct Response {
     /// The status.
@@ -34,7 +34,7 @@
 }
 
 impl Response {
-    /// Reads the body as JSON.
+    /// Parses the body as JSON.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T> {
         Ok(serde_json::from_slice(&self.body)?)
     }
@@ -44,25 +44,33 @@
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// Reads the answer to a job and checks that its header tells the same outcome.
+    /// Parses the answer to a job.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the outcome header differs from the body.
     pub fn answer(&self) -> Result<Answer> {
         let answer: Answer = self.json()?;
-        let told = self.header("poplarknot-outcome").unwrap_or("none");
-        if told != answer.outcome.to_string() {
-            return Err(format!("header tells {told}, body {}", answer.outcome).into());
+        let header = self.header("poplarknot-outcome").unwrap_or("none");
+        if header != answer.outcome.to_string() {
+            return Err(format!(
+                "the header has outcome {header}, the body {}",
+                answer.outcome
+            )
+            .into());
         }
         Ok(answer)
     }
 }
 
-/// A connection that is kept alive.
+/// A keep-alive connection.
 pub struct Client {
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
 }
 
 impl Client {
-    /// Connects.
+    /// Opens a connection.
     pub async fn connect(address: SocketAddr) -> Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
@@ -72,7 +80,7 @@
         Ok(Self { address, sender })
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the whole response. A `host` header replaces the address of the server.
     pub async fn send(
         &mut self,
         method: Method,
@@ -80,9 +88,9 @@
         headers: Headers<'_>,
         body: impl Into<Bytes>,
     ) -> Result<Response> {
-        let own = self.address.to_string();
+        let address = self.address.to_string();
         let host = headers.iter().find(|(name, _)| *name == "host");
-        let host = host.map_or(own.as_str(), |(_, host)| *host);
+        let host = host.map_or(address.as_str(), |(_, host)| *host);
         let headers = headers.iter().filter(|(name, _)| *name != "host");
         let mut request = hyper::Request::builder()
             .method(method)
@@ -92,10 +100,10 @@
             request = request.header(*name, *value);
         }
         self.sender.ready().await?;
-        let answer = self
+        let response = self
             .sender
             .send_request(request.body(Full::new(body.into()))?);
-        let (head, body) = answer.await?.into_parts();
+        let (head, body) = response.await?.into_parts();
         Ok(Response {
             status: head.status.as_u16(),
             headers: head.headers,
@@ -103,7 +111,7 @@
         })
     }
 
-    /// Posts JSON.
+    /// Sends a `POST` with a JSON body.
     pub async fn post(
         &mut self,
         path: &str,
@@ -114,13 +122,13 @@
         self.send(Method::POST, path, headers, body).await
     }
 
-    /// Gets.
+    /// Sends a `GET`.
     pub async fn get(&mut self, path: &str) -> Result<Response> {
         self.send(Method::GET, path, &[], Bytes::new()).await
     }
 }
 
-/// Posts JSON over a connection of its own.
+/// Sends a `POST` with a JSON body over a new connection.
 pub async fn post(
     address: SocketAddr,
     path: &str,
@@ -133,12 +141,12 @@
         .await
 }
 
-/// Gets over a connection of its own.
+/// Sends a `GET` over a new connection.
 pub async fn get(address: SocketAddr, path: &str) -> Result<Response> {
     Client::connect(address).await?.get(path).await
 }
 
-/// Deletes over a connection of its own.
+/// Sends a `DELETE` over a new connection.
 pub async fn delete(address: SocketAddr, path: &str, headers: Headers<'_>) -> Result<Response> {
     let mut client = Client::connect(address).await?;
     client
--- a/tests/support/cluster.rs
+++ b/tests/support/cluster.rs
@@ -1,4 +1,4 @@
-//! A platform, workers and instances together.
+//! A cluster of a platform, workers and instances.
 
 use std::{
     ffi::OsString,
@@ -36,13 +36,13 @@
     Result, //
 };
 
-/// Workers to a rack.
-const RACK: usize = 8;
+/// Workers per rack.
+const RACK_SIZE: usize = 8;
 
-/// The service that the harness configures.
+/// The service of the default configuration.
 pub const SERVICE: &str = "notebook";
 
-/// Returns the configuration that the harness seeds; the one place that knows its form.
+/// Returns the records of the default configuration: one pool and one service.
 pub fn default_records() -> Vec<Value> {
     vec![
         json!({"schema": 1, "kind": "pool", "name": "workers"}),
@@ -56,7 +56,7 @@
     ]
 }
 
-/// Submits the configuration through the first instance and waits until all have it.
+/// Submits the configuration through the first instance and waits until all instances have it.
 pub async fn apply_records(instances: &[Instance], records: &[Value]) -> Result {
     for instance in instances {
         instance.wait_ready().await?;
@@ -70,10 +70,12 @@
         let answer = client::post(first.callers, "/v1/records", &headers, record).await?;
         if !(200..300).contains(&answer.status) {
             let text = String::from_utf8_lossy(&answer.body);
-            return Err(format!("{record} was refused: {} {text}", answer.status).into());
+            return Err(
+                format!("{record} was refused with status {}: {text}", answer.status).into(),
+            );
         }
     }
-    // Changes apply in order, so the last one stands for all.
+    // Changes are applied in order, so an instance that has the last one has all.
     let text = |field: &str| last[field].as_str().unwrap_or_default();
     let path = format!("/v1/records/{}/{}", text("kind"), text("name"));
     for instance in instances {
@@ -97,12 +99,12 @@
     settings: Vec<(String, String, String)>,
     platform: platform::Settings,
     records: Vec<Value>,
-    worker: fn(&mut Entry),
-    proxied: bool,
+    configure_worker: fn(&mut Entry),
+    with_proxies: bool,
 }
 
 impl Builder {
-    /// Begins a cluster of two instances and four workers in one data centre.
+    /// Returns a builder of a cluster with two instances and four workers in one data centre.
     pub fn new(program: impl Into<OsString>) -> Self {
         Self {
             program: program.into(),
@@ -112,43 +114,43 @@
             settings: Vec::new(),
             platform: platform::Settings::default(),
             records: default_records(),
-            worker: |_| {},
-            proxied: false,
+            configure_worker: |_| {},
+            with_proxies: false,
         }
     }
 
-    /// Sets the data centres; instances and workers go to them by turns.
+    /// Sets the data centres; instances and workers are assigned to them round-robin.
     pub fn centres(mut self, centres: &[&str]) -> Self {
         self.centres = centres.iter().map(|c| (*c).to_owned()).collect();
         self
     }
 
-    /// Sets how many instances there are in all.
+    /// Sets the total number of instances.
     pub fn instances(mut self, instances: usize) -> Self {
         self.instances = instances;
         self
     }
 
-    /// Sets how many workers there are in all, eight to a rack.
+    /// Sets the total number of workers.
     pub fn workers(mut self, workers: usize) -> Self {
         self.workers = workers;
         self
     }
 
-    /// Changes every worker before it starts.
+    /// Sets a function that changes the entry of every worker before it starts.
     pub fn configure_worker(mut self, change: fn(&mut Entry)) -> Self {
-        self.worker = change;
+        self.configure_worker = change;
         self
     }
 
-    /// Sets a key in the settings of every instance.
+    /// Sets a key in the settings file of every instance.
     pub fn set(mut self, section: &str, key: &str, value: impl ToString) -> Self {
         let entry = (section.to_owned(), key.to_owned(), value.to_string());
         self.settings.push(entry);
         self
     }
 
-    /// Sets how the platform behaves.
+    /// Sets the latencies of the platform.
     pub fn platform(mut self, platform: platform::Settings) -> Self {
         self.platform = platform;
         self
@@ -156,21 +158,21 @@
 
     /// Puts a proxy in front of the platform, of each worker and of each instance's peer port.
     pub fn with_proxies(mut self) -> Self {
-        self.proxied = true;
+        self.with_proxies = true;
         self
     }
 
-    /// Sets the configuration in place of the usual one.
+    /// Replaces the default configuration.
     pub fn records(mut self, records: Vec<Value>) -> Self {
         self.records = records;
         self
     }
 
-    /// Starts everything and waits until all instances are ready and configured.
+    /// Starts the cluster and waits until all instances are ready and configured.
     pub async fn start(self) -> Result<Cluster> {
         let platform = Platform::start(self.platform)?;
         let mut cluster = Cluster {
-            proxies: Proxies::start(self.proxied, platform.address())?,
+            proxies: Proxies::start(self.with_proxies, platform.address())?,
             platform,
             workers: Vec::new(),
             instances: Vec::new(),
@@ -193,8 +195,8 @@
     fn new_worker(&self, i: usize) -> Entry {
         let centre = self.centre(i);
         let mut entry = worker::new_entry(&format!("worker-{i}"), centre);
-        entry.rack = format!("{centre}-{}", i / self.centres.len() / RACK);
-        (self.worker)(&mut entry);
+        entry.rack = format!("{centre}-{}", i / self.centres.len() / RACK_SIZE);
+        (self.configure_worker)(&mut entry);
         entry
     }
 
@@ -208,27 +210,27 @@
     }
 }
 
-/// The proxies of a cluster, none where it has not asked for them.
+/// The proxies of a cluster; empty unless the builder enables them.
 pub struct Proxies {
-    /// The one in front of the platform.
+    /// The proxy in front of the platform.
     pub platform: Option<Proxy>,
-    /// Those in front of the workers, in their order.
+    /// The proxies in front of the workers, in the same order.
     pub workers: Vec<Proxy>,
-    /// Those in front of the instances' peer ports, in their order.
+    /// The proxies in front of the instances' peer ports, in the same order.
     pub peers: Vec<Proxy>,
 }
 
 impl Proxies {
-    fn start(proxied: bool, platform: SocketAddr) -> Result<Self> {
+    fn start(enabled: bool, platform: SocketAddr) -> Result<Self> {
         Ok(Self {
-            platform: proxied.then(|| Proxy::start(platform)).transpose()?,
+            platform: enabled.then(|| Proxy::start(platform)).transpose()?,
             workers: Vec::new(),
             peers: Vec::new(),
         })
     }
 }
 
-/// A running cluster; all of it ends when it is dropped.
+/// A running cluster; stopped when dropped.
 pub struct Cluster {
     /// The platform.
     pub platform: Platform,
@@ -241,13 +243,13 @@
 }
 
 impl Cluster {
-    /// Returns where instances find the platform.
+    /// Returns the platform's address for instances: the proxy's if there is one.
     pub fn platform_address(&self) -> SocketAddr {
         let proxy = self.proxies.platform.as_ref();
         proxy.map_or(self.platform.address(), Proxy::address)
     }
 
-    /// Starts one more worker and puts it on the platform's list.
+    /// Starts a worker and registers it with the platform.
     pub fn add_worker(&mut self, worker: Entry) -> Result {
         let worker = Worker::start(worker)?;
         let mut entry = worker.entry();
@@ -261,7 +263,7 @@
         Ok(())
     }
 
-    /// Starts one more instance and puts it on the platform's list.
+    /// Starts an instance and registers it with the platform.
     pub async fn add_instance(&mut self, instance: &instance::Builder) -> Result {
         let instance = instance.start().await?;
         let mut address = instance.peers;
@@ -275,7 +277,7 @@
         Ok(())
     }
 
-    /// Starts an instance again under its name, in place of a run that has ended.
+    /// Replaces an ended instance by a new process of the same name.
     pub async fn restart(&mut self, i: usize) -> Result {
         let builder = self.instances[i].builder.clone();
         self.add_instance(&builder).await?;
@@ -286,32 +288,32 @@
         Ok(())
     }
 
-    /// Submits a job at one instance.
+    /// Submits a job to one instance and waits for the answer.
     pub async fn submit(&self, instance: usize, job: &Value) -> Result<Response> {
         submit(self.instances[instance].callers, job).await
     }
 
-    /// Counts the starts of each task, by name, over all workers.
+    /// Returns the number of starts of each task, by name, over all workers.
     pub fn count_starts(&self) -> std::collections::HashMap<String, usize> {
         worker::count_starts(&self.workers)
     }
 }
 
-/// Submits a job.
+/// Submits a job and waits for the answer.
 pub async fn submit(callers: SocketAddr, job: &Value) -> Result<Response> {
     client::post(callers, "/v1/jobs", &[], job).await
 }
 
-/// Makes a job of tasks that sleep, named `KEY/0`, `KEY/1` and so on.
-pub fn job(key: &str, sleeps: impl IntoIterator<Item = u64>) -> Value {
-    let task = |(i, sleep): (usize, u64)| {
+/// Returns a job of tasks named `KEY/0`, `KEY/1` and so on, which sleep for the given milliseconds.
+pub fn job(key: &str, sleeps_ms: impl IntoIterator<Item = u64>) -> Value {
+    let task = |(i, sleep_ms): (usize, u64)| {
         json!({
-            "payload": {"sleep_ms": sleep, "id": format!("{key}/{i}")},
-            "expected_ms": sleep,
+            "payload": {"sleep_ms": sleep_ms, "id": format!("{key}/{i}")},
+            "expected_ms": sleep_ms,
             "need": {"cores": 1},
         })
     };
-    let tasks: Vec<Value> = sleeps.into_iter().enumerate().map(task).collect();
+    let tasks: Vec<Value> = sleeps_ms.into_iter().enumerate().map(task).collect();
     json!({
         "team": "risk",
         "service": SERVICE,
--- a/tests/support/instance.rs
+++ b/tests/support/instance.rs
@@ -1,4 +1,4 @@
-//! Runs a real instance as a process of its own.
+//! Runs a real instance as a separate process.
 
 use std::{
     collections::BTreeMap,
@@ -41,9 +41,9 @@
     WAIT_TIMEOUT, //
 };
 
-/// The operator that every instance of the harness knows.
+/// The operator in the settings of every instance.
 pub const OPERATOR: &str = "ada";
-/// Its token.
+/// The token of [`OPERATOR`].
 pub const TOKEN: &str = "token-of-ada-for-tests";
 
 /// Builds an [`Instance`].
@@ -56,7 +56,7 @@
 }
 
 impl Builder {
-    /// Begins an instance that runs `program`; it is told the platform's address and no other.
+    /// Returns a builder of an instance that runs `program`. The platform's is the only address in its settings.
     pub fn new(
         program: impl Into<OsString>,
         name: &str,
@@ -89,7 +89,7 @@
         &self.centre
     }
 
-    /// Adds an argument before `serve`.
+    /// Adds an argument of the program, before `serve`.
     pub fn argument(mut self, argument: impl Into<OsString>) -> Self {
         self.command.push(argument.into());
         self
@@ -102,7 +102,8 @@
         self
     }
 
-    fn ini(&self) -> String {
+    /// Returns the settings file.
+    fn render_settings(&self) -> String {
         let mut text = String::new();
         for (section, keys) in &self.settings {
             let _ = writeln!(text, "[{section}]");
@@ -117,8 +118,8 @@
     pub async fn start(&self) -> Result<Instance> {
         let folder = tempfile::tempdir()?;
         let settings = folder.path().join("instance.ini");
-        std::fs::write(&settings, self.ini())?;
-        let log = std::fs::File::create(folder.path().join(LOG))?;
+        std::fs::write(&settings, self.render_settings())?;
+        let log = std::fs::File::create(folder.path().join(LOG_FILE))?;
         let mut child = Command::new(&self.command[0])
             .args(&self.command[1..])
             .args(["serve", "--settings"])
@@ -128,11 +129,17 @@
             .stderr(log)
             .kill_on_drop(true)
             .spawn()?;
-        let listening = tokio::time::timeout(WAIT_TIMEOUT, listening(&mut child)).await;
-        let (callers, peers) = listening
+        let addresses = tokio::time::timeout(WAIT_TIMEOUT, read_addresses(&mut child)).await;
+        let (callers, peers) = addresses
             .map_err(Into::into)
-            .and_then(|l| l)
-            .map_err(|e| format!("{} did not start: {e}\n{}", self.name, read(folder.path())))?;
+            .and_then(|addresses| addresses)
+            .map_err(|e| {
+                format!(
+                    "{} did not start: {e}\n{}",
+                    self.name,
+                    read_log(folder.path())
+                )
+            })?;
         Ok(Instance {
             builder: self.clone(),
             callers,
@@ -143,15 +150,15 @@
     }
 }
 
-/// The file that takes the standard error of an instance.
-const LOG: &str = "log";
+/// The file with the standard error of an instance.
+const LOG_FILE: &str = "log";
 
-fn read(folder: &Path) -> String {
-    std::fs::read_to_string(folder.join(LOG)).unwrap_or_default()
+fn read_log(folder: &Path) -> String {
+    std::fs::read_to_string(folder.join(LOG_FILE)).unwrap_or_default()
 }
 
-/// Reads the line that tells the ports, and leaves a task to drain what follows.
-async fn listening(child: &mut Child) -> Result<(SocketAddr, SocketAddr)> {
+/// Reads the addresses that an instance prints, then leaves a task to drain its output: a full pipe would block it.
+async fn read_addresses(child: &mut Child) -> Result<(SocketAddr, SocketAddr)> {
     let stdout = child.stdout.take().ok_or("no standard output")?;
     let mut lines = BufReader::new(stdout).lines();
     while let Some(line) = lines.next_line().await? {
@@ -166,23 +173,23 @@
         };
         return Ok((address("callers")?, address("peers")?));
     }
-    Err("it ended without telling its ports".into())
+    Err("it ended without printing its addresses".into())
 }
 
 /// A running instance; its process is killed when it is dropped.
 pub struct Instance {
-    /// What it was started from; starting it again gives a new run of the same name.
+    /// The builder; starting it again gives a new process of the same name.
     pub builder: Builder,
-    /// Where it listens to callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where it listens to peers.
+    /// The address for peers.
     pub peers: SocketAddr,
     child: Child,
     folder: tempfile::TempDir,
 }
 
 impl Instance {
-    /// Returns its entry for the platform's list, with the address that peers are to use.
+    /// Returns the entry for the platform's list, with the address that peers connect to.
     pub fn member(&self, address: SocketAddr) -> Result<Member> {
         Ok(Member {
             name: self.builder.name.parse()?,
@@ -192,37 +199,37 @@
         })
     }
 
-    fn signal(&self, signal: Signal) -> Result {
+    fn send_signal(&self, signal: Signal) -> Result {
         let id = self.child.id().ok_or("the process has ended")?;
         Ok(kill(Pid::from_raw(id.try_into()?), signal)?)
     }
 
-    /// Kills it, and waits for its end.
+    /// Kills the process and waits for its exit.
     pub async fn kill(&mut self) -> Result {
         Ok(self.child.kill().await?)
     }
 
-    /// Asks it to drain and end.
+    /// Sends SIGTERM: the instance drains and exits.
     pub fn stop(&self) -> Result {
-        self.signal(Signal::SIGTERM)
+        self.send_signal(Signal::SIGTERM)
     }
 
-    /// Pauses the process.
+    /// Pauses the process with SIGSTOP.
     pub fn pause(&self) -> Result {
-        self.signal(Signal::SIGSTOP)
+        self.send_signal(Signal::SIGSTOP)
     }
 
-    /// Lets the process go on.
+    /// Resumes a paused process.
     pub fn resume(&self) -> Result {
-        self.signal(Signal::SIGCONT)
+        self.send_signal(Signal::SIGCONT)
     }
 
-    /// Waits for its end.
+    /// Waits until the process exits.
     pub async fn wait_exit(&mut self) -> Result<ExitStatus> {
         Ok(tokio::time::timeout(WAIT_TIMEOUT, self.child.wait()).await??)
     }
 
-    /// Waits until it is ready.
+    /// Waits until the instance reports that it's ready.
     pub async fn wait_ready(&self) -> Result {
         let what = format!("{} is ready", self.builder.name);
         wait_until(&what, || async {
@@ -233,12 +240,12 @@
         .map_err(|e| format!("{e}\n{}", self.log()).into())
     }
 
-    /// Returns what it has logged.
+    /// Returns the log so far.
     pub fn log(&self) -> String {
-        read(self.folder.path())
+        read_log(self.folder.path())
     }
 
-    /// Returns the id of its process, until it has ended.
+    /// Returns the process id, or `None` once the process has exited.
     pub fn id(&self) -> Option<u32> {
         self.child.id()
     }
