--- a/tests/standin.rs
+++ b/tests/standin.rs
@@ -1,4 +1,4 @@
-//! Tests of the stand-ins themselves.
+//! Tests of the test doubles. A faulty double would let other tests pass or fail regardless of the program.
 
 mod support;
 
@@ -44,8 +44,8 @@
     Result,
 };
 
-/// A transaction that inserts rows, each in a group of its own, unless they are there.
-fn insert(keys: &[&str]) -> Commit {
+/// Returns a commit that inserts rows that don't exist, each in a group of its own.
+fn insert_commit(keys: &[&str]) -> Commit {
     let group = |key: &&str| Group {
         conditions: vec![Condition {
             key: (*key).to_owned(),
@@ -61,7 +61,8 @@
     }
 }
 
-fn start(task: u32, sleep_ms: u64) -> Start {
+/// Returns a request to start a task that sleeps.
+fn start_request(task: u32, sleep_ms: u64) -> Start {
     let attempt = Attempt {
         incarnation: Incarnation(7),
         job: 1,
@@ -79,7 +80,8 @@
     }
 }
 
-async fn stop(worker: &Worker, attempt: Attempt) -> Result<Status> {
+/// Asks a worker to stop an attempt and returns its status.
+async fn stop_attempt(worker: &Worker, attempt: Attempt) -> Result<Status> {
     let path = format!("/tasks/{attempt}/stop");
     client::post(worker.address(), &path, &[], &())
         .await?
@@ -93,7 +95,7 @@
     let mut client = Client::connect(platform.address()).await?;
 
     let answer = client
-        .post("/table/commit", &[], &insert(&["a", "b"]))
+        .post("/table/commit", &[], &insert_commit(&["a", "b"]))
         .await?;
     let committed: Committed = answer.json()?;
 
@@ -114,16 +116,21 @@
 async fn commits_take_effect_without_an_answer_or_late() -> Result {
     let platform = Platform::start(Settings::default())?;
     platform.update_faults(|f| f.dropped_answers = 1);
-    let answer = client::post(platform.address(), "/table/commit", &[], &insert(&["a"])).await;
+    let answer = client::post(
+        platform.address(),
+        "/table/commit",
+        &[],
+        &insert_commit(&["a"]),
+    )
+    .await;
     assert!(answer.is_err());
     assert!(platform.row("a").is_some());
 
     platform.update_faults(|f| (f.late_commits, f.commit_delay) = (1, Duration::from_millis(50)));
     let address = platform.address();
-    let late =
-        tokio::spawn(
-            async move { client::post(address, "/table/commit", &[], &insert(&["b"])).await },
-        );
+    let late = tokio::spawn(async move {
+        client::post(address, "/table/commit", &[], &insert_commit(&["b"])).await
+    });
     wait_until("the late write applies", || async { platform.row("b") }).await?;
     assert!(!late.is_finished());
     late.abort();
@@ -151,7 +158,7 @@
 #[tokio::test]
 async fn an_attempt_starts_once_and_a_barred_one_never() -> Result {
     let worker = Worker::start(worker::new_entry("w", "maardu"))?;
-    let (first, second) = (start(0, 20), start(0, 20));
+    let (first, second) = (start_request(0, 20), start_request(0, 20));
     let (first, second) = tokio::join!(
         client::post(worker.address(), "/tasks", &[], &first),
         client::post(worker.address(), "/tasks", &[], &second),
@@ -160,9 +167,9 @@
     assert!(matches!(second?.json()?, Reply::Done { .. }));
     assert_eq!(worker.started_tasks().len(), 1);
 
-    let barred = start(1, 0);
+    let barred = start_request(1, 0);
     assert!(matches!(
-        stop(&worker, barred.attempt).await?,
+        stop_attempt(&worker, barred.attempt).await?,
         Status::Barred { .. }
     ));
     let answer = client::post(worker.address(), "/tasks", &[], &barred).await?;
@@ -182,9 +189,9 @@
     let worker = Worker::start(entry)?;
     let address = worker.address();
     let send = |task| {
-        tokio::spawn(
-            async move { client::post(address, "/tasks", &[], &start(task, 60_000)).await },
-        )
+        tokio::spawn(async move {
+            client::post(address, "/tasks", &[], &start_request(task, 60_000)).await
+        })
     };
     let running = send(0);
     wait_until("one runs", || async {
@@ -201,8 +208,8 @@
     worker.update_behaviour(|b| b.leaving = true);
     let leaving = send(3).await??.json()?;
 
-    stop(&worker, start(1, 0).attempt).await?;
-    stop(&worker, start(0, 0).attempt).await?;
+    stop_attempt(&worker, start_request(1, 0).attempt).await?;
+    stop_attempt(&worker, start_request(0, 0).attempt).await?;
 
     assert!(matches!(full, Reply::NotStarted { leaving: false, .. }));
     assert!(matches!(leaving, Reply::NotStarted { leaving: true, .. }));
@@ -216,8 +223,9 @@
 async fn a_killed_worker_ends_its_tasks_and_refuses() -> Result {
     let worker = Worker::start(worker::new_entry("w", "maardu"))?;
     let address = worker.address();
-    let answer =
-        tokio::spawn(async move { client::post(address, "/tasks", &[], &start(0, 60_000)).await });
+    let answer = tokio::spawn(async move {
+        client::post(address, "/tasks", &[], &start_request(0, 60_000)).await
+    });
     wait_until("it runs", || async {
         (worker.load().running == 1).then_some(())
     })
--- a/tests/support/cluster.rs
+++ b/tests/support/cluster.rs
@@ -150,7 +150,7 @@
         self
     }
 
-    /// Sets the latencies of the platform.
+    /// Sets the latencies and the concurrency of the platform.
     pub fn platform(mut self, platform: platform::Settings) -> Self {
         self.platform = platform;
         self
--- a/tests/support/platform.rs
+++ b/tests/support/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in: a transactional table, an object store and the list of instances.
+//! A test double of the platform: a transactional table, an object store, and the list of instances and endpoints.
 
 use std::{
     collections::BTreeMap,
@@ -47,42 +47,42 @@
     Result,
 };
 
-/// Rows that a scan gives where the request names no limit.
-const SCAN: usize = 1_000;
+/// Row limit of a scan whose request names none.
+const DEFAULT_SCAN_LIMIT: usize = 1_000;
 
-/// What goes wrong, until it is switched back.
+/// Injected faults; each holds until it's reset.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
-    /// Answer 503 to everything; nothing takes effect.
+    /// Answer every request with 503, without effect.
     pub unavailable: bool,
-    /// Take requests and never answer; nothing takes effect.
+    /// Never answer a request, without effect.
     pub hang: bool,
-    /// Wait before every operation.
+    /// Delay before every operation.
     pub delay: Duration,
-    /// Apply the next commits, so many, and close without an answer.
+    /// Number of next commits that are applied, but whose connection is closed instead of an answer.
     pub dropped_answers: u32,
-    /// Leave the next commits, so many, without an answer and apply them after `commit_delay`.
+    /// Number of next commits that get no answer and are applied after `commit_delay`.
     pub late_commits: u32,
-    /// How late.
+    /// Delay of the commits that `late_commits` counts.
     pub commit_delay: Duration,
 }
 
-/// What has been asked of the platform.
+/// Requests received so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counters {
-    /// Transactions.
+    /// Commits.
     pub commits: u64,
-    /// Groups in them.
+    /// Groups in the commits.
     pub groups: u64,
-    /// Reads of a row.
+    /// Reads of one row.
     pub reads: u64,
     /// Scans.
     pub scans: u64,
     /// Puts and gets of objects.
     pub objects: u64,
-    /// Reads of the list.
+    /// Reads of the list of instances and endpoints.
     pub lists: u64,
-    /// Bytes of bodies, both ways.
+    /// Bytes of request and response bodies.
     pub bytes: u64,
 }
 
@@ -90,19 +90,23 @@
 struct State {
     rows: BTreeMap<String, Row>,
     objects: BTreeMap<String, Bytes>,
+    /// The list with all changes.
     list: List,
-    lists: Vec<(Instant, List)>,
+    /// Versions of the list with the times at which they become visible.
+    versions: Vec<(Instant, List)>,
     faults: Faults,
     counters: Counters,
 }
 
 impl State {
+    /// Applies a commit group by group, each on its own verdict.
     fn apply(&mut self, commit: &Commit) -> Committed {
-        let verdicts = commit.groups.iter().map(|g| self.decide(g)).collect();
+        let verdicts = commit.groups.iter().map(|g| self.apply_group(g)).collect();
         Committed { verdicts }
     }
 
-    fn decide(&mut self, group: &Group) -> Verdict {
+    /// Applies the writes of a group if all its conditions hold.
+    fn apply_group(&mut self, group: &Group) -> Verdict {
         let version = |key| self.rows.get(key).map_or(0, |r: &Row| r.version);
         let failed = group.conditions.iter();
         let failed = failed.filter(|c| version(&c.key) != c.version);
@@ -123,6 +127,7 @@
         }
     }
 
+    /// Writes a row with the next version, or removes it.
     fn write(&mut self, key: &str, value: Option<&str>) {
         let Some(value) = value else {
             self.rows.remove(key);
@@ -137,6 +142,7 @@
         self.rows.insert(key.to_owned(), row);
     }
 
+    /// Returns up to `limit` rows whose keys start with `prefix` and come after `after`.
     fn scan(&self, prefix: &str, after: &str, limit: usize) -> Vec<Row> {
         let rows = self.rows.range(prefix.to_owned()..);
         rows.take_while(|(key, _)| key.starts_with(prefix))
@@ -146,18 +152,19 @@
             .collect()
     }
 
-    /// Returns the list as it stood one lag ago.
-    fn visible(&mut self) -> List {
+    /// Returns the list as of one lag ago.
+    fn visible_list(&mut self) -> List {
         let now = Instant::now();
-        let due = self.lists.iter().rposition(|(at, _)| *at <= now);
-        self.lists.drain(..due.unwrap_or(0));
-        self.lists
+        let due = self.versions.iter().rposition(|(at, _)| *at <= now);
+        self.versions.drain(..due.unwrap_or(0));
+        self.versions
             .first()
             .filter(|_| due.is_some())
             .map_or_else(List::default, |(_, l)| l.clone())
     }
 }
 
+/// A change of the list.
 type Change = dyn Fn(&mut List) + Send + Sync;
 
 struct Shared {
@@ -171,16 +178,17 @@
         self.state.lock().unwrap()
     }
 
-    /// Makes a change of the list, which becomes visible after the lag.
-    fn change(&self, change: impl FnOnce(&mut List)) {
+    /// Changes the list; the change becomes visible after the lag.
+    fn change_list(&self, change: impl FnOnce(&mut List)) {
         let mut state = self.state();
         change(&mut state.list);
         let list = state.list.clone();
         state
-            .lists
+            .versions
             .push((Instant::now() + self.settings.list_lag, list));
     }
 
+    /// Answers a request, subject to the faults.
     async fn handle(self: Arc<Self>, request: Request) -> Response {
         let faults = self.state().faults;
         if faults.hang {
@@ -190,59 +198,60 @@
         if faults.unavailable {
             return response(503, "");
         }
-        let sent = request.body.len();
+        let request_bytes = request.body.len();
         let answer = self.clone().route(request).await;
-        let received = answer.as_ref().map_or(0, body_length);
-        self.state().counters.bytes += (sent + received) as u64;
+        let answer_bytes = answer.as_ref().map_or(0, body_length);
+        self.state().counters.bytes += (request_bytes + answer_bytes) as u64;
         answer
     }
 
-    /// Answers like [`Self::handle`], but shows a list that was changed.
-    async fn show(self: Arc<Self>, request: Request, change: Arc<Change>) -> Response {
+    /// Answers like [`Self::handle`], but with `change` applied to the list.
+    async fn handle_view(self: Arc<Self>, request: Request, change: Arc<Change>) -> Response {
         if (&request.method, request.path.as_str()) != (&Method::GET, "/instances") {
             return self.handle(request).await;
         }
-        let answer = self.list(&request, &*change);
+        let answer = self.read_list(&request, &*change);
         self.state().counters.bytes += answer.as_ref().map_or(0, body_length) as u64;
         answer
     }
 
+    /// Answers a request by its method and path.
     async fn route(self: Arc<Self>, request: Request) -> Response {
-        let text = |name| request.parameter(name).unwrap_or_default();
+        let parameter = |name| request.parameter(name).unwrap_or_default();
         match (&request.method, request.path.as_str()) {
             (&Method::POST, "/table/commit") => self.commit(&request.body).await,
-            (&Method::GET, "/table/row") => self.read(&text("key")),
+            (&Method::GET, "/table/row") => self.read_row(&parameter("key")),
             (&Method::GET, "/table/scan") => {
-                let limit = text("limit").parse().unwrap_or(SCAN);
-                self.scan(&text("prefix"), &text("after"), limit)
+                let limit = parameter("limit").parse().unwrap_or(DEFAULT_SCAN_LIMIT);
+                self.scan(&parameter("prefix"), &parameter("after"), limit)
             }
-            (&Method::GET, "/instances") => self.list(&request, &|_| ()),
-            // Not of the platform's interface: an example changes the list this way.
+            (&Method::GET, "/instances") => self.read_list(&request, &|_| ()),
+            // Not part of the platform's API; an example changes the list with it.
             (&Method::PUT, "/instances") => {
                 let list: List = serde_json::from_slice(&request.body).ok()?;
-                self.change(|l| *l = list);
+                self.change_list(|l| *l = list);
                 response(204, "")
             }
             (method, path) => match path.strip_prefix("/objects/") {
-                Some(name) => self.object(method, name, request.body.clone()),
+                Some(name) => self.access_object(method, name, request.body.clone()),
                 None => response(404, ""),
             },
         }
     }
 
-    /// Gives the list, with the endpoints of one data centre where one is named.
-    fn list(&self, request: &Request, change: &Change) -> Response {
-        let (centre, known) = (request.parameter("data_centre"), &request.if_none_match);
+    /// Answers with the list, limited to the endpoints of one data centre if the request names one.
+    fn read_list(&self, request: &Request, change: &Change) -> Response {
+        let (centre, if_none_match) = (request.parameter("data_centre"), &request.if_none_match);
         let centre = centre.as_deref();
         let mut state = self.state();
         state.counters.lists += 1;
-        let mut list = state.visible();
+        let mut list = state.visible_list();
         change(&mut list);
         list.endpoints
             .retain(|worker| centre.is_none_or(|centre| worker.centre.as_str() == centre));
         let body = serde_json::to_vec(&list).ok()?;
         let etag = format!("\"{}\"", Digest::of(&body));
-        if known.as_ref() == Some(&etag) {
+        if if_none_match.as_ref() == Some(&etag) {
             return response(304, "");
         }
         let mut answer = response(200, body)?;
@@ -254,39 +263,39 @@
         let Ok(commit) = serde_json::from_slice::<Commit>(body) else {
             return response(400, "");
         };
-        let (swallow, late) = self.count(&commit);
-        // A task of its own: a client that goes away doesn't take its commit back.
+        let (drop_answer, delay) = self.count_commit(&commit);
+        // Runs on a separate task, so that a disconnect of the client doesn't cancel the commit.
         let shared = self.clone();
         let applied = tokio::spawn(async move {
-            tokio::time::sleep(late.unwrap_or_default()).await;
+            tokio::time::sleep(delay.unwrap_or_default()).await;
             let _permit = shared.commits.acquire().await;
             tokio::time::sleep(shared.settings.commit_latency).await;
             let committed = shared.state().apply(&commit);
             committed
         });
-        if late.is_some() {
+        if delay.is_some() {
             std::future::pending::<()>().await;
         }
         let committed = applied.await.ok()?;
-        if swallow {
+        if drop_answer {
             return None;
         }
         json_response(200, &committed)
     }
 
-    /// Counts a commit and tells which faults it meets.
-    fn count(&self, commit: &Commit) -> (bool, Option<Duration>) {
+    /// Counts a commit. Returns whether its answer is dropped, and its delay if it gets no answer.
+    fn count_commit(&self, commit: &Commit) -> (bool, Option<Duration>) {
         let mut state = self.state();
         state.counters.commits += 1;
         state.counters.groups += commit.groups.len() as u64;
         let faults = &mut state.faults;
-        let (swallow, late) = (faults.dropped_answers > 0, faults.late_commits > 0);
+        let (drop_answer, late) = (faults.dropped_answers > 0, faults.late_commits > 0);
         faults.dropped_answers = faults.dropped_answers.saturating_sub(1);
         faults.late_commits = faults.late_commits.saturating_sub(1);
-        (swallow, late.then_some(faults.commit_delay))
+        (drop_answer, late.then_some(faults.commit_delay))
     }
 
-    fn read(&self, key: &str) -> Response {
+    fn read_row(&self, key: &str) -> Response {
         let mut state = self.state();
         state.counters.reads += 1;
         match state.rows.get(key) {
@@ -302,7 +311,8 @@
         json_response(200, &Scan { rows })
     }
 
-    fn object(&self, method: &Method, name: &str, body: Bytes) -> Response {
+    /// Stores or reads an object.
+    fn access_object(&self, method: &Method, name: &str, body: Bytes) -> Response {
         let mut state = self.state();
         state.counters.objects += 1;
         if method == Method::PUT {
@@ -320,14 +330,14 @@
     answer.body().size_hint().exact().unwrap_or(0) as usize
 }
 
-/// How the platform behaves, for good.
+/// Latencies and concurrency, fixed at the start.
 #[derive(Debug, Clone, Copy)]
 pub struct Settings {
-    /// How long a commit takes to become durable.
+    /// Time until a commit is durable.
     pub commit_latency: Duration,
-    /// How many commits are made at once; one makes them serial.
+    /// Number of commits made concurrently.
     pub parallel_commits: usize,
-    /// How far the list lags behind.
+    /// Time until a change of the list is visible.
     pub list_lag: Duration,
 }
 
@@ -341,7 +351,7 @@
     }
 }
 
-/// A running platform.
+/// A running platform; stopped when dropped.
 pub struct Platform {
     shared: Arc<Shared>,
     server: Server,
@@ -365,12 +375,12 @@
         self.server.address()
     }
 
-    /// Opens one more address, where the list reads as `change` makes it: a part of the network that reaches
-    /// the others by addresses of its own.
+    /// Opens another address that serves the list with `change` applied, for clients that reach the others under
+    /// different addresses.
     pub fn serve_view(&self, change: impl Fn(&mut List) + Send + Sync + 'static) -> Result<Server> {
         let (shared, change): (_, Arc<Change>) = (self.shared.clone(), Arc::new(change));
-        let show = move |request| shared.clone().show(request, change.clone());
-        Ok(Server::start(usize::MAX, show)?)
+        let handler = move |request| shared.clone().handle_view(request, change.clone());
+        Ok(Server::start(usize::MAX, handler)?)
     }
 
     /// Drops all connections and refuses new ones.
@@ -378,22 +388,22 @@
         self.server.close().await;
     }
 
-    /// Listens again.
+    /// Listens again on the same address.
     pub fn bring_up(&self) -> Result {
         Ok(self.server.open()?)
     }
 
-    /// Switches faults.
+    /// Changes the injected faults.
     pub fn update_faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.shared.state().faults);
     }
 
     /// Changes the list.
     pub fn update_list(&self, change: impl FnOnce(&mut List)) {
-        self.shared.change(change);
+        self.shared.change_list(change);
     }
 
-    /// Puts an instance on the list, in place of an older entry of its name.
+    /// Adds an instance to the list, replacing an entry of the same name.
     pub fn register_instance(&self, member: Member) {
         self.update_list(|list| {
             list.instances.retain(|m| m.name != member.name);
@@ -401,7 +411,7 @@
         });
     }
 
-    /// Puts an endpoint on the list, in place of an older entry of its name.
+    /// Adds an endpoint to the list, replacing an entry of the same name.
     pub fn register_endpoint(&self, worker: Worker) {
         self.update_list(|list| {
             list.endpoints.retain(|w| w.name != worker.name);
@@ -424,7 +434,7 @@
         self.shared.state().scan(prefix, "", usize::MAX)
     }
 
-    /// Puts a row without a transaction.
+    /// Writes a row without a commit.
     pub fn put(&self, key: &str, value: &str) {
         self.shared.state().write(key, Some(value));
     }
--- a/tests/support/proxy.rs
+++ b/tests/support/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy that injects faults in front of any address.
+//! A TCP proxy that injects network faults.
 
 use std::{
     net::SocketAddr,
@@ -35,14 +35,14 @@
 
 use super::{
     server::{
-        Loop,
+        AcceptLoop,
         Port, //
     },
     Result, //
 };
 
-/// Chunks that a direction holds while they are delayed.
-const CHUNKS: usize = 1_024;
+/// Chunks that one direction of a connection buffers while they are delayed.
+const CHUNK_BUFFER: usize = 1_024;
 
 /// A direction through the proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -53,30 +53,30 @@
     Down,
 }
 
-/// What happens to bytes, on open and on new connections.
+/// The treatment of bytes, on open and on new connections.
 #[derive(Debug, Clone, Copy, Default)]
 pub enum Mode {
-    /// They pass.
+    /// Forwards them.
     #[default]
     Pass,
-    /// They pass later.
+    /// Forwards them after a delay.
     Delay {
-        /// By so much towards the server.
+        /// The delay towards the server.
         up: Duration,
-        /// By so much towards the client.
+        /// The delay towards the client.
         down: Duration,
     },
-    /// Those of one direction are lost.
+    /// Drops the bytes of one direction.
     Drop {
         /// The direction.
         direction: Direction,
-        /// Whether the first loss closes the connection.
+        /// Whether the first drop closes the connection.
         close: bool,
     },
 }
 
 impl Mode {
-    /// Loses answers: requests arrive, and the connection closes in place of the answer.
+    /// Forwards requests and closes the connection instead of an answer.
     pub const DROP_ANSWERS: Self = Self::Drop {
         direction: Direction::Down,
         close: true,
@@ -86,7 +86,7 @@
 struct Shared {
     target: SocketAddr,
     mode: Mutex<Mode>,
-    /// Connections of an earlier generation are silent.
+    /// Connections of an earlier generation are blackholed.
     generation: AtomicU64,
     accepted: AtomicU64,
     bytes: AtomicU64,
@@ -97,23 +97,23 @@
         *self.mode.lock().unwrap()
     }
 
-    fn silent(&self, generation: u64) -> bool {
+    fn is_blackholed(&self, generation: u64) -> bool {
         generation < self.generation.load(Ordering::SeqCst)
     }
 }
 
-/// A running proxy; it ends when dropped.
+/// A running proxy; stopped when dropped.
 pub struct Proxy {
     port: Port,
     shared: Arc<Shared>,
-    accept: Option<Loop>,
+    accept_loop: Option<AcceptLoop>,
 }
 
 impl Proxy {
     /// Starts a proxy in front of `target`.
     pub fn start(target: SocketAddr) -> Result<Self> {
         let mut proxy = Self {
-            port: Port::take()?,
+            port: Port::reserve()?,
             shared: Arc::new(Shared {
                 target,
                 mode: Mutex::default(),
@@ -121,7 +121,7 @@
                 accepted: AtomicU64::new(0),
                 bytes: AtomicU64::new(0),
             }),
-            accept: None,
+            accept_loop: None,
         };
         proxy.reopen()?;
         Ok(proxy)
@@ -132,46 +132,46 @@
         self.port.address()
     }
 
-    /// Switches the mode.
+    /// Sets the mode.
     pub fn set_mode(&self, mode: Mode) {
         *self.shared.mode.lock().unwrap() = mode;
     }
 
-    /// Silences the open connections for good: bytes vanish both ways and a close goes unseen.
+    /// Drops all further bytes of the open connections, both ways, and hides their close from the other side.
     pub fn blackhole_open(&self) {
         self.shared.generation.fetch_add(1, Ordering::SeqCst);
     }
 
     /// Closes all connections and refuses new ones.
     pub async fn close(&mut self) {
-        if let Some(accept) = self.accept.take() {
-            accept.end().await;
+        if let Some(accept_loop) = self.accept_loop.take() {
+            accept_loop.stop().await;
         }
     }
 
-    /// Takes connections again after a cut.
+    /// Accepts connections again after [`Self::close`].
     pub fn reopen(&mut self) -> Result {
-        if self.accept.is_none() {
+        if self.accept_loop.is_none() {
             let shared = self.shared.clone();
-            let serve = move |client| connection(client, shared.clone());
-            self.accept = Some(Loop::start(self.port.listen()?, usize::MAX, serve));
+            let serve = move |client| serve_connection(client, shared.clone());
+            self.accept_loop = Some(AcceptLoop::start(self.port.listen()?, usize::MAX, serve));
         }
         Ok(())
     }
 
-    /// Returns how many connections have been taken.
+    /// Returns the number of connections accepted so far.
     pub fn accepted_count(&self) -> u64 {
         self.shared.accepted.load(Ordering::SeqCst)
     }
 
-    /// Returns how many bytes have been passed on, both ways.
+    /// Returns the number of bytes forwarded so far, both ways.
     pub fn forwarded_bytes(&self) -> u64 {
         self.shared.bytes.load(Ordering::SeqCst)
     }
 }
 
-/// Runs one connection; it closes on both sides as soon as one direction asks for it.
-async fn connection(client: TcpStream, shared: Arc<Shared>) {
+/// Proxies one connection; closes both sides as soon as one direction fails.
+async fn serve_connection(client: TcpStream, shared: Arc<Shared>) {
     shared.accepted.fetch_add(1, Ordering::SeqCst);
     let generation = shared.generation.load(Ordering::SeqCst);
     let Ok(server) = TcpStream::connect(shared.target).await else {
@@ -191,7 +191,7 @@
     let _ = futures::future::try_join(up, down).await;
 }
 
-/// Asks for both sides to be closed.
+/// The error that closes both sides of a connection.
 struct Close;
 
 /// One direction of one connection.
@@ -202,17 +202,19 @@
 }
 
 impl Pump {
+    /// Forwards one direction until it ends or fails.
     async fn run(self, from: OwnedReadHalf, to: OwnedWriteHalf) -> std::result::Result<(), Close> {
-        let (sender, receiver) = mpsc::channel(CHUNKS);
+        let (sender, receiver) = mpsc::channel(CHUNK_BUFFER);
         let result = futures::future::try_join(self.read(from, sender), self.write(to, receiver));
         let result = result.await.map(|_| ());
-        if self.shared.silent(self.generation) {
-            // Whatever ended this direction, the other side is not to see it.
+        if self.shared.is_blackholed(self.generation) {
+            // Hides the end of this direction from the other side.
             std::future::pending::<()>().await;
         }
         result
     }
 
+    /// Reads chunks and queues them with the time at which they are due.
     async fn read(
         &self,
         mut from: OwnedReadHalf,
@@ -223,10 +225,12 @@
             if from.read_buf(&mut chunk).await.map_err(|_| Close)? == 0 {
                 return Ok(());
             }
-            if self.shared.silent(self.generation) {
+            if self.shared.is_blackholed(self.generation) {
                 continue;
             }
-            let Some(delay) = self.pass()? else { continue };
+            let Some(delay) = self.chunk_delay()? else {
+                continue;
+            };
             let due = Instant::now() + delay;
             sender
                 .send((due, chunk.freeze()))
@@ -235,8 +239,8 @@
         }
     }
 
-    /// Tells whether a chunk passes, and after what delay.
-    fn pass(&self) -> std::result::Result<Option<Duration>, Close> {
+    /// Returns the delay of the next chunk, or `None` if it's dropped.
+    fn chunk_delay(&self) -> std::result::Result<Option<Duration>, Close> {
         match (self.shared.mode(), self.direction) {
             (Mode::Delay { up, .. }, Direction::Up) => Ok(Some(up)),
             (Mode::Delay { down, .. }, Direction::Down) => Ok(Some(down)),
@@ -248,6 +252,7 @@
         }
     }
 
+    /// Writes queued chunks when they are due.
     async fn write(
         &self,
         mut to: OwnedWriteHalf,
@@ -255,13 +260,13 @@
     ) -> std::result::Result<(), Close> {
         while let Some((due, chunk)) = receiver.recv().await {
             tokio::time::sleep_until(due).await;
-            if !self.shared.silent(self.generation) {
+            if !self.shared.is_blackholed(self.generation) {
                 to.write_all(&chunk).await.map_err(|_| Close)?;
-                let passed = chunk.len() as u64;
-                self.shared.bytes.fetch_add(passed, Ordering::SeqCst);
+                let forwarded = chunk.len() as u64;
+                self.shared.bytes.fetch_add(forwarded, Ordering::SeqCst);
             }
         }
-        if !self.shared.silent(self.generation) {
+        if !self.shared.is_blackholed(self.generation) {
             to.shutdown().await.map_err(|_| Close)?;
         }
         Ok(())
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server that can be taken away and brought back on the same port.
+//! An HTTP server that can be stopped and started again on the same port.
 
 use std::{
     future::Future,
@@ -43,15 +43,15 @@
     },
 };
 
-/// A port that stays taken while nothing listens, so that a connect is refused in the meantime.
+/// A reserved port. While nothing listens on it, it refuses connections, and the system assigns it to no other test.
 pub struct Port {
     address: SocketAddr,
     _reservation: TcpSocket,
 }
 
 impl Port {
-    /// Takes a free port of the loopback address.
-    pub fn take() -> std::io::Result<Self> {
+    /// Reserves a free port of the loopback address.
+    pub fn reserve() -> std::io::Result<Self> {
         let reservation = TcpSocket::new_v4()?;
         reservation.set_reuseport(true)?;
         reservation.bind((Ipv4Addr::LOCALHOST, 0).into())?;
@@ -81,9 +81,9 @@
     pub method: Method,
     /// The path.
     pub path: String,
-    /// The query, still encoded.
+    /// The query, percent-encoded.
     pub query: String,
-    /// The state that the client knows, where it names one.
+    /// The value of the `if-none-match` header.
     pub if_none_match: Option<String>,
     /// The headers.
     pub headers: hyper::HeaderMap,
@@ -113,7 +113,7 @@
         })
     }
 
-    /// Returns a parameter of the query, decoded.
+    /// Returns a decoded parameter of the query.
     pub fn parameter(&self, name: &str) -> Option<String> {
         let mut pairs = form_urlencoded::parse(self.query.as_bytes());
         pairs
@@ -122,15 +122,15 @@
     }
 }
 
-/// An answer; without one the connection is closed.
+/// A response; `None` closes the connection without one.
 pub type Response = Option<hyper::Response<Full<Bytes>>>;
 
-/// Makes an answer with a JSON body.
+/// Returns a response with a JSON body.
 pub fn json_response(status: u16, body: &impl Serialize) -> Response {
     response(status, serde_json::to_vec(body).ok()?)
 }
 
-/// Makes an answer.
+/// Returns a response.
 pub fn response(status: u16, body: impl Into<Bytes>) -> Response {
     let answer = hyper::Response::builder().status(status);
     answer.body(Full::new(body.into())).ok()
@@ -138,28 +138,28 @@
 
 type Handler = Arc<dyn Fn(Request) -> Pin<Box<dyn Future<Output = Response> + Send>> + Send + Sync>;
 
-/// An HTTP server on the runtime of the test; it ends when dropped.
+/// An HTTP server on the runtime of the test; stopped when dropped.
 pub struct Server {
     port: Port,
     handler: Handler,
-    connections: usize,
-    accept: Mutex<Option<Loop>>,
+    max_connections: usize,
+    accept_loop: Mutex<Option<AcceptLoop>>,
 }
 
 impl Server {
-    /// Starts a server that takes `connections` at a time and closes those beyond at once.
+    /// Starts a server with at most `max_connections` open connections; it closes any more at once.
     pub fn start<F>(
-        connections: usize,
+        max_connections: usize,
         handler: impl Fn(Request) -> F + Send + Sync + 'static,
     ) -> std::io::Result<Self>
     where
         F: Future<Output = Response> + Send + 'static,
     {
         let server = Self {
-            port: Port::take()?,
+            port: Port::reserve()?,
             handler: Arc::new(move |request| Box::pin(handler(request))),
-            connections,
-            accept: Mutex::default(),
+            max_connections,
+            accept_loop: Mutex::default(),
         };
         server.open()?;
         Ok(server)
@@ -172,73 +172,73 @@
 
     /// Listens again after a close.
     pub fn open(&self) -> std::io::Result<()> {
-        let (handler, most) = (self.handler.clone(), self.connections);
+        let (handler, max_connections) = (self.handler.clone(), self.max_connections);
         let serve = move |stream| serve(stream, handler.clone());
-        let accept = Loop::start(self.port.listen()?, most, serve);
-        *self.accept.lock().unwrap() = Some(accept);
+        let accept_loop = AcceptLoop::start(self.port.listen()?, max_connections, serve);
+        *self.accept_loop.lock().unwrap() = Some(accept_loop);
         Ok(())
     }
 
     /// Drops all connections and refuses new ones.
     pub async fn close(&self) {
-        let accept = self.accept.lock().unwrap().take();
-        if let Some(accept) = accept {
-            accept.end().await;
+        let accept_loop = self.accept_loop.lock().unwrap().take();
+        if let Some(accept_loop) = accept_loop {
+            accept_loop.stop().await;
         }
     }
 }
 
-/// Accepts connections until it is ended or dropped; they end with it.
-pub struct Loop {
-    end: oneshot::Sender<()>,
+/// A task that accepts connections. Its stop or drop closes them all.
+pub struct AcceptLoop {
+    stop: oneshot::Sender<()>,
     task: JoinHandle<()>,
 }
 
-impl Loop {
-    /// Starts to accept `most` connections at a time; those beyond are closed at once.
+impl AcceptLoop {
+    /// Starts to accept connections, at most `max_connections` at a time; closes any more at once.
     pub fn start<F>(
         listener: TcpListener,
-        most: usize,
+        max_connections: usize,
         serve: impl Fn(TcpStream) -> F + Send + 'static,
     ) -> Self
     where
         F: Future<Output = ()> + Send + 'static,
     {
-        let (end, ended) = oneshot::channel();
-        let task = tokio::spawn(accept(listener, most, serve, ended));
-        Self { end, task }
+        let (stop, stopped) = oneshot::channel();
+        let task = tokio::spawn(accept(listener, max_connections, serve, stopped));
+        Self { stop, task }
     }
 
-    /// Ends it and waits until all connections are closed.
-    pub async fn end(self) {
-        drop(self.end);
+    /// Stops accepting and waits until all connections are closed.
+    pub async fn stop(self) {
+        drop(self.stop);
         let _ = self.task.await;
     }
 }
 
 async fn accept<F>(
     listener: TcpListener,
-    most: usize,
+    max_connections: usize,
     serve: impl Fn(TcpStream) -> F,
-    mut ended: oneshot::Receiver<()>,
+    mut stopped: oneshot::Receiver<()>,
 ) where
     F: Future<Output = ()> + Send + 'static,
 {
     let mut open = JoinSet::new();
     loop {
         tokio::select! {
-            _ = &mut ended => break,
+            _ = &mut stopped => break,
             Ok((stream, _)) = listener.accept() => {
                 while open.try_join_next().is_some() {}
-                if open.len() < most {
+                if open.len() < max_connections {
                     open.spawn(serve(stream));
                 }
             }
             Some(_) = open.join_next() => {}
         }
     }
-    // A child that is being forked holds the socket too, until its exec: a mere close would let the
-    // port take connections for that long.
+    // A forked child shares the socket until its exec. Closing alone would leave the port accepting connections until
+    // then.
     let _ = shutdown(listener.as_raw_fd(), Shutdown::Both);
     drop(listener);
     open.shutdown().await;
--- a/tests/support/worker.rs
+++ b/tests/support/worker.rs
@@ -1,4 +1,4 @@
-//! An endpoint's stand-in: it runs tasks that sleep, and keeps a log of what it started.
+//! A test double of an endpoint: runs tasks that sleep and keeps a log of their starts.
 
 use std::{
     collections::HashMap,
@@ -56,17 +56,17 @@
     Result,
 };
 
-/// What a task does.
+/// The payload of a task: what it does.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Payload {
-    /// How long it sleeps, in milliseconds.
+    /// The time that the task sleeps, in milliseconds.
     pub sleep_ms: u64,
-    /// Its name in the log.
+    /// The name of the task in the log.
     pub id: String,
-    /// Whether it fails at its end.
+    /// Whether the task fails after its sleep.
     pub fail: bool,
-    /// Bytes of padding in its result.
+    /// Bytes of padding in the result.
     pub bytes: usize,
 }
 
@@ -82,27 +82,27 @@
     pub padding: String,
 }
 
-/// A task that began to run.
+/// A task that started to run.
 #[derive(Debug, Clone)]
 pub struct StartedTask {
     /// The name of the task.
     pub id: String,
     /// The attempt.
     pub attempt: Attempt,
-    /// When.
+    /// The time of the start.
     pub at: Instant,
 }
 
-/// How the worker behaves, until it is switched back.
+/// The behaviour of a worker; it holds until it's changed.
 #[derive(Debug, Clone, Copy)]
 pub struct Behaviour {
     /// Fail every task at its start.
     pub fail: bool,
-    /// Stretch every sleep by this factor.
+    /// Multiply every sleep by this factor.
     pub sleep_factor: f64,
-    /// Refuse new tasks and finish what is there.
+    /// Refuse new tasks and finish the accepted ones.
     pub leaving: bool,
-    /// Tasks that wait for a slot; more are refused.
+    /// Capacity of the queue of tasks that wait for a slot.
     pub queue: u32,
 }
 
@@ -117,34 +117,36 @@
     }
 }
 
-/// Messages received.
+/// Requests received and tasks run so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counters {
-    /// Starts.
+    /// Requests to start a task.
     pub starts: u64,
-    /// Looks at an attempt.
+    /// Requests for the status of an attempt.
     pub looks: u64,
-    /// Stops.
+    /// Requests to stop an attempt.
     pub stops: u64,
-    /// Tasks that began to run.
+    /// Tasks that started to run.
     pub ran: u64,
 }
 
+/// An accepted task.
 #[derive(Clone)]
 struct Task {
-    end: watch::Receiver<Option<Reply>>,
+    /// The reply, once the task has ended.
+    reply: watch::Receiver<Option<Reply>>,
     stop: Arc<Notify>,
 }
 
 impl Task {
-    /// Returns the end, or none where the worker died before it.
-    async fn ended(mut self) -> Option<Reply> {
-        let end = self.end.wait_for(Option::is_some).await.ok()?;
-        end.clone()
+    /// Waits for the reply; returns `None` if the worker is killed first.
+    async fn wait_for_reply(mut self) -> Option<Reply> {
+        let reply = self.reply.wait_for(Option::is_some).await.ok()?;
+        reply.clone()
     }
 
     fn status(&self) -> Status {
-        match self.end.borrow().clone() {
+        match self.reply.borrow().clone() {
             Some(reply) => Status::Ended { reply },
             None => Status::Running,
         }
@@ -153,7 +155,7 @@
 
 #[derive(Default)]
 struct State {
-    /// What is known of each attempt; none stands for one that is barred.
+    /// The task of each attempt seen; `None` for a barred attempt, which must never start.
     attempts: HashMap<Attempt, Option<Task>>,
     running: JoinSet<()>,
     load: Load,
@@ -162,8 +164,8 @@
     counters: Counters,
 }
 
-/// Returns the load of a run that has just begun.
-fn fresh() -> Load {
+/// Returns the load of a newly started worker, with a new incarnation.
+fn initial_load() -> Load {
     Load {
         incarnation: Some(Incarnation::random(&mut rand::rng())),
         ..Load::default()
@@ -190,7 +192,7 @@
     name: Endpoint,
     slots: Semaphore,
     state: Mutex<State>,
-    frozen: watch::Sender<bool>,
+    paused: watch::Sender<bool>,
 }
 
 impl Shared {
@@ -198,18 +200,20 @@
         self.state.lock().unwrap()
     }
 
-    /// Waits while the worker is frozen.
-    async fn thawed(&self) {
-        let _ = self.frozen.subscribe().wait_for(|frozen| !frozen).await;
+    /// Waits while the worker is paused.
+    async fn wait_resumed(&self) {
+        let _ = self.paused.subscribe().wait_for(|paused| !paused).await;
     }
 
+    /// Answers a request once the worker isn't paused.
     async fn handle(self: Arc<Self>, request: Request) -> Response {
-        self.thawed().await;
+        self.wait_resumed().await;
         let answer = self.clone().route(request).await;
-        self.thawed().await;
+        self.wait_resumed().await;
         answer
     }
 
+    /// Answers a request by its method and path.
     async fn route(self: Arc<Self>, request: Request) -> Response {
         let parts: Vec<&str> = request.path.split('/').skip(1).collect();
         match (&request.method, parts.as_slice()) {
@@ -217,24 +221,29 @@
                 Ok(start) => self.start(start).await,
                 Err(error) => response(400, error.to_string()),
             },
-            (&Method::GET, ["tasks", attempt]) => self.look(attempt.parse().ok()?),
+            (&Method::GET, ["tasks", attempt]) => self.read_status(attempt.parse().ok()?),
             (&Method::POST, ["tasks", attempt, "stop"]) => self.stop(attempt.parse().ok()?).await,
-            // Not of the endpoint's interface: an example reads the counters this way.
+            // Not part of the endpoint's API; an example reads the counters with it.
             (&Method::GET, ["counters"]) => json_response(200, &self.state().counters),
             _ => response(404, ""),
         }
     }
 
+    /// Starts a task and answers when it has ended.
     async fn start(self: Arc<Self>, start: Start) -> Response {
         let reply = match self.admit(start) {
-            Ok(task) => task.ended().await?,
+            Ok(task) => task.wait_for_reply().await?,
             Err(refusal) => refusal,
         };
         let refused = matches!(reply, Reply::NotStarted { .. });
         json_response(if refused { 503 } else { 200 }, &reply)
     }
 
-    /// Takes a start, or finds what an earlier one of the same attempt has led to.
+    /// Accepts a start; returns the existing task if the attempt was started before.
+    ///
+    /// # Errors
+    ///
+    /// Refuses if the attempt is barred, the worker is leaving or its queue is full.
     fn admit(self: &Arc<Self>, start: Start) -> std::result::Result<Task, Reply> {
         let mut state = self.state();
         state.counters.starts += 1;
@@ -243,62 +252,64 @@
             Some(None) => return Err(state.refusal("barred")),
             None => {}
         }
-        let idle = self.slots.available_permits() as u32;
-        let full = state.load.queued >= state.behaviour.queue + idle;
+        let free_slots = self.slots.available_permits() as u32;
+        let full = state.load.queued >= state.behaviour.queue + free_slots;
         if state.behaviour.leaving || full {
             state.attempts.insert(start.attempt, None);
             return Err(state.refusal(if full { "queue is full" } else { "leaving" }));
         }
-        let (end, ended) = watch::channel(None);
+        let (sender, reply) = watch::channel(None);
         let task = Task {
-            end: ended,
+            reply,
             stop: Arc::default(),
         };
         state.attempts.insert(start.attempt, Some(task.clone()));
         state.load.queued += 1;
-        let run = self.clone().run(start, end, task.stop.clone());
+        let run = self.clone().run(start, sender, task.stop.clone());
         state.running.spawn(run);
         Ok(task)
     }
 
+    /// Runs a task when a slot is free and sends its reply.
     async fn run(
         self: Arc<Self>,
         start: Start,
-        end: watch::Sender<Option<Reply>>,
+        reply: watch::Sender<Option<Reply>>,
         stop: Arc<Notify>,
     ) {
         let slot = tokio::select! {
             biased;
-            () = stop.notified() => return self.withdraw(end),
+            () = stop.notified() => return self.end_queued(reply),
             slot = self.slots.acquire() => slot,
         };
-        self.thawed().await;
+        self.wait_resumed().await;
         let payload: Payload = serde_json::from_str(start.payload.get()).unwrap_or_default();
-        let behaviour = self.begin(&start, &payload);
+        let behaviour = self.record_start(&start, &payload);
         let result = tokio::select! {
-            result = work(&self.name, &payload, behaviour) => result,
+            result = execute(&self.name, &payload, behaviour) => result,
             () = stop.notified() => Err("stopped".to_owned()),
-            () = tokio::time::sleep(start.lease.duration()) => Err("lease ran out".to_owned()),
+            () = tokio::time::sleep(start.lease.duration()) => Err("lease expired".to_owned()),
         };
-        self.thawed().await;
+        self.wait_resumed().await;
         drop(slot);
         let mut state = self.state();
         state.load.running -= 1;
         let load = state.load;
-        end.send_replace(Some(match result {
+        reply.send_replace(Some(match result {
             Ok(result) => Reply::Done { result, load },
             Err(error) => Reply::Failed { error, load },
         }));
     }
 
-    /// Ends an attempt that has not begun.
-    fn withdraw(&self, end: watch::Sender<Option<Reply>>) {
+    /// Ends an attempt that is stopped while it waits for a slot.
+    fn end_queued(&self, reply: watch::Sender<Option<Reply>>) {
         let mut state = self.state();
         state.load.queued -= 1;
-        end.send_replace(Some(state.refusal("stopped before its start")));
+        reply.send_replace(Some(state.refusal("stopped before it started")));
     }
 
-    fn begin(&self, start: &Start, payload: &Payload) -> Behaviour {
+    /// Records the start of a task and returns the behaviour that holds for it.
+    fn record_start(&self, start: &Start, payload: &Payload) -> Behaviour {
         let mut state = self.state();
         state.load.queued -= 1;
         state.load.running += 1;
@@ -311,7 +322,8 @@
         state.behaviour
     }
 
-    fn look(&self, attempt: Attempt) -> Response {
+    /// Answers with the status of an attempt.
+    fn read_status(&self, attempt: Attempt) -> Response {
         let mut state = self.state();
         state.counters.looks += 1;
         let status = match state.attempts.get(&attempt) {
@@ -322,33 +334,35 @@
         json_response(200, &status)
     }
 
+    /// Stops an attempt, or bars one that wasn't seen yet, and answers with its status.
     async fn stop(&self, attempt: Attempt) -> Response {
-        let known = {
+        let task = {
             let mut state = self.state();
             state.counters.stops += 1;
             state.attempts.entry(attempt).or_insert(None).clone()
         };
-        let Some(task) = known else {
+        let Some(task) = task else {
             return json_response(200, &self.state().barred());
         };
         task.stop.notify_one();
-        let reply = task.ended().await?;
+        let reply = task.wait_for_reply().await?;
         json_response(200, &Status::Ended { reply })
     }
 }
 
-async fn work(
+/// Sleeps as the payload asks and returns the result.
+async fn execute(
     name: &Endpoint,
     payload: &Payload,
     behaviour: Behaviour,
 ) -> std::result::Result<Arc<RawValue>, String> {
     if behaviour.fail {
-        return Err("the worker fails everything".to_owned());
+        return Err("the worker is set to fail every task".to_owned());
     }
     let sleep = Duration::from_millis(payload.sleep_ms).mul_f64(behaviour.sleep_factor);
     tokio::time::sleep(sleep).await;
     if payload.fail {
-        return Err("the task fails".to_owned());
+        return Err("the task is set to fail".to_owned());
     }
     let output = Output {
         id: payload.id.clone(),
@@ -360,11 +374,11 @@
         .map_err(|e| e.to_string())
 }
 
-/// Describes a worker of 8 slots, 64 connections, 64 cores and 128 GiB in the pool `workers`.
+/// Returns the entry of a worker with 8 slots, 64 connections, 64 cores and 128 GiB in the pool `workers`.
 ///
 /// # Panics
 ///
-/// Panics when the name or the data centre is no name.
+/// Panics if the name or the data centre is not a valid name.
 pub fn new_entry(name: &str, centre: &str) -> Entry {
     Entry {
         name: name.parse().expect("the name of a worker"),
@@ -383,7 +397,7 @@
     }
 }
 
-/// A running worker.
+/// A running worker; stopped when dropped.
 pub struct Worker {
     shared: Arc<Shared>,
     server: Server,
@@ -391,16 +405,16 @@
 }
 
 impl Worker {
-    /// Starts a worker and fills its address in.
+    /// Starts a worker and sets the address in its entry.
     pub fn start(mut entry: Entry) -> Result<Self> {
         let shared = Arc::new(Shared {
             name: entry.name.clone(),
             slots: Semaphore::new(entry.slots as usize),
             state: Mutex::new(State {
-                load: fresh(),
+                load: initial_load(),
                 ..State::default()
             }),
-            frozen: watch::Sender::new(false),
+            paused: watch::Sender::new(false),
         });
         let handler = shared.clone();
         let connections = entry.connections as usize;
@@ -418,34 +432,34 @@
         self.server.address()
     }
 
-    /// Returns what the platform's list tells of it.
+    /// Returns the entry for the platform's list.
     pub fn entry(&self) -> Entry {
         self.entry.clone()
     }
 
-    /// Switches its behaviour.
+    /// Changes the behaviour.
     pub fn update_behaviour(&self, change: impl FnOnce(&mut Behaviour)) {
         change(&mut self.shared.state().behaviour);
     }
 
-    /// Stops answering, or goes on; connections stay open.
+    /// Pauses or resumes the worker; connections stay open.
     pub fn set_paused(&self, paused: bool) {
-        self.shared.frozen.send_replace(paused);
+        self.shared.paused.send_replace(paused);
     }
 
-    /// Ends listener, connections and tasks.
+    /// Closes the listener and all connections and aborts all tasks.
     pub async fn kill(&self) {
         self.server.close().await;
         let mut running = std::mem::take(&mut self.shared.state().running);
         running.shutdown().await;
     }
 
-    /// Kills it and starts it again at its address: a run that knows of no earlier attempt.
+    /// Kills the worker and starts it again at the same address, without state of earlier attempts.
     pub async fn restart(&self) -> Result {
         self.kill().await;
         let mut state = self.shared.state();
         state.attempts.clear();
-        state.load = fresh();
+        state.load = initial_load();
         Ok(self.server.open()?)
     }
 
@@ -454,7 +468,7 @@
         self.shared.state().counters
     }
 
-    /// Returns the log of starts.
+    /// Returns the tasks started so far.
     pub fn started_tasks(&self) -> Vec<StartedTask> {
         self.shared.state().started.clone()
     }
@@ -465,7 +479,7 @@
     }
 }
 
-/// Counts the starts of each task, by name, over all workers.
+/// Returns the number of starts of each task, by name, over all workers.
 pub fn count_starts(workers: &[Worker]) -> HashMap<String, usize> {
     let mut starts = HashMap::new();
     for started in workers.iter().flat_map(Worker::started_tasks) {
