--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -24,8 +24,8 @@
 const BRIEF: &str = "\
 Usage: poplarknot trace [OPTIONS] JOB LOG...
 
-Shows the history of a job in order of time, from the logs of instances of 'poplarknot dispatch'. JOB is the 16 hexadecimal
-digits at the end of the job's path, LOG a file or - for standard input. Give the logs of all instances.
+Shows the history of a job in order of time, from the logs of instances of 'poplarknot dispatch'. JOB is the 16
+hexadecimal digits at the end of the job's path, LOG a file or - for standard input. Give the logs of all instances.
 
 Lines marked as context don't name the job. They concern the instances and endpoints that it used and the shard that
 holds it; if no task of it reached an endpoint, all endpoints and racks. Times are relative to the job's first line, and
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -70,7 +70,7 @@
 /// Fails if the instance can't listen on its addresses or start its threads.
 pub fn run(settings: Settings) -> Result<(), Error> {
     let settings = Arc::new(settings);
-    let main = runtime("main")?;
+    let main = build_runtime("main")?;
     let callers = listen("callers", settings.callers)?;
     let peers = listen("peers", settings.peers)?;
     let mut random = rand::rng();
@@ -87,8 +87,8 @@
     Event::new(Code::Started, started).log();
     println!(
         "listening callers={} peers={}",
-        address(&callers),
-        address(&peers)
+        format_address(&callers),
+        format_address(&peers)
     );
     let core = Core::new(
         identity,
@@ -255,13 +255,13 @@
     })
 }
 
-fn address(listener: &std::net::TcpListener) -> String {
+fn format_address(listener: &std::net::TcpListener) -> String {
     listener
         .local_addr()
         .map_or_else(|error| error.to_string(), |address| address.to_string())
 }
 
-fn runtime(what: &'static str) -> Result<Runtime, Error> {
+fn build_runtime(what: &'static str) -> Result<Runtime, Error> {
     Builder::new_current_thread()
         .enable_all()
         .build()
@@ -276,7 +276,7 @@
 where
     F: Future<Output = ()>,
 {
-    let runtime = runtime(what)?;
+    let runtime = build_runtime(what)?;
     let body = move || {
         let _guard = AbortOnPanic;
         let local = LocalSet::new();
--- a/tests/standin.rs
+++ b/tests/standin.rs
@@ -260,7 +260,7 @@
 }
 
 #[tokio::test]
-async fn a_swallowed_answer_leaves_its_request_delivered() -> Result {
+async fn a_dropped_answer_leaves_its_request_delivered() -> Result {
     let platform = Platform::start(Settings::default())?;
     let mut proxy = Proxy::start(platform.address())?;
     proxy.set_mode(Mode::DROP_ANSWERS);
