--- a/src/cli/dispatch.rs
+++ b/src/cli/dispatch.rs
@@ -37,7 +37,8 @@
         path: path.clone(),
         source,
     })?;
-    let site = settings::parse(&text).map_err(|fault| Error::PlatformSettings { path, fault })?;
-    instance::run(site)?;
+    let settings =
+        settings::parse(&text).map_err(|fault| Error::PlatformSettings { path, fault })?;
+    instance::run(settings)?;
     Ok(Exit::Success)
 }
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -56,11 +56,11 @@
     if logs.is_empty() {
         return Err(Error::Usage("LOG is missing".to_owned()));
     }
-    let around = parse_option(&matches, "around")?.unwrap_or(AROUND);
-    if around > WIDEST {
+    let context_span = parse_option(&matches, "around")?.unwrap_or(AROUND);
+    if context_span > WIDEST {
         return Err(Error::Usage(format!("--around must not exceed {WIDEST}")));
     }
-    let tracer = Tracer::new(job).around(around);
+    let tracer = Tracer::new(job).around(context_span);
     let story = tracer.logs(logs.into_iter().map(to_source)).run()?;
     warn(&story);
     match matches.opt_present("json") {
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -138,14 +138,14 @@
     let (to_endpoints, endpoint_out) = ring::channel(capacity);
     let (to_platform, platform_out) = ring::channel(capacity);
     let (to_peers, peer_out) = ring::channel(capacity);
-    let inlets = decision::Inlets {
+    let receivers = decision::Inlets {
         callers: from_callers,
         endpoints: from_endpoints,
         platform: from_platform,
         peers: from_peers,
         control: from_control,
     };
-    let outlets = decision::Outlets {
+    let senders = decision::Outlets {
         callers: to_callers,
         endpoints: to_endpoints,
         platform: to_platform,
@@ -197,7 +197,7 @@
             )
         })?,
         spawn_thread("decisions", move || {
-            let task = decision::serve(core, clock, inlets, outlets, status, metrics, drained);
+            let task = decision::serve(core, clock, receivers, senders, status, metrics, drained);
             run_until(shutting_down, task)
         })?,
     ];
