--- a/src/trace.rs
+++ b/src/trace.rs
@@ -200,7 +200,7 @@
     }
 
     fn job_not_found(&self, left_out: u64) -> Error {
-        Error::Untold {
+        Error::JobNotLogged {
             job: self.job,
             logs: self
                 .logs
--- a/tests/trace/incidents.rs
+++ b/tests/trace/incidents.rs
@@ -19,7 +19,7 @@
     },
     store::Behaviour,
     support::{
-        until,
+        wait_until,
         Result, //
     },
 };
@@ -57,7 +57,7 @@
     async fn collect(response: String, id: u64, fleet: &Fleet, event: &str) -> Result<Self> {
         let job = format!("{id:016x}");
         let (event, field) = (format!("\"{event}\""), format!("\"{job}\""));
-        until("the event is logged", || async {
+        wait_until("the event is logged", || async {
             let logs = fleet.logs();
             let mut lines = logs.lines();
             lines
