--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -187,7 +187,7 @@
             .map(|team| name(format!("team-{team}")))
             .collect();
         let mut admission = Admission::new(&Limits::default(), 1);
-        let mut queue = Queue::new(Limits::default().waiting);
+        let mut queue = Queue::new(Limits::default().waiting_tasks);
         for team in &teams {
             queue.push(team, 1, 0, TASK, 0).expect("room");
         }
--- a/src/caller.rs
+++ b/src/caller.rs
@@ -180,9 +180,12 @@
                 sleep(FLUSH).await;
             }
         };
-        timeout(self.context.settings.timing.receive.duration(), ended)
-            .await
-            .ok();
+        timeout(
+            self.context.settings.timing.receive_timeout.duration(),
+            ended,
+        )
+        .await
+        .ok();
     }
 
     /// Serves a connection, unless there are too many.
@@ -225,8 +228,8 @@
         let mut ended = self.context.ended.clone();
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(settings.timing.receive.duration())
-            .max_buf_size(settings.limits.headers.max(8 << 10))
+            .header_read_timeout(settings.timing.receive_timeout.duration())
+            .max_buf_size(settings.limits.header_bytes.max(8 << 10))
             .serve_connection(TokioIo::new(stream), service);
         tokio::pin!(connection);
         tokio::select! {
@@ -378,8 +381,8 @@
 
     /// Reads the whole body of a request, within its bounds of size and time.
     async fn body(&self, request: Request<Incoming>) -> Result<Bytes, Answer> {
-        let bound = self.context.settings.limits.body;
-        let wait = self.context.settings.timing.receive;
+        let bound = self.context.settings.limits.body_bytes;
+        let wait = self.context.settings.timing.receive_timeout;
         let body = Limited::new(request.into_body(), bound).collect();
         match timeout(wait.duration(), body).await {
             Ok(Ok(body)) => Ok(body.to_bytes()),
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -124,8 +124,8 @@
     pub fn new(limits: &Limits, seed: u64) -> Self {
         Self {
             jobs: limits.jobs,
-            bytes: limits.bytes,
-            waiting: limits.waiting,
+            bytes: limits.job_bytes,
+            waiting: limits.waiting_tasks,
             random: SmallRng::seed_from_u64(seed),
             total: Usage::default(),
             teams: HashMap::new(),
--- a/src/core/execution.rs
+++ b/src/core/execution.rs
@@ -96,7 +96,7 @@
         let team = &job.submission.team;
         let weight = route.quotas.get(team).map_or(1, |quota| quota.weight);
         let expected = job.submission.tasks[item.task as usize].expected;
-        let waiting = self.limits.waiting;
+        let waiting = self.limits.waiting_tasks;
         let queue = self
             .queues
             .entry(route.service.clone())
@@ -189,7 +189,7 @@
         };
         progress.attempts += 1;
         // An idempotent task is hedged when it is later than nearly all of its kind; others are looked up.
-        let usual = task.expected.times(2) + self.timing.look;
+        let usual = task.expected.times(2) + self.timing.lookup_delay;
         let class = job.stage.admitted.class;
         let hedge = class
             .repeatable()
--- a/src/core/peering.rs
+++ b/src/core/peering.rs
@@ -47,7 +47,7 @@
             address,
             id,
             call,
-            wait: wait.unwrap_or(self.timing.silence),
+            wait: wait.unwrap_or(self.timing.peer_timeout),
         });
     }
 
@@ -162,7 +162,7 @@
             address,
             id: CallId::Heartbeat(id),
             call,
-            wait: self.timing.silence,
+            wait: self.timing.peer_timeout,
         });
     }
 
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -90,13 +90,13 @@
         clock,
         metrics,
         back,
-        pool: Mutex::new(Pool::new(settings.timing.idle.duration())),
+        pool: Mutex::new(Pool::new(settings.timing.idle_timeout.duration())),
         starts: Mutex::default(),
     };
     let dialler = Dialler {
         link: Arc::new(link),
     };
-    let address = xtra::spawn_tokio(dialler, Mailbox::bounded(settings.limits.ring));
+    let address = xtra::spawn_tokio(dialler, Mailbox::bounded(settings.limits.ring_capacity));
     let mut trim = tokio::time::interval(TRIM);
     loop {
         let alive = tokio::select! {
--- a/src/event.rs
+++ b/src/event.rs
@@ -29,8 +29,8 @@
 ///
 /// Fails where the file can't be opened or a log is set up already.
 pub fn init(settings: &Settings) -> Result<(), Error> {
-    let Some(path) = &settings.file else {
-        return init_writer(settings.log, io::stderr());
+    let Some(path) = &settings.log_file else {
+        return init_writer(settings.log_level, io::stderr());
     };
     let mut options = OpenOptions::new();
     let file = options.create(true).append(true).open(path);
@@ -38,7 +38,7 @@
         path: path.display().to_string(),
         source,
     })?;
-    init_writer(settings.log, file)
+    init_writer(settings.log_level, file)
 }
 
 fn init_writer(level: LevelFilter, writer: impl Write + Send + 'static) -> Result<(), Error> {
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -71,8 +71,8 @@
 pub fn run(settings: Settings) -> Result<(), Error> {
     let settings = Arc::new(settings);
     let main = runtime("main")?;
-    let callers = listen("callers", settings.callers)?;
-    let peers = listen("peers", settings.peers)?;
+    let callers = listen("callers", settings.caller_address)?;
+    let peers = listen("peers", settings.peer_address)?;
     let mut random = rand::rng();
     let identity = Identity {
         name: settings.name.clone(),
@@ -121,7 +121,7 @@
     callers: std::net::TcpListener,
     peers: std::net::TcpListener,
 ) -> Result<Started, Error> {
-    let places = settings.limits.ring;
+    let places = settings.limits.ring_capacity;
     let clock = Clock::start();
     let metrics = Arc::new(Metrics::new());
     let status = Arc::new(decision::Status::default());
@@ -195,7 +195,7 @@
     let mut int = on(SignalKind::interrupt())?;
     either(&mut term, &mut int).await;
     control.send(Input::Drain).await;
-    let bound = settings.timing.drain.duration();
+    let bound = settings.timing.drain_timeout.duration();
     let early = tokio::select! {
         _ = &mut drained => return Ok(()),
         () = either(&mut term, &mut int) => "by a second signal",
@@ -204,7 +204,7 @@
     Event::new(Code::Interrupted, early).log();
     control.send(Input::Interrupt).await;
     // The answers to what is left take no more than the flush of their outcomes.
-    let flush = settings.timing.platform.times(2).duration();
+    let flush = settings.timing.platform_timeout.times(2).duration();
     timeout(flush, drained).await.ok();
     Ok(())
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -48,11 +48,11 @@
     /// The instance's data centre.
     pub centre: Centre,
     /// Where callers and operators connect; port 0 takes any free port.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where peers connect.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Where the platform listens.
-    pub platform: SocketAddr,
+    pub platform_address: SocketAddr,
     /// The data centres whose endpoints are used, the own one among them; empty stands for all.
     pub data_centres: Vec<Centre>,
     /// Operators by their tokens.
@@ -62,9 +62,9 @@
     /// The waits.
     pub timing: Timing,
     /// The least level that is logged.
-    pub log: LevelFilter,
+    pub log_level: LevelFilter,
     /// The file that the log goes to; standard error where there is none.
-    pub file: Option<PathBuf>,
+    pub log_file: Option<PathBuf>,
 }
 
 impl Settings {
@@ -119,15 +119,15 @@
         Some(Self {
             name: name?,
             centre: centre?,
-            callers: callers?,
-            peers: peers?,
-            platform: platform?,
+            caller_address: callers?,
+            peer_address: peers?,
+            platform_address: platform?,
             data_centres: data_centres.map_or_else(Vec::new, |Names(names)| names),
             operators,
             limits,
             timing,
-            log: log.unwrap_or(LevelFilter::Info),
-            file,
+            log_level: log.unwrap_or(LevelFilter::Info),
+            log_file: file,
         })
     }
 }
@@ -169,38 +169,38 @@
     /// Connections of callers.
     pub connections: usize,
     /// Bytes of the headers of a request.
-    pub headers: usize,
+    pub header_bytes: usize,
     /// Bytes of the body of a request.
-    pub body: usize,
+    pub body_bytes: usize,
     /// Jobs in progress.
     pub jobs: usize,
     /// Bytes of jobs in progress.
-    pub bytes: usize,
+    pub job_bytes: usize,
     /// Tasks that wait for an endpoint.
-    pub waiting: usize,
+    pub waiting_tasks: usize,
     /// Tasks outstanding at one endpoint; its share of the endpoint's connections where that is less.
-    pub outstanding: u32,
+    pub tasks_per_endpoint: u32,
     /// Bytes of kept answers.
-    pub kept: usize,
+    pub kept_answer_bytes: usize,
     /// Table writes a second of all instances together.
-    pub writes: u32,
+    pub writes_per_second: u32,
     /// Places in each ring between threads.
-    pub ring: usize,
+    pub ring_capacity: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
             connections: 1_024,
-            headers: 16 << 10,
-            body: 1 << 20,
+            header_bytes: 16 << 10,
+            body_bytes: 1 << 20,
             jobs: 20_000,
-            bytes: 32 << 20,
-            waiting: 20_000,
-            outstanding: 16,
-            kept: 16 << 20,
-            writes: 300,
-            ring: 4_096,
+            job_bytes: 32 << 20,
+            waiting_tasks: 20_000,
+            tasks_per_endpoint: 16,
+            kept_answer_bytes: 16 << 20,
+            writes_per_second: 300,
+            ring_capacity: 4_096,
         }
     }
 }
@@ -213,26 +213,34 @@
             let [least, most] = range.map(Size);
             reader.within(SECTION, key, Size(default), least..=most).0
         };
-        let headers = size("headers", d.headers, [1 << 10, 1 << 20]);
-        let body = size("body", d.body, [1 << 10, 64 << 20]);
-        let bytes = size("bytes", d.bytes, [64 << 10, 16 << 30]);
-        let kept = size("kept", d.kept, [64 << 10, 16 << 30]);
+        let headers = size("headers", d.header_bytes, [1 << 10, 1 << 20]);
+        let body = size("body", d.body_bytes, [1 << 10, 64 << 20]);
+        let bytes = size("bytes", d.job_bytes, [64 << 10, 16 << 30]);
+        let kept = size("kept", d.kept_answer_bytes, [64 << 10, 16 << 30]);
         let limits = Self {
             connections: reader.within(SECTION, "connections", d.connections, 1..=65_536),
-            headers,
-            body,
+            header_bytes: headers,
+            body_bytes: body,
             jobs: reader.within(SECTION, "jobs", d.jobs, 1..=1_000_000),
-            bytes,
-            waiting: reader.within(SECTION, "waiting", d.waiting, 1..=1_000_000),
-            outstanding: reader.within(SECTION, "outstanding", d.outstanding, 1..=1_024),
-            kept,
-            writes: reader.within(SECTION, "writes", d.writes, 1..=100_000),
-            ring: reader.within(SECTION, "ring", d.ring, 16..=65_536),
+            job_bytes: bytes,
+            waiting_tasks: reader.within(SECTION, "waiting", d.waiting_tasks, 1..=1_000_000),
+            tasks_per_endpoint: reader.within(
+                SECTION,
+                "outstanding",
+                d.tasks_per_endpoint,
+                1..=1_024,
+            ),
+            kept_answer_bytes: kept,
+            writes_per_second: reader.within(SECTION, "writes", d.writes_per_second, 1..=100_000),
+            ring_capacity: reader.within(SECTION, "ring", d.ring_capacity, 16..=65_536),
         };
-        if limits.body > limits.bytes {
-            let problem = format!("must not exceed [limits] bytes = {}", Size(limits.bytes));
+        if limits.body_bytes > limits.job_bytes {
+            let problem = format!(
+                "must not exceed [limits] bytes = {}",
+                Size(limits.job_bytes)
+            );
             let fault = Fault::new(SECTION, "body", problem);
-            reader.fault(fault.with_value(&Size(limits.body).to_string()));
+            reader.fault(fault.with_value(&Size(limits.body_bytes).to_string()));
         }
         limits
     }
@@ -242,40 +250,40 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Timing {
     /// Between heartbeats to a peer.
-    pub heartbeat: Span,
+    pub heartbeat_interval: Span,
     /// After which a silent peer counts as gone.
-    pub silence: Span,
+    pub peer_timeout: Span,
     /// Between reads of the platform's list.
-    pub list: Span,
+    pub list_interval: Span,
     /// Between polls of the configuration's head.
-    pub poll: Span,
+    pub poll_interval: Span,
     /// For one operation on the platform.
-    pub platform: Span,
+    pub platform_timeout: Span,
     /// For a caller to send its whole request.
-    pub receive: Span,
+    pub receive_timeout: Span,
     /// After which an idle connection to an endpoint is not trusted with a start any more.
-    pub idle: Span,
+    pub idle_timeout: Span,
     /// After its expected time, until a start without an answer is looked up.
-    pub look: Span,
+    pub lookup_delay: Span,
     /// How long answers are kept.
-    pub kept: Span,
+    pub answer_retention: Span,
     /// For a drain to end what is in progress.
-    pub drain: Span,
+    pub drain_timeout: Span,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Self {
-            heartbeat: Span::millis(500),
-            silence: Span::millis(2_000),
-            list: Span::millis(1_000),
-            poll: Span::millis(2_000),
-            platform: Span::millis(1_000),
-            receive: Span::millis(10_000),
-            idle: Span::millis(2_000),
-            look: Span::millis(500),
-            kept: Span::seconds(600),
-            drain: Span::seconds(30),
+            heartbeat_interval: Span::millis(500),
+            peer_timeout: Span::millis(2_000),
+            list_interval: Span::millis(1_000),
+            poll_interval: Span::millis(2_000),
+            platform_timeout: Span::millis(1_000),
+            receive_timeout: Span::millis(10_000),
+            idle_timeout: Span::millis(2_000),
+            lookup_delay: Span::millis(500),
+            answer_retention: Span::seconds(600),
+            drain_timeout: Span::seconds(30),
         }
     }
 }
@@ -289,17 +297,17 @@
             reader.within(SECTION, key, default, least..=most)
         };
         let timing = Self {
-            heartbeat: span("heartbeat", d.heartbeat, [50, 60_000]),
-            silence: span("silence", d.silence, [100, 600_000]),
-            list: span("list", d.list, [100, 60_000]),
+            heartbeat_interval: span("heartbeat", d.heartbeat_interval, [50, 60_000]),
+            peer_timeout: span("silence", d.peer_timeout, [100, 600_000]),
+            list_interval: span("list", d.list_interval, [100, 60_000]),
             // An accepted change has to be in force everywhere within 10 s.
-            poll: span("poll", d.poll, [100, 5_000]),
-            platform: span("platform", d.platform, [50, 30_000]),
-            receive: span("receive", d.receive, [100, 300_000]),
-            idle: span("idle", d.idle, [100, 3_600_000]),
-            look: span("look", d.look, [50, 60_000]),
-            kept: span("kept", d.kept, [1_000, 86_400_000]),
-            drain: span("drain", d.drain, [1_000, 600_000]),
+            poll_interval: span("poll", d.poll_interval, [100, 5_000]),
+            platform_timeout: span("platform", d.platform_timeout, [50, 30_000]),
+            receive_timeout: span("receive", d.receive_timeout, [100, 300_000]),
+            idle_timeout: span("idle", d.idle_timeout, [100, 3_600_000]),
+            lookup_delay: span("look", d.lookup_delay, [50, 60_000]),
+            answer_retention: span("kept", d.answer_retention, [1_000, 86_400_000]),
+            drain_timeout: span("drain", d.drain_timeout, [1_000, 600_000]),
         };
         timing.check(reader);
         timing
@@ -307,16 +315,19 @@
 
     fn check(&self, reader: &mut Reader) {
         // One late heartbeat must not make a living peer count as gone.
-        if self.silence <= self.heartbeat.times(2) {
-            let problem = format!("must exceed twice [timing] heartbeat = {}", self.heartbeat);
+        if self.peer_timeout <= self.heartbeat_interval.times(2) {
+            let problem = format!(
+                "must exceed twice [timing] heartbeat = {}",
+                self.heartbeat_interval
+            );
             let fault = Fault::new("timing", "silence", problem);
-            reader.fault(fault.with_value(&self.silence.to_string()));
+            reader.fault(fault.with_value(&self.peer_timeout.to_string()));
         }
         // A caller that lost its answer at the end of the drain still has to find it kept elsewhere.
-        if self.kept <= self.drain {
-            let problem = format!("must exceed [timing] drain = {}", self.drain);
+        if self.answer_retention <= self.drain_timeout {
+            let problem = format!("must exceed [timing] drain = {}", self.drain_timeout);
             let fault = Fault::new("timing", "kept", problem);
-            reader.fault(fault.with_value(&self.kept.to_string()));
+            reader.fault(fault.with_value(&self.answer_retention.to_string()));
         }
     }
 }
--- a/src/table.rs
+++ b/src/table.rs
@@ -125,24 +125,27 @@
     back: ring::Sender<Input>,
 ) {
     let link = Arc::new(Link {
-        address: settings.platform.to_string(),
-        wait: settings.timing.platform.duration(),
+        address: settings.platform_address.to_string(),
+        wait: settings.timing.platform_timeout.duration(),
         metrics,
         back,
-        pool: Mutex::new(Pool::new(settings.timing.idle.duration())),
+        pool: Mutex::new(Pool::new(settings.timing.idle_timeout.duration())),
         reads: Arc::new(Semaphore::new(READS)),
     });
     let centres = settings.data_centres.clone();
-    tokio::spawn(link.clone().read_lists(centres, settings.timing.list));
+    tokio::spawn(
+        link.clone()
+            .read_lists(centres, settings.timing.list_interval),
+    );
     let committer = Committer {
         link,
         urgent: VecDeque::new(),
         later: VecDeque::new(),
         due: None,
         flying: false,
-        bucket: Bucket::new(settings.limits.writes),
+        bucket: Bucket::new(settings.limits.writes_per_second),
     };
-    let address = xtra::spawn_tokio(committer, Mailbox::bounded(settings.limits.ring));
+    let address = xtra::spawn_tokio(committer, Mailbox::bounded(settings.limits.ring_capacity));
     while let Some(order) = orders.next().await {
         if address.send(Order(order)).await.is_err() {
             return;
--- a/tests/orders/world.rs
+++ b/tests/orders/world.rs
@@ -765,7 +765,7 @@
 
 fn core(instance: usize, number: u64, kept: Span) -> Core {
     let timing = Timing {
-        kept,
+        answer_retention: kept,
         ..Timing::default()
     };
     let identity = Identity {
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -18,8 +18,8 @@
 fn limits() -> Limits {
     Limits {
         jobs: 20,
-        bytes: 40_000,
-        waiting: 300,
+        job_bytes: 40_000,
+        waiting_tasks: 300,
         ..Limits::default()
     }
 }
@@ -50,8 +50,8 @@
             let usage = admission.usage();
             let held: usize = admitted.iter().map(|(_, tasks, _)| *tasks as usize).sum();
             let within = usage.jobs <= limits.jobs
-                && usage.bytes <= limits.bytes
-                && usage.tasks <= limits.waiting
+                && usage.bytes <= limits.job_bytes
+                && usage.tasks <= limits.waiting_tasks
                 && admission.team_usage(&teams[0]).tasks <= 100;
             if !within || usage.tasks != held || usage.jobs != admitted.len() {
                 return false;
--- a/tests/policy/membership.rs
+++ b/tests/policy/membership.rs
@@ -296,7 +296,7 @@
     let mut view = view(0, 1, TODAY);
     view.apply_list(Time(0), &[member(3, TODAY)]);
     assert!(!view.has_converged(Time(0), Time(0)));
-    let silence = Timing::default().silence;
+    let silence = Timing::default().peer_timeout;
     assert!(view.has_converged(Time(0) + silence, Time(0)));
     view.on_heartbeat(Time(1), &heartbeat(3, 10));
     assert!(view.has_converged(Time(1), Time(0)));
