--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -105,7 +105,7 @@
         pool: name("notebooks"),
         slots: 8,
         connections: 64,
-        has: Need {
+        resources: Hardware {
             cores: 64,
             memory_mb: 128 << 10,
             accelerators: 0,
@@ -156,7 +156,7 @@
     let route = route();
     let requirement = Requirement {
         route: &route,
-        need: Need::default(),
+        need: Hardware::default(),
         class: Class::Once,
         avoid: &[],
     };
--- a/examples/measure/policy.rs
+++ b/examples/measure/policy.rs
@@ -133,7 +133,7 @@
         while let Some((job, sleep)) = self.instances[number].queue.front().copied() {
             let requirement = Requirement {
                 route: &self.route,
-                need: Need::default(),
+                need: Hardware::default(),
                 class: Class::Once,
                 avoid: &[],
             };
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -61,8 +61,8 @@
 
 impl Entry {
     /// Returns the end of the keys: by time, and distinct.
-    fn mark(&self) -> String {
-        mark(self.at_ms, Some(self.operation))
+    fn key_suffix(&self) -> String {
+        key_suffix(self.at_ms, Some(self.operation))
     }
 
     /// Returns the writes that put the entry into the trail.
@@ -70,11 +70,11 @@
     /// # Panics
     ///
     /// Panics where an entry can't be written as JSON, which its type rules out.
-    pub fn writes(&self) -> Vec<Write> {
+    pub fn to_writes(&self) -> Vec<Write> {
         let value = serde_json::to_string(self).expect("an audit entry is plain data");
         let keys = [Some(None), self.record.as_ref().map(Some)];
         let write = |record| Write {
-            key: prefix(record) + &self.mark(),
+            key: key_prefix(record) + &self.key_suffix(),
             value: Some(value.clone()),
         };
         keys.into_iter().flatten().map(write).collect()
@@ -82,7 +82,7 @@
 }
 
 /// Returns what the keys of a record's entries begin with, or those of all entries.
-pub fn prefix(record: Option<&Name>) -> String {
+pub fn key_prefix(record: Option<&Name>) -> String {
     match record {
         Some(name) => format!("audit/record/{name}/"),
         None => "audit/time/".to_owned(),
@@ -90,7 +90,7 @@
 }
 
 /// Returns the end of the key of an entry; without an operation it sorts before all of that millisecond.
-pub fn mark(at_ms: u64, operation: Option<Operation>) -> String {
+pub fn key_suffix(at_ms: u64, operation: Option<Operation>) -> String {
     match operation {
         Some(operation) => format!("{at_ms:020}-{operation}"),
         None => format!("{at_ms:020}"),
--- a/src/caller.rs
+++ b/src/caller.rs
@@ -332,11 +332,12 @@
     fn not_taken(&self) -> Answer {
         if *self.context.ended.borrow() {
             let detail = "this instance has ended; try another";
-            return Answer::refusal(Reason::Draining, detail).with_retry(Span::millis(50));
+            return Answer::refusal(Reason::Draining, detail).with_retry_after(Span::millis(50));
         }
         self.context.metrics.ring_refused();
         Event::new(Code::RingFull, "from the callers").log();
-        Answer::refusal(Reason::Busy, "the instance has no room").with_retry(Span::millis(500))
+        Answer::refusal(Reason::Busy, "the instance has no room")
+            .with_retry_after(Span::millis(500))
     }
 
     async fn find(&self, team: &str, key: &str, cancel: bool) -> Reply {
@@ -413,7 +414,7 @@
         };
         put(OUTCOME, answer.outcome.to_string());
         put(RANGE, lock(&self.context.status.range).clone());
-        if let Some(retry) = answer.retry {
+        if let Some(retry) = answer.retry_after {
             let seconds = retry.as_millis().div_ceil(1_000);
             put(RETRY_AFTER.as_str(), seconds.to_string());
         }
--- a/src/core/answer.rs
+++ b/src/core/answer.rs
@@ -24,7 +24,7 @@
         Reason::OwnerGone,
         "the instance that owns this key can't be reached, and no outcome is recorded",
     )
-    .with_retry(RETRY_AFTER)
+    .with_retry_after(RETRY_AFTER)
 }
 
 pub(super) fn not_known(key: &Key) -> Answer {
--- a/src/core/completion.rs
+++ b/src/core/completion.rs
@@ -95,7 +95,7 @@
     /// Keeps the answer of a job under its key, and records it where the claim is in the table.
     fn keep_answer(&mut self, job: &Job<stage::Running>, key: &Key, answer: &Answer) {
         let team = &job.submission.team;
-        if job.stage.admitted.class.repeatable() {
+        if job.stage.admitted.class.is_repeatable() {
             return self.registry.remove(team, key);
         }
         let entry = if answer.outcome == Outcome::NotRun {
@@ -207,7 +207,7 @@
         if let Stage::Running(job) = job {
             let keyless = job.submission.key.is_none();
             let alone = job.waiters.is_empty();
-            if alone && keyless && job.stage.admitted.class.repeatable() {
+            if alone && keyless && job.stage.admitted.class.is_repeatable() {
                 self.end_job(number, Reason::Cancelled);
             }
         }
--- a/src/core/config/edit/validate.rs
+++ b/src/core/config/edit/validate.rs
@@ -168,7 +168,7 @@
         End::Accepted { .. } => Vec::new(),
     };
     let name = Some(job.name.clone());
-    writes.extend(trail::entry(instance, &job.edit, name, revision, before, lines).writes());
+    writes.extend(trail::entry(instance, &job.edit, name, revision, before, lines).to_writes());
     // Operators race each other, and an operation may be sent twice. Without the conditions both would be accepted,
     // and one would undo the other unseen. The head has one version for each configuration, so that what was judged
     // is what the change meets; the operation's row is written with its one end.
--- a/src/core/config/query.rs
+++ b/src/core/config/query.rs
@@ -99,8 +99,8 @@
     }
 
     fn ask_audit(&mut self, request: Request, audit: ask::Audit) {
-        let prefix = audit::prefix(audit.record.as_ref());
-        let first = || audit::mark(audit.from_ms, None);
+        let prefix = audit::key_prefix(audit.record.as_ref());
+        let first = || audit::key_suffix(audit.from_ms, None);
         let after = prefix.clone() + &audit.after.clone().unwrap_or_else(first);
         let scan = Command::Scan {
             prefix,
@@ -122,7 +122,7 @@
         let more = rows.len() >= PAGE as usize && entries.last().is_some_and(wanted);
         entries.retain(wanted);
         let last = entries.last().filter(|_| more);
-        let after = last.map(|entry| audit::mark(entry.at_ms, Some(entry.operation)));
+        let after = last.map(|entry| audit::key_suffix(entry.at_ms, Some(entry.operation)));
         self.report(request, Report::Audit { entries, after });
     }
 }
--- a/src/core/config/trail.rs
+++ b/src/core/config/trail.rs
@@ -86,7 +86,7 @@
             writes: trail
                 .entries
                 .iter()
-                .flat_map(audit::Entry::writes)
+                .flat_map(audit::Entry::to_writes)
                 .collect(),
         };
         let count = trail.entries.len();
--- a/src/core/execution.rs
+++ b/src/core/execution.rs
@@ -192,7 +192,7 @@
         let usual = task.expected.times(2) + self.timing.lookup_delay;
         let class = job.stage.admitted.class;
         let hedge = class
-            .repeatable()
+            .is_repeatable()
             .then(|| self.hedges.delay(&job.stage.admitted.route.service))
             .flatten();
         let wait = hedge.unwrap_or(usual);
@@ -312,13 +312,13 @@
             }
             Conclusion::NotStarted => self.requeue(attempt),
             Conclusion::Failed(error) => {
-                if !class.repeatable() || !self.retry_task(attempt) {
+                if !class.is_repeatable() || !self.retry_task(attempt) {
                     let detail = format!("tasks[{}]: {error}", attempt.task);
                     self.fail_job(attempt.job, Reason::TaskFailed, &detail);
                 }
             }
             Conclusion::Lost => {
-                if !class.repeatable() || !self.retry_task(attempt) {
+                if !class.is_repeatable() || !self.retry_task(attempt) {
                     let detail = format!(
                         "tasks[{}]: the endpoint can't be reached after the start was sent",
                         attempt.task
@@ -434,7 +434,7 @@
         let mut answer = Answer::new(outcome, reason, detail);
         if outcome == Outcome::NotRun && reason != Reason::Impossible {
             let span = self.jitter(Span::millis(500));
-            answer = answer.with_retry(span);
+            answer = answer.with_retry_after(span);
         }
         self.finish_running(job, answer);
     }
@@ -466,7 +466,7 @@
 
     pub(super) fn is_repeatable(&self, job: u64) -> bool {
         match self.jobs.get(&job) {
-            Some(Stage::Running(job)) => job.stage.admitted.class.repeatable(),
+            Some(Stage::Running(job)) => job.stage.admitted.class.is_repeatable(),
             _ => false,
         }
     }
--- a/src/core/health.rs
+++ b/src/core/health.rs
@@ -244,7 +244,7 @@
     pub fn allows(&self, slot: Slot, class: Class) -> bool {
         match self.records.get(&slot).map(|record| record.eligibility) {
             Some(Eligibility::Good | Eligibility::Suspect | Eligibility::Trial) => true,
-            Some(Eligibility::Probation) => class.repeatable(),
+            Some(Eligibility::Probation) => class.is_repeatable(),
             Some(Eligibility::Ejected) | None => false,
         }
     }
--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -67,7 +67,7 @@
     /// The route of its service.
     pub route: &'a Route,
     /// What it needs.
-    pub need: Need,
+    pub need: Hardware,
     /// How often it may run: endpoints on probation get idempotent tasks only.
     pub class: Class,
     /// Endpoints that get it only when no other is eligible.
@@ -255,7 +255,7 @@
     }
 
     /// Tells whether an endpoint that the route may use could ever run a task, as far as the lists so far have shown.
-    pub fn is_possible(&self, route: &Route, need: Need) -> bool {
+    pub fn is_possible(&self, route: &Route, need: Hardware) -> bool {
         let mut groups = self.reach(route).peekable();
         groups.peek().is_none() || groups.any(|group| fits(&need, &group.has))
     }
@@ -415,7 +415,7 @@
 }
 
 /// Tells whether an endpoint that has `has` could run a task that needs `need`.
-fn fits(need: &Need, has: &Need) -> bool {
+fn fits(need: &Hardware, has: &Hardware) -> bool {
     need.cores <= has.cores
         && need.memory_mb <= has.memory_mb
         && need.accelerators <= has.accelerators
--- a/src/core/placement/index.rs
+++ b/src/core/placement/index.rs
@@ -71,7 +71,7 @@
 pub(super) struct Group {
     pub(super) pool: Pool,
     pub(super) centre: Centre,
-    pub(super) has: Need,
+    pub(super) has: Hardware,
     pub(super) members: u32,
     pub(super) index: Index,
     pub(super) count: Count,
@@ -81,7 +81,7 @@
 
 impl Group {
     /// Makes a group without endpoints.
-    pub(super) fn new(pool: Pool, centre: Centre, has: Need) -> Self {
+    pub(super) fn new(pool: Pool, centre: Centre, has: Hardware) -> Self {
         Self {
             pool,
             centre,
@@ -98,7 +98,7 @@
     pub(super) fn trial(&self, class: Class, avoid: &[Slot]) -> Option<Slot> {
         let mut trials = self.trials.iter();
         trials
-            .find(|(slot, any)| (*any || class.repeatable()) && !avoid.contains(slot))
+            .find(|(slot, any)| (*any || class.is_repeatable()) && !avoid.contains(slot))
             .map(|(slot, _)| *slot)
     }
 
--- a/src/core/placement/table.rs
+++ b/src/core/placement/table.rs
@@ -95,8 +95,8 @@
         }
         let before = entry.worker.clone();
         let returned = entry.absent || before.state != State::Live;
-        let regrouped = (&before.pool, &before.centre, before.has)
-            != (&worker.pool, &worker.centre, worker.has);
+        let regrouped = (&before.pool, &before.centre, before.resources)
+            != (&worker.pool, &worker.centre, worker.resources);
         if regrouped {
             self.regroup(slot, worker);
         }
@@ -192,7 +192,7 @@
         let mut known = self.pools.get(&worker.pool).into_iter().flatten().copied();
         let found = known.find(|group| {
             let group = &self.groups[*group];
-            group.centre == worker.centre && group.has == worker.has
+            group.centre == worker.centre && group.has == worker.resources
         });
         let place = found.unwrap_or_else(|| self.make_group(worker));
         self.groups[place].members += 1;
@@ -200,7 +200,7 @@
     }
 
     fn make_group(&mut self, worker: &Worker) -> usize {
-        let group = Group::new(worker.pool.clone(), worker.centre.clone(), worker.has);
+        let group = Group::new(worker.pool.clone(), worker.centre.clone(), worker.resources);
         let place = match self.forgettable() {
             Some(place) => self.forget(place),
             None => self.groups.len(),
--- a/src/core/store.rs
+++ b/src/core/store.rs
@@ -131,7 +131,7 @@
         digest: Digest,
         answer: &Answer,
     ) {
-        let long = answer.bytes() > LONGEST_ROW;
+        let long = answer.memory_bytes() > LONGEST_ROW;
         let record = claim::Record {
             digest,
             answer: (!long).then(|| answer.clone()),
--- a/src/core/submission.rs
+++ b/src/core/submission.rs
@@ -146,7 +146,7 @@
     /// key. So a key that the caller doesn't call new is looked up in the table first: a claim that stands
     /// there leads to the owner's answer, and only its absence makes the refusal true.
     fn refuse(&mut self, arrival: Arrival, deadline: Span, refusal: Answer, origin: Origin) {
-        let repeatable = arrival.submission.class.is_some_and(Class::repeatable);
+        let repeatable = arrival.submission.class.is_some_and(Class::is_repeatable);
         if origin != Origin::Table || arrival.first || repeatable {
             self.count_answer(&refusal, arrival.submission.class.unwrap_or_default());
             return self.send_answer(arrival.waiter, &refusal);
@@ -174,12 +174,12 @@
         if self.draining.is_some() {
             let refusal =
                 Answer::refusal(Reason::Draining, "this instance is draining; try another");
-            return Err(refusal.with_retry(Span::millis(50)));
+            return Err(refusal.with_retry_after(Span::millis(50)));
         }
         if !self.is_ready() {
             let refusal =
                 Answer::refusal(Reason::NotReady, "this instance has no configuration yet");
-            return Err(refusal.with_retry(RETRY_AFTER));
+            return Err(refusal.with_retry_after(RETRY_AFTER));
         }
         let route = self.find_route(&submission.service)?;
         if submission.tasks.len() > route.tasks as usize {
@@ -193,7 +193,7 @@
         self.check_needs(&route, submission)?;
         if self.registry.is_full() {
             let refusal = Answer::refusal(Reason::Busy, "the memory for keys and answers is full");
-            return Err(refusal.with_retry(RETRY_AFTER));
+            return Err(refusal.with_retry_after(RETRY_AFTER));
         }
         let deadline = submission.deadline.unwrap_or(route.deadline);
         let deadline = arrival.time_left.unwrap_or(deadline).min(route.deadline);
@@ -212,7 +212,7 @@
         self.admission.admit(self.now, &demand).map_err(|refusal| {
             let answer = Answer::refusal(refusal.reason, refusal.detail);
             match refusal.retry_after {
-                Some(span) => answer.with_retry(span),
+                Some(span) => answer.with_retry_after(span),
                 None => answer,
             }
         })?;
@@ -239,8 +239,8 @@
                     "service: a record of {service} has a schema that this version doesn't know"
                 ),
             )
-            .with_retry(RETRY_AFTER),
-            Missing::Service => Answer::refusal(
+            .with_retry_after(RETRY_AFTER),
+            Error::UnknownService => Answer::refusal(
                 Reason::NoService,
                 format!("service: no service {service} is in force"),
             ),
@@ -248,7 +248,7 @@
     }
 
     fn check_needs(&self, route: &Route, submission: &Submission) -> Result<(), Answer> {
-        let mut checked: Option<Need> = None;
+        let mut checked: Option<Hardware> = None;
         for (i, task) in submission.tasks.iter().enumerate() {
             if checked == Some(task.need) {
                 continue;
@@ -289,7 +289,7 @@
     /// Claims the key of a job that was admitted; where no claim is needed, it runs at once.
     fn claim_key(&mut self, job: Job<Received>, origin: Origin) {
         let class = job.stage.admitted.as_ref().map(|admitted| admitted.class);
-        if class.is_some_and(Class::repeatable) {
+        if class.is_some_and(Class::is_repeatable) {
             return self.run_job(job.permit(Permit::without_claim(), None));
         }
         let Some(name) = job.submission.key.clone() else {
@@ -312,7 +312,7 @@
     pub(super) fn fail_claim(&mut self, job: Job<Received>) {
         let refusal = Answer::refusal(Reason::Store, "the platform's table can't be reached");
         let retry = self.jitter(RETRY_AFTER);
-        let refusal = refusal.with_retry(retry);
+        let refusal = refusal.with_retry_after(retry);
         let answer = refused(&refusal, job.first);
         self.finish_received(job, answer);
     }
--- a/src/id.rs
+++ b/src/id.rs
@@ -13,7 +13,7 @@
 use sha2::Digest as _;
 
 /// The longest name that is accepted for any identifier, in bytes.
-pub const LONGEST_NAME: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 
 /// Says why a text is no identifier.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -22,7 +22,7 @@
     #[error("is empty")]
     Empty,
     /// The text is too long.
-    #[error("has {0} bytes, more than the {LONGEST_NAME} allowed")]
+    #[error("has {0} bytes, more than the {MAX_NAME_BYTES} allowed")]
     Long(usize),
     /// The text holds a character that is not allowed.
     #[error("holds {0:?}; letters, digits, '-', '_', '.' and ':' are allowed")]
@@ -39,7 +39,7 @@
     if text.is_empty() {
         return Err(Fault::Empty);
     }
-    if text.len() > LONGEST_NAME {
+    if text.len() > MAX_NAME_BYTES {
         return Err(Fault::Long(text.len()));
     }
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | ':');
--- a/src/job.rs
+++ b/src/job.rs
@@ -31,7 +31,7 @@
 
 impl Class {
     /// Tells whether a task of this class may be started again without a proof that it never ran.
-    pub fn repeatable(self) -> bool {
+    pub fn is_repeatable(self) -> bool {
         matches!(self, Self::Idempotent)
     }
 }
@@ -62,7 +62,7 @@
 /// What one task needs of an endpoint, as the caller declares it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Need {
+pub struct Hardware {
     /// Processor cores.
     pub cores: u32,
     /// Memory in MiB.
@@ -71,7 +71,7 @@
     pub accelerators: u32,
 }
 
-impl Default for Need {
+impl Default for Hardware {
     fn default() -> Self {
         Self {
             cores: 1,
@@ -93,7 +93,7 @@
     pub expected: Span,
     /// What the task needs.
     #[serde(default)]
-    pub need: Need,
+    pub need: Hardware,
 }
 
 fn null() -> Arc<RawValue> {
@@ -222,7 +222,7 @@
         default,
         rename = "retry_after_ms"
     )]
-    pub retry: Option<Span>,
+    pub retry_after: Option<Span>,
     /// The results in the order of the tasks; there are none unless the outcome is complete.
     #[serde(skip_serializing_if = "Vec::is_empty", default)]
     pub results: Vec<Arc<RawValue>>,
@@ -236,7 +236,7 @@
             reason,
             detail: detail.into(),
             key: None,
-            retry: None,
+            retry_after: None,
             results: Vec::new(),
         }
     }
@@ -247,8 +247,8 @@
     }
 
     /// Adds when to come back.
-    pub fn with_retry(mut self, span: Span) -> Self {
-        self.retry = Some(span);
+    pub fn with_retry_after(mut self, span: Span) -> Self {
+        self.retry_after = Some(span);
         self
     }
 
@@ -259,7 +259,7 @@
     }
 
     /// Returns about how many bytes the answer takes in memory.
-    pub fn bytes(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         let results: usize = self.results.iter().map(|r| r.get().len() + 32).sum();
         size_of::<Self>() + self.detail.len() + results
     }
--- a/src/prelude.rs
+++ b/src/prelude.rs
@@ -20,7 +20,7 @@
     job::{
         Answer,
         Class,
-        Need,
+        Hardware,
         Outcome,
         Reason,
         Submission, //
--- a/src/record/check.rs
+++ b/src/record/check.rs
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Capacity {
     slots: BTreeMap<Pool, BTreeMap<Centre, u64>>,
-    sizes: BTreeMap<Pool, Vec<Need>>,
+    sizes: BTreeMap<Pool, Vec<Hardware>>,
     centres: BTreeSet<Centre>,
 }
 
@@ -70,8 +70,8 @@
             }
         }
         if let Some(sizes) = self.sizes.get_mut(&worker.pool) {
-            if !sizes.contains(&worker.has) {
-                sizes.push(worker.has);
+            if !sizes.contains(&worker.resources) {
+                sizes.push(worker.resources);
             }
         }
     }
@@ -186,10 +186,10 @@
     Fault::new(path, Code::Reference, detail)
 }
 
-fn too_large(record: &Record, need: &Need, capacity: &Capacity) -> Option<Fault> {
+fn too_large(record: &Record, need: &Hardware, capacity: &Capacity) -> Option<Fault> {
     let pool: Pool = record.name.name.parse().ok()?;
     let sizes = capacity.sizes.get(&pool)?;
-    let enough = |has: &Need| {
+    let enough = |has: &Hardware| {
         has.cores >= need.cores
             && has.memory_mb >= need.memory_mb
             && has.accelerators >= need.accelerators
--- a/src/record/pool.rs
+++ b/src/record/pool.rs
@@ -58,7 +58,7 @@
     /// Whether it takes new work.
     pub state: State,
     /// The size that at least one of its workers must have, where the record tells one.
-    pub least: Option<Need>,
+    pub least: Option<Hardware>,
 }
 
 impl Body {
@@ -93,12 +93,12 @@
     }
 }
 
-fn need(fields: &mut Fields<'_>) -> Need {
+fn need(fields: &mut Fields<'_>) -> Hardware {
     let mut count = |key, most, unit| {
         let count = fields.optional(key, fields::whole(0..=most, unit));
         u32::try_from(count.unwrap_or(0)).unwrap_or(u32::MAX)
     };
-    Need {
+    Hardware {
         cores: count("cores", 4_096, "cores"),
         memory_mb: count("memory_mb", 64 << 20, "MiB"),
         accelerators: count("accelerators", 1_024, "accelerators"),
--- a/src/table.rs
+++ b/src/table.rs
@@ -59,6 +59,7 @@
     Committed,
     Group,
     Row,
+    Verdicts,
     Scan, //
 };
 
@@ -296,7 +297,7 @@
         let reply = self.send(Method::POST, "/table/commit", body.into()).await;
         let verdicts = match reply {
             Ok(reply) if reply.status == StatusCode::OK => {
-                serde_json::from_slice::<Committed>(&reply.body)
+                serde_json::from_slice::<Verdicts>(&reply.body)
                     .ok()
                     .map(|committed| committed.verdicts)
                     .filter(|verdicts| verdicts.len() == count)
--- a/src/table/wire.rs
+++ b/src/table/wire.rs
@@ -2,7 +2,7 @@
 //!
 //! | call | body | answer |
 //! |---|---|---|
-//! | `POST /table/commit` | [`Commit`] | 200 [`Committed`] |
+//! | `POST /table/commit` | [`Commit`] | 200 [`Verdicts`] |
 //! | `GET /table/row?key=KEY` | none | 200 [`Row`], 404 |
 //! | `GET /table/scan?prefix=P&after=KEY&limit=N` | none | 200 [`Scan`], keys in order |
 //! | `PUT /objects/NAME` | bytes | 204 |
@@ -76,7 +76,7 @@
 
 /// The answer to a [`Commit`], a verdict for each group in order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Committed {
+pub struct Verdicts {
     /// The verdicts.
     pub verdicts: Vec<Verdict>,
 }
@@ -129,7 +129,8 @@
     /// Connections that it takes from all instances together.
     pub connections: u32,
     /// What it has.
-    pub has: Need,
+    #[serde(rename = "has")]
+    pub resources: Hardware,
     /// Whether it is leaving.
     pub state: State,
 }
--- a/tests/orders/world.rs
+++ b/tests/orders/world.rs
@@ -374,7 +374,7 @@
             pool: name("workers"),
             slots: 4,
             connections: 64,
-            has: Need {
+            resources: Hardware {
                 cores: 8,
                 memory_mb: 1_024,
                 accelerators: 0,
@@ -432,7 +432,7 @@
                 .expect("a string is JSON")
                 .into(),
             expected: Span::millis(100),
-            need: Need::default(),
+            need: Hardware::default(),
         };
         let class = match job {
             1 => Class::NonIdempotent,
--- a/tests/policy/placement.rs
+++ b/tests/policy/placement.rs
@@ -68,7 +68,7 @@
             let centre = if number % 3 == 0 { OTHER } else { OWN };
             let mut worker = worker(number, centre);
             worker.slots = 1 + number as u32 % 4;
-            worker.has = need(1 + number as u32 % 2);
+            worker.resources = need(1 + number as u32 % 2);
             if usize::from(value) % 13 == number {
                 worker.state = State::Leaving;
             }
@@ -116,7 +116,7 @@
         let open = |model: &&Model| {
             model.eligible()
                 && model.outstanding < model.bound(self.instances)
-                && requirement.need.cores <= model.worker.has.cores
+                && requirement.need.cores <= model.worker.resources.cores
         };
         // The best of the own data centre and of the others; among equals any may be taken.
         let best = |near: bool| {
--- a/tests/policy/support.rs
+++ b/tests/policy/support.rs
@@ -77,10 +77,10 @@
     text.as_ref().parse().expect("a valid name")
 }
 
-pub(crate) fn need(cores: u32) -> Need {
-    Need {
+pub(crate) fn need(cores: u32) -> Hardware {
+    Hardware {
         cores,
-        ..Need::default()
+        ..Hardware::default()
     }
 }
 
@@ -94,7 +94,7 @@
         pool: name("notebooks"),
         slots: 8,
         connections: 64,
-        has: need(64),
+        resources: need(64),
         state: State::Live,
     }
 }
--- a/tests/proofs/callers.rs
+++ b/tests/proofs/callers.rs
@@ -289,7 +289,7 @@
     }
     let told = submit(&cluster, 0, &refused).await?;
     told.is(Outcome::NotRun, Reason::Busy, 429);
-    assert!(told.answer.retry.is_some(), "{told:?}");
+    assert!(told.answer.retry_after.is_some(), "{told:?}");
     let other = with(job("other", [1]), "team", "treasury");
     submit(&cluster, 0, &other).await?.completes(&other);
     for (job, caller) in running.iter().zip(callers) {
--- a/tests/proofs/store.rs
+++ b/tests/proofs/store.rs
@@ -5,7 +5,7 @@
 /// Checks that a refusal tells when to come back.
 fn refused(told: &Told, outcome: Outcome) {
     told.is(outcome, Reason::Store, 503);
-    assert!(told.answer.retry.is_some(), "{told:?}");
+    assert!(told.answer.retry_after.is_some(), "{told:?}");
 }
 
 /// The caller sees a complete answer although the answer to the claim never came. The claim took effect before
--- a/tests/records/cluster.rs
+++ b/tests/records/cluster.rs
@@ -56,7 +56,7 @@
         pool: id(pool),
         slots,
         connections: 64,
-        has: Need {
+        resources: Hardware {
             cores: 64,
             memory_mb: 131_072,
             accelerators: 0,
--- a/tests/standin.rs
+++ b/tests/standin.rs
@@ -18,6 +18,7 @@
         Committed,
         Condition,
         Group,
+        Verdicts,
         Scan,
         Write, //
     },
@@ -95,7 +96,7 @@
     let answer = client
         .post("/table/commit", &[], &insert(&["a", "b"]))
         .await?;
-    let committed: Committed = answer.json()?;
+    let committed: Verdicts = answer.json()?;
 
     assert!(committed.verdicts[0].applied && !committed.verdicts[1].applied);
     assert_eq!(committed.verdicts[1].current, platform.rows("b"));
--- a/tests/support/platform.rs
+++ b/tests/support/platform.rs
@@ -26,6 +26,7 @@
         Member,
         Row,
         Scan,
+        Verdicts,
         Verdict,
         Worker, //
     },
@@ -97,9 +98,9 @@
 }
 
 impl State {
-    fn apply(&mut self, commit: &Commit) -> Committed {
+    fn apply(&mut self, commit: &Commit) -> Verdicts {
         let verdicts = commit.groups.iter().map(|g| self.decide(g)).collect();
-        Committed { verdicts }
+        Verdicts { verdicts }
     }
 
     fn decide(&mut self, group: &Group) -> Verdict {
--- a/tests/support/worker.rs
+++ b/tests/support/worker.rs
@@ -374,7 +374,7 @@
         pool: "workers".parse().expect("the name of a pool"),
         slots: 8,
         connections: 64,
-        has: Need {
+        resources: Hardware {
             cores: 64,
             memory_mb: 128 << 10,
             accelerators: 0,
