--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -125,7 +125,7 @@
         class: Class::Once,
         deadline: Span::seconds(30),
         lease: Span::seconds(10),
-        tasks: 210,
+        max_tasks: 210,
         quotas: BTreeMap::new(),
     }
 }
--- a/examples/measure/policy.rs
+++ b/examples/measure/policy.rs
@@ -213,7 +213,7 @@
         class: Class::Once,
         deadline: Span::seconds(60),
         lease: Span::seconds(60),
-        tasks: 1_000,
+        max_tasks: 1_000,
         quotas: BTreeMap::new(),
     })
 }
--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -63,7 +63,7 @@
     record::{
         check::Capacity,
         route::{
-            Missing,
+            Error,
             Route, //
         },
     },
@@ -183,7 +183,7 @@
     /// # Errors
     ///
     /// Tells that there is no such service, or that one of its records has a schema that this version doesn't know.
-    pub fn route(&self, service: &Service) -> std::result::Result<Arc<Route>, Missing> {
+    pub fn route(&self, service: &Service) -> std::result::Result<Arc<Route>, Error> {
         self.applied.route(service)
     }
 
@@ -208,7 +208,7 @@
             Input::Returned(ticket, result) => self.on_return(ticket, result.ok()),
             Input::Peers(peers) => self.update_peers(peers),
             Input::Workers(workers) => {
-                self.workers = Some(Capacity::of(&workers));
+                self.workers = Some(Capacity::from_workers(&workers));
                 self.update_centres();
             }
             Input::Tick => self.expire(),
@@ -239,7 +239,7 @@
         let centres = self.peers.values().map(|peer| peer.centre.clone());
         let centres = centres.chain([self.centre.clone()]);
         if let Some(workers) = &mut self.workers {
-            workers.know(centres);
+            workers.add_centres(centres);
         }
     }
 
--- a/src/core/config/edit/validate.rs
+++ b/src/core/config/edit/validate.rs
@@ -37,7 +37,7 @@
         },
         set::Entry,
         Record,
-        NEWEST, //
+        NEWEST_SCHEMA, //
     },
     table::wire::{
         Group,
@@ -79,13 +79,13 @@
     if faults.is_empty() {
         let mut after = applied.set().clone();
         match &job.record {
-            Some(record) => after.put(Arc::clone(record), change.revision),
+            Some(record) => after.insert(Arc::clone(record), change.revision),
             None => after.remove(&job.name),
         }
         let none = Capacity::default();
         let workers = workers.unwrap_or(&none);
         let confirmed = job.edit.confirmed;
-        faults = check::change(applied.set(), &after, &job.name, workers, confirmed);
+        faults = check::validate(applied.set(), &after, &job.name, workers, confirmed);
     }
     match faults.is_empty() {
         true => Ok(change),
@@ -101,7 +101,7 @@
         None if amends.is_some() => Err(Refusal::Absent { record }),
         Some(entry) if amends != Some(entry.revision) => {
             let text = job.edit.act.text();
-            let differences = text.map(|text| difference::between(&entry.record.text, text));
+            let differences = text.map(|text| difference::compare(&entry.record.text, text));
             Err(Refusal::Conflict {
                 record,
                 current: entry.revision,
@@ -115,12 +115,12 @@
 /// Names what keeps the record in force from being replaced.
 fn untouched(entry: &Entry, job: &Job) -> Vec<Fault> {
     let schema = entry.record.schema;
-    if !(1..=NEWEST).contains(&schema) {
+    if !(1..=NEWEST_SCHEMA).contains(&schema) {
         let detail = format!("{} is in schema {schema}, which this version doesn't know; send the change to a newer one", job.name);
         return vec![Fault::new("schema", Code::Schema, detail)];
     }
     let schema = job.record.as_ref().map(|record| record.schema);
-    schema.map_or(Vec::new(), |schema| entry.record.lost(schema))
+    schema.map_or(Vec::new(), |schema| entry.record.find_lost_fields(schema))
 }
 
 fn change(revision: Revision, job: &Job, current: Option<&Entry>) -> Change {
--- a/src/core/config/load.rs
+++ b/src/core/config/load.rs
@@ -119,7 +119,11 @@
     }
 
     fn warn_unknown(&mut self) {
-        let unknown = self.applied.set().iter().filter(|(_, e)| !e.record.known());
+        let unknown = self
+            .applied
+            .set()
+            .iter()
+            .filter(|(_, e)| !e.record.has_known_schema());
         let names: Vec<String> = unknown.map(|(name, _)| name.to_string()).collect();
         if !names.is_empty() {
             self.log_event(Code::SchemaUnknown, names.join(", "));
--- a/src/core/config/propagation.rs
+++ b/src/core/config/propagation.rs
@@ -154,7 +154,7 @@
         let mut bytes = 0;
         let mut records = Vec::new();
         let mut more = false;
-        for (name, entry) in self.applied.set().after(after) {
+        for (name, entry) in self.applied.set().iter_after(after) {
             bytes += entry.record.text.len() + size_of::<Stored>();
             if bytes > MAX_MESSAGE_BYTES && !records.is_empty() {
                 more = true;
--- a/src/core/config/query.rs
+++ b/src/core/config/query.rs
@@ -133,7 +133,7 @@
     View {
         name: record.name.clone(),
         revision: entry.revision,
-        known: record.known(),
+        known: record.has_known_schema(),
         record: value.unwrap_or_else(|_| record.text.as_str().into()),
     }
 }
--- a/src/core/config/state.rs
+++ b/src/core/config/state.rs
@@ -20,7 +20,7 @@
     prelude::*,
     record::{
         route::{
-            Missing,
+            Error,
             Route, //
         },
         set::Set,
@@ -96,7 +96,7 @@
     ready: bool,
     revision: Revision,
     set: Set,
-    routes: BTreeMap<Service, Result<Arc<Route>, Missing>>,
+    routes: BTreeMap<Service, Result<Arc<Route>, Error>>,
     recent: VecDeque<Arc<Change>>,
     bytes: usize,
 }
@@ -114,9 +114,9 @@
         &self.set
     }
 
-    pub(super) fn route(&self, service: &Service) -> Result<Arc<Route>, Missing> {
+    pub(super) fn route(&self, service: &Service) -> Result<Arc<Route>, Error> {
         let route = self.routes.get(service).cloned();
-        route.unwrap_or(Err(Missing::Service))
+        route.unwrap_or(Err(Error::UnknownService))
     }
 
     /// Puts a whole configuration in force, unless one as new is.
@@ -129,7 +129,7 @@
         self.ready = true;
         self.revision = revision;
         self.set = set;
-        self.routes = self.set.routes();
+        self.routes = self.set.resolve_all();
         self.recent.clear();
         self.bytes = 0;
         true
@@ -145,7 +145,7 @@
         }
         replay(&mut self.set, change);
         self.revision = change.revision;
-        self.routes = self.set.routes();
+        self.routes = self.set.resolve_all();
         self.keep(change);
         true
     }
@@ -203,8 +203,8 @@
     }
 
     pub(super) fn add(&mut self, stored: Stored) {
-        let record = Record::accepted(stored.name.clone(), stored.text);
-        self.set.put(Arc::new(record), stored.revision);
+        let record = Record::parse_accepted(stored.name.clone(), stored.text);
+        self.set.insert(Arc::new(record), stored.revision);
         self.last = Some(stored.name);
     }
 
@@ -223,8 +223,8 @@
 fn replay(set: &mut Set, change: &Change) {
     match &change.text {
         Some(text) => {
-            let record = Record::accepted(change.name.clone(), text.as_str());
-            set.put(Arc::new(record), change.revision);
+            let record = Record::parse_accepted(change.name.clone(), text.as_str());
+            set.insert(Arc::new(record), change.revision);
         }
         None => set.remove(&change.name),
     }
--- a/src/core/config/sync.rs
+++ b/src/core/config/sync.rs
@@ -263,7 +263,7 @@
         } else if change.revision <= self.sync.relay {
             self.note_change(before);
         }
-        let known = |entry: &crate::record::set::Entry| entry.record.known();
+        let known = |entry: &crate::record::set::Entry| entry.record.has_known_schema();
         if !self.applied.set().get(&change.name).is_none_or(known) {
             self.log_event(Code::SchemaUnknown, change.name.to_string());
         }
--- a/src/core/config/trail.rs
+++ b/src/core/config/trail.rs
@@ -26,7 +26,7 @@
         self,
         fault::Fault,
         Name,
-        LONGEST_TEXT, //
+        MAX_TEXT_BYTES, //
     },
     table::wire::Group,
 };
@@ -63,7 +63,7 @@
         match self.trail.entries.len() < MOST_ENTRIES {
             true => {
                 let name = edit.act.name().cloned();
-                let name = name.or_else(|| edit.act.text().and_then(record::name));
+                let name = name.or_else(|| edit.act.text().and_then(record::parse_name));
                 let entry = entry(&self.name, edit, name, None, None, refusal.lines());
                 self.trail.entries.push_back(entry);
             }
@@ -134,5 +134,5 @@
 
 fn keep(bytes: &mut usize, c: char) -> Option<char> {
     *bytes += c.len_utf8();
-    (*bytes <= LONGEST_TEXT).then_some(c)
+    (*bytes <= MAX_TEXT_BYTES).then_some(c)
 }
--- a/src/core/submission.rs
+++ b/src/core/submission.rs
@@ -33,7 +33,7 @@
 use crate::{
     prelude::*,
     record::route::{
-        Missing,
+        Error,
         Route, //
     },
 };
@@ -182,11 +182,11 @@
             return Err(refusal.with_retry_after(RETRY_AFTER));
         }
         let route = self.find_route(&submission.service)?;
-        if submission.tasks.len() > route.tasks as usize {
+        if submission.tasks.len() > route.max_tasks as usize {
             let detail = format!(
                 "tasks: {} tasks, the service allows {}",
                 submission.tasks.len(),
-                route.tasks
+                route.max_tasks
             );
             return Err(Answer::refusal(Reason::Invalid, detail));
         }
@@ -233,7 +233,7 @@
 
     fn find_route(&self, service: &Service) -> Result<Arc<Route>, Answer> {
         self.config.route(service).map_err(|missing| match missing {
-            Missing::Schema => Answer::refusal(
+            Error::UnknownSchema => Answer::refusal(
                 Reason::Schema,
                 format!(
                     "service: a record of {service} has a schema that this version doesn't know"
--- a/src/record.rs
+++ b/src/record.rs
@@ -41,9 +41,9 @@
 };
 
 /// The newest schema that this version knows.
-pub const NEWEST: u64 = 2;
+pub const NEWEST_SCHEMA: u64 = 2;
 /// The longest text of a record, in bytes.
-pub const LONGEST_TEXT: usize = 16 << 10;
+pub const MAX_TEXT_BYTES: usize = 16 << 10;
 
 /// The kind of a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -157,8 +157,8 @@
     /// Returns every fault.
     pub fn parse(text: impl Into<String>) -> Result<Self, Vec<Fault>> {
         let text = text.into();
-        if text.len() > LONGEST_TEXT {
-            let detail = format!("has {} bytes; give {LONGEST_TEXT} at most", text.len());
+        if text.len() > MAX_TEXT_BYTES {
+            let detail = format!("has {} bytes; give {MAX_TEXT_BYTES} at most", text.len());
             return Err(vec![Fault::new("", Code::Size, detail)]);
         }
         let (map, twice) = object::read(&text).map_err(|fault| vec![fault])?;
@@ -187,7 +187,7 @@
     }
 
     /// Reads a record that was accepted, maybe by a newer version.
-    pub fn accepted(name: Name, text: impl Into<String>) -> Self {
+    pub fn parse_accepted(name: Name, text: impl Into<String>) -> Self {
         let text = text.into();
         if let Ok(record) = Self::parse(text.as_str()) {
             if record.name == name {
@@ -207,26 +207,26 @@
     }
 
     /// Tells whether this version understands the record.
-    pub fn known(&self) -> bool {
+    pub fn has_known_schema(&self) -> bool {
         !matches!(self.body, Body::Unknown(_))
     }
 
     /// Names what an amendment in `schema` would lose of this record.
-    pub fn lost(&self, schema: u64) -> Vec<Fault> {
+    pub fn find_lost_fields(&self, schema: u64) -> Vec<Fault> {
         if schema >= self.schema {
             return Vec::new();
         }
         match &self.body {
-            Body::Service(body) => body.lost(),
-            Body::Pool(body) => body.lost(),
-            Body::Rule(body) => body.lost(),
+            Body::Service(body) => body.find_lost_fields(),
+            Body::Pool(body) => body.find_lost_fields(),
+            Body::Rule(body) => body.find_lost_fields(),
             Body::Unknown(_) => Vec::new(),
         }
     }
 }
 
 /// Reads just the name of a record, whatever else is wrong with its text.
-pub fn name(text: &str) -> Option<Name> {
+pub fn parse_name(text: &str) -> Option<Name> {
     let (map, _) = object::read(text).ok()?;
     let kind: Kind = map.get("kind")?.as_str()?.parse().ok()?;
     let name: Service = fields::name(map.get("name")?).ok()?;
@@ -236,7 +236,7 @@
 fn head(fields: &mut Fields<'_>) -> Option<(Kind, u64)> {
     let kind = fields.required("kind", "service, pool or rule", fields::word::<Kind>);
     let schema = fields.required("schema", "1 or 2", |value| match value.as_u64() {
-        Some(schema) if (1..=NEWEST).contains(&schema) => Ok(schema),
+        Some(schema) if (1..=NEWEST_SCHEMA).contains(&schema) => Ok(schema),
         _ => Err((
             Code::Schema,
             format!("is {value}, which this version doesn't know; give 1 or 2"),
--- a/src/record/check.rs
+++ b/src/record/check.rs
@@ -30,9 +30,9 @@
 };
 
 /// The most records that are in force together.
-pub const MOST_RECORDS: usize = 10_000;
+pub const MAX_RECORDS: usize = 10_000;
 /// The most bytes of all texts together.
-pub const MOST_BYTES: usize = 8 << 20;
+pub const MAX_TOTAL_BYTES: usize = 8 << 20;
 
 /// The capacity that there is: slots by pool and data centre, and the sizes of the workers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -44,7 +44,7 @@
 
 impl Capacity {
     /// Adds up the workers of the platform's list; leaving ones count for nothing.
-    pub fn of<'a>(workers: impl IntoIterator<Item = &'a Worker>) -> Self {
+    pub fn from_workers<'a>(workers: impl IntoIterator<Item = &'a Worker>) -> Self {
         let mut capacity = Self::default();
         for worker in workers {
             if !capacity.centres.contains(&worker.centre) {
@@ -77,7 +77,7 @@
     }
 
     /// Adds the data centres that are known from instances.
-    pub fn know(&mut self, centres: impl IntoIterator<Item = Centre>) {
+    pub fn add_centres(&mut self, centres: impl IntoIterator<Item = Centre>) {
         self.centres.extend(centres);
     }
 
@@ -100,7 +100,7 @@
 /// Returns every fault that the change from `before` to `after` at `name` has.
 ///
 /// A confirmed change may cut the capacity of a service to less than half, but never to nothing.
-pub fn change(
+pub fn validate(
     before: &Set,
     after: &Set,
     name: &Name,
@@ -124,14 +124,14 @@
 
 fn size(after: &Set) -> Option<Fault> {
     let fault = |detail| Some(Fault::new("", Code::Size, detail));
-    if after.len() > MOST_RECORDS {
+    if after.len() > MAX_RECORDS {
         return fault(format!(
-            "there would be more than {MOST_RECORDS} records; withdraw some"
+            "there would be more than {MAX_RECORDS} records; withdraw some"
         ));
     }
-    if after.bytes() > MOST_BYTES {
+    if after.text_bytes() > MAX_TOTAL_BYTES {
         return fault(format!(
-            "all records would have more than {MOST_BYTES} bytes; withdraw some"
+            "all records would have more than {MAX_TOTAL_BYTES} bytes; withdraw some"
         ));
     }
     None
@@ -162,7 +162,9 @@
                 let detail = format!("no service {} is in force; submit it first", body.service);
                 faults.push(Fault::new("service", Code::Reference, detail));
             }
-            let others = after.rules(&body.service).map(|entry| &entry.record.name);
+            let others = after
+                .rules_for(&body.service)
+                .map(|entry| &entry.record.name);
             faults.extend(others.filter(|other| **other != record.name).map(|other| {
                 let detail = format!(
                     "{} has a rule already, {other}; amend that one",
@@ -224,7 +226,7 @@
             Fault::new(path(i), Code::Reference, detail)
         })
         .collect();
-    let Ok(route) = after.route(&rule.service) else {
+    let Ok(route) = after.resolve(&rule.service) else {
         return faults;
     };
     let all: Vec<&Centre> = match rule.centres.as_slice() {
@@ -276,7 +278,7 @@
                 Body::Service(body) => body.pools.iter().any(|p| p.as_str() == name.name),
                 _ => false,
             };
-            let services = before.kind(Kind::Service).filter(|e| uses(&e.record));
+            let services = before.iter_kind(Kind::Service).filter(|e| uses(&e.record));
             services
                 .filter_map(|e| e.record.name.name.parse().ok())
                 .collect()
@@ -291,7 +293,7 @@
     capacity: &Capacity,
     confirmed: bool,
 ) -> Vec<Fault> {
-    let (Ok(old), Ok(new)) = (before.route(service), after.route(service)) else {
+    let (Ok(old), Ok(new)) = (before.resolve(service), after.resolve(service)) else {
         return Vec::new();
     };
     let mut faults = Vec::new();
--- a/src/record/difference.rs
+++ b/src/record/difference.rs
@@ -21,10 +21,10 @@
 }
 
 /// Lists the fields in which `asked` differs from `current`, the first 64 of them.
-pub fn between(current: &str, asked: &str) -> Vec<Difference> {
+pub fn compare(current: &str, asked: &str) -> Vec<Difference> {
     let read = |text: &str| serde_json::from_str(text).unwrap_or(Value::Null);
     let mut list = Vec::new();
-    compare(
+    collect(
         String::new(),
         Some(&read(current)),
         Some(&read(asked)),
@@ -34,7 +34,7 @@
     list
 }
 
-fn compare(path: String, a: Option<&Value>, b: Option<&Value>, list: &mut Vec<Difference>) {
+fn collect(path: String, a: Option<&Value>, b: Option<&Value>, list: &mut Vec<Difference>) {
     if a == b {
         return;
     }
@@ -52,6 +52,6 @@
             "" => key.clone(),
             path => format!("{path}.{key}"),
         };
-        compare(inner, x.get(key), y.get(key), list);
+        collect(inner, x.get(key), y.get(key), list);
     }
 }
--- a/src/record/pool.rs
+++ b/src/record/pool.rs
@@ -86,7 +86,7 @@
     }
 
     /// Names what schema 1 can't say of this body.
-    pub(super) fn lost(&self) -> Vec<Fault> {
+    pub(super) fn find_lost_fields(&self) -> Vec<Fault> {
         let detail = "the least size would be lost in schema 1; amend in schema 2";
         let fault = |_| Fault::new("least", Code::Lost, detail);
         self.least.iter().map(fault).collect()
--- a/src/record/route.rs
+++ b/src/record/route.rs
@@ -38,18 +38,18 @@
     /// The longest that a task may run: the lease that it starts under.
     pub lease: Span,
     /// The most tasks in a job.
-    pub tasks: u32,
+    pub max_tasks: u32,
     /// What teams may use; others get weight 1 without a bound.
     pub quotas: BTreeMap<Team, Quota>,
 }
 
 /// Why there is no route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
-pub enum Missing {
+pub enum Error {
     /// No service of this name is in force.
     #[error("no service of this name is in force")]
-    Service,
+    UnknownService,
     /// One of its records is of a schema that this version doesn't know.
     #[error("a record of this service has a schema that this version doesn't know")]
-    Schema,
+    UnknownSchema,
 }
--- a/src/record/rule.rs
+++ b/src/record/rule.rs
@@ -75,7 +75,7 @@
     }
 
     /// Names what schema 1 can't say of this body.
-    pub(super) fn lost(&self) -> Vec<Fault> {
+    pub(super) fn find_lost_fields(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
         if self.centres.len() > 1 {
             let detail = "the order of data centres would be lost in schema 1; amend in schema 2";
--- a/src/record/service.rs
+++ b/src/record/service.rs
@@ -89,7 +89,7 @@
     }
 
     /// Names what schema 1 can't say of this body.
-    pub(super) fn lost(&self) -> Vec<Fault> {
+    pub(super) fn find_lost_fields(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
         let mut lose = |path: &str, what: String| {
             let detail = format!("{what} would be lost in schema 1; amend in schema 2");
--- a/src/record/set.rs
+++ b/src/record/set.rs
@@ -8,7 +8,7 @@
 use super::{
     pool::State,
     route::{
-        Missing,
+        Error,
         Route, //
     },
     rule,
@@ -48,7 +48,7 @@
     }
 
     /// Returns the records after `name` in the order of their names.
-    pub fn after<'a>(
+    pub fn iter_after<'a>(
         &'a self,
         name: Option<&'a Name>,
     ) -> impl Iterator<Item = (&'a Name, &'a Entry)> {
@@ -67,12 +67,12 @@
     }
 
     /// Returns the bytes of all texts together.
-    pub fn bytes(&self) -> usize {
+    pub fn text_bytes(&self) -> usize {
         self.bytes
     }
 
     /// Puts a record in place of the one of its name.
-    pub fn put(&mut self, record: Arc<Record>, revision: Revision) {
+    pub fn insert(&mut self, record: Arc<Record>, revision: Revision) {
         self.remove(&record.name.clone());
         self.bytes += record.text.len();
         let name = record.name.clone();
@@ -87,14 +87,14 @@
     }
 
     /// Returns the records of a kind.
-    pub fn kind(&self, kind: Kind) -> impl Iterator<Item = &Entry> {
+    pub fn iter_kind(&self, kind: Kind) -> impl Iterator<Item = &Entry> {
         let same = move |entry: &&Entry| entry.record.name.kind == kind;
         self.entries.values().filter(same)
     }
 
     /// Returns the rules of a service, those of an unknown schema among them.
-    pub fn rules<'a>(&'a self, service: &'a Service) -> impl Iterator<Item = &'a Entry> {
-        self.kind(Kind::Rule)
+    pub fn rules_for<'a>(&'a self, service: &'a Service) -> impl Iterator<Item = &'a Entry> {
+        self.iter_kind(Kind::Rule)
             .filter(move |entry| target(&entry.record) == Some(service))
     }
 
@@ -103,33 +103,33 @@
     /// # Errors
     ///
     /// Tells that there is no such service, or that one of its records is of an unknown schema.
-    pub fn route(&self, service: &Service) -> Result<Route, Missing> {
+    pub fn resolve(&self, service: &Service) -> Result<Route, Error> {
         let name = Name::new(Kind::Service, service);
-        let entry = self.get(&name).ok_or(Missing::Service)?;
-        self.resolve(service, entry, self.rules(service).next())
+        let entry = self.get(&name).ok_or(Error::UnknownService)?;
+        self.build_route(service, entry, self.rules_for(service).next())
     }
 
     /// Resolves every service.
-    pub fn routes(&self) -> BTreeMap<Service, Result<Arc<Route>, Missing>> {
-        let rules = self.kind(Kind::Rule);
+    pub fn resolve_all(&self) -> BTreeMap<Service, Result<Arc<Route>, Error>> {
+        let rules = self.iter_kind(Kind::Rule);
         let rules = rules.filter_map(|entry| Some((target(&entry.record)?, entry)));
         let rules: BTreeMap<&Service, &Entry> = rules.collect();
         let route = |entry: &Entry| {
             let name: Service = entry.record.name.name.parse().ok()?;
-            let route = self.resolve(&name, entry, rules.get(&name).copied());
+            let route = self.build_route(&name, entry, rules.get(&name).copied());
             Some((name, route.map(Arc::new)))
         };
-        self.kind(Kind::Service).filter_map(route).collect()
+        self.iter_kind(Kind::Service).filter_map(route).collect()
     }
 
-    fn resolve(
+    fn build_route(
         &self,
         service: &Service,
         entry: &Entry,
         rule: Option<&Entry>,
-    ) -> Result<Route, Missing> {
+    ) -> Result<Route, Error> {
         let Body::Service(body) = &entry.record.body else {
-            return Err(Missing::Schema);
+            return Err(Error::UnknownSchema);
         };
         let mut revision = entry
             .revision
@@ -137,17 +137,17 @@
         let rule = match rule.map(|rule| &rule.record.body) {
             None => None,
             Some(Body::Rule(rule)) => Some(rule),
-            Some(_) => return Err(Missing::Schema),
+            Some(_) => return Err(Error::UnknownSchema),
         };
         let mut pools = Vec::new();
         for pool in &body.pools {
             let entry = self.get(&Name::new(Kind::Pool, pool));
-            let entry = entry.ok_or(Missing::Schema)?;
+            let entry = entry.ok_or(Error::UnknownSchema)?;
             revision = revision.max(entry.revision);
             match &entry.record.body {
                 Body::Pool(body) if body.state == State::Open => pools.push(pool.clone()),
                 Body::Pool(_) => {}
-                _ => return Err(Missing::Schema),
+                _ => return Err(Error::UnknownSchema),
             }
         }
         Ok(route(service, revision, pools, body, rule))
@@ -179,7 +179,7 @@
         class: body.class,
         deadline: body.deadline,
         lease: body.lease,
-        tasks: body.tasks,
+        max_tasks: body.tasks,
         quotas: rule.map(|rule| rule.quotas.clone()).unwrap_or_default(),
     }
 }
--- a/src/table.rs
+++ b/src/table.rs
@@ -56,11 +56,10 @@
 
 use wire::{
     Commit,
-    Committed,
     Group,
     Row,
-    Verdicts,
     Scan, //
+    Verdicts,
 };
 
 /// The most groups in one commit.
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -49,7 +49,7 @@
         record::{
             fault::Code,
             pool,
-            route::Missing,
+            route::Error,
             rule,
             Body,
             Name,
--- a/tests/records/rules.rs
+++ b/tests/records/rules.rs
@@ -137,7 +137,7 @@
     }
     assert_eq!(
         cluster.config(0).route(&id("nothing")),
-        Err(Missing::Service)
+        Err(Error::UnknownService)
     );
 }
 
@@ -162,8 +162,8 @@
     cluster.settle(10_000);
     assert_eq!(cluster.revisions(), [5, 5]);
     let route = |name: &str| cluster.config(1).route(&id(name));
-    assert_eq!(route("future"), Err(Missing::Schema));
-    assert_eq!(route("notebook"), Err(Missing::Schema));
+    assert_eq!(route("future"), Err(Error::UnknownSchema));
+    assert_eq!(route("notebook"), Err(Error::UnknownSchema));
     let text =
         r#"{"schema":2,"kind":"service","name":"future","pools":["compute"],"deadline_ms":5}"#;
     let told = cluster.change(1, amend("service/future", 4, text));
--- a/tests/standin.rs
+++ b/tests/standin.rs
@@ -15,11 +15,10 @@
     prelude::*,
     table::wire::{
         Commit,
-        Committed,
         Condition,
         Group,
-        Verdicts,
         Scan,
+        Verdicts,
         Write, //
     },
 };
--- a/tests/support/platform.rs
+++ b/tests/support/platform.rs
@@ -20,14 +20,13 @@
     prelude::Digest,
     table::wire::{
         Commit,
-        Committed,
         Group,
         List,
         Member,
         Row,
         Scan,
-        Verdicts,
         Verdict,
+        Verdicts,
         Worker, //
     },
 };
