--- a/src/table.rs
+++ b/src/table.rs
@@ -1,4 +1,4 @@
-//! The side towards the platform: its table, object store and instance list.
+//! Client of the platform: its table, its object store and its list of instances and endpoints.
 
 use std::{
     collections::VecDeque,
@@ -63,74 +63,77 @@
 };
 
 /// The most groups in one commit.
-const GROUPS: usize = 512;
+const MAX_GROUPS: usize = 512;
 
-/// The most operations that wait for the platform; any more are refused.
-const WAITING: usize = 8_192;
+/// The most groups that wait for a commit; any more are refused.
+const MAX_WAITING_GROUPS: usize = 8_192;
 
-/// Reads and object operations in progress at once.
-const READS: usize = 32;
+/// The most reads and object operations in progress at once.
+const MAX_CONCURRENT_READS: usize = 32;
 
-/// How long a group that may wait does, when no other takes it along.
-const LATER: Duration = Duration::from_millis(50);
+/// How long a deferrable group waits for a commit that an urgent group starts.
+const MAX_DELAY: Duration = Duration::from_millis(50);
 
-/// How many commits may be saved up, in seconds of the instance's share.
-const BURST: f64 = 0.1;
+/// The capacity of the token bucket, in seconds of the instance's share of commits.
+const BURST_SECONDS: f64 = 0.1;
 
-/// Gathers groups into commits, one of them in flight: the state of this thread.
+/// Gathers groups into commits, at most one of them in flight.
 #[derive(xtra::Actor)]
 struct Committer {
     link: Arc<Link>,
     urgent: VecDeque<(Ticket, Group)>,
-    later: VecDeque<(Ticket, Group)>,
-    /// When the eldest group that may wait has waited enough.
+    deferred: VecDeque<(Ticket, Group)>,
+    /// When the oldest deferrable group is committed at the latest.
     due: Option<Instant>,
-    flying: bool,
+    in_flight: bool,
     bucket: Bucket,
 }
 
-/// The instance's share of the platform's writes.
+/// A token bucket that limits commits to the instance's share of the platform's writes.
 struct Bucket {
     /// Commits a second of all instances together.
-    writes: f64,
+    total_rate: f64,
+    /// Commits a second of this instance.
     rate: f64,
     tokens: f64,
-    at: Instant,
+    refilled_at: Instant,
 }
 
-/// What every task of this thread shares.
+/// The connections to the platform, shared by the tasks of this thread.
 struct Link {
     address: String,
-    wait: Duration,
+    /// The timeout of one request.
+    timeout: Duration,
     metrics: Arc<Metrics>,
-    back: ring::Sender<Input>,
+    inputs: ring::Sender<Input>,
     pool: Mutex<Pool>,
-    reads: Arc<Semaphore>,
+    /// Limits reads and object operations in progress.
+    read_permits: Arc<Semaphore>,
 }
 
-/// Something to be done, from the decisions.
+/// An output of the core, sent to the committer.
 struct Order(Output);
 
-/// Tells that the commit in flight has ended.
-struct Landed;
+/// The commit in flight has ended.
+struct CommitEnded;
 
-/// Tells that it may be time for a commit.
-struct Due;
+/// A delay of the committer is over: a deferrable group is due or the bucket has a token.
+struct DelayEnded;
 
-/// Serves orders until the decisions end, and reads the platform's list.
+/// Executes the commands of the core until `outputs` closes, and polls the platform's list.
 pub async fn serve(
     settings: Arc<Settings>,
     metrics: Arc<Metrics>,
-    mut orders: ring::Receiver<Output>,
-    back: ring::Sender<Input>,
+    mut outputs: ring::Receiver<Output>,
+    inputs: ring::Sender<Input>,
 ) {
     let link = Arc::new(Link {
         address: settings.platform_address.to_string(),
-        wait: settings.timing.platform_timeout.duration(),
+        timeout: settings.timing.platform_timeout.duration(),
         metrics,
-        back,
+        inputs,
         pool: Mutex::new(Pool::new(settings.timing.idle_timeout.duration())),
-        reads: Arc::new(Semaphore::new(READS)),
+        read_permits: Arc::new(Semaphore::new(MAX_CONCURRENT_READS)),
     });
     let centres = settings.data_centres.clone();
     tokio::spawn(
@@ -140,14 +143,14 @@
     let committer = Committer {
         link,
         urgent: VecDeque::new(),
-        later: VecDeque::new(),
+        deferred: VecDeque::new(),
         due: None,
-        flying: false,
+        in_flight: false,
         bucket: Bucket::new(settings.limits.writes_per_second),
     };
     let address = xtra::spawn_tokio(committer, Mailbox::bounded(settings.limits.ring_capacity));
-    while let Some(order) = orders.next().await {
-        if address.send(Order(order)).await.is_err() {
+    while let Some(output) = outputs.next().await {
+        if address.send(Order(output)).await.is_err() {
             return;
         }
     }
@@ -156,33 +159,33 @@
 impl Handler<Order> for Committer {
     type Return = ();
 
-    async fn handle(&mut self, Order(order): Order, ctx: &mut Context<Self>) {
-        match order {
-            Output::Share(instances) => self.bucket.share(instances),
+    async fn handle(&mut self, Order(output): Order, ctx: &mut Context<Self>) {
+        match output {
+            Output::Share(instances) => self.bucket.set_share(instances),
             Output::Command(ticket, Command::Commit(group)) => {
-                if self.waiting() >= WAITING {
-                    self.link.tell(ticket, Completion::Refused);
+                if self.count_waiting() >= MAX_WAITING_GROUPS {
+                    self.link.spawn_complete(ticket, Completion::Refused);
                     return;
                 }
                 self.urgent.push_back((ticket, group));
                 self.try_commit(ctx);
             }
             Output::Command(ticket, Command::CommitLater(group)) => {
-                if self.waiting() >= WAITING {
-                    self.link.tell(ticket, Completion::Refused);
+                if self.count_waiting() >= MAX_WAITING_GROUPS {
+                    self.link.spawn_complete(ticket, Completion::Refused);
                     return;
                 }
-                self.later.push_back((ticket, group));
+                self.deferred.push_back((ticket, group));
                 if self.due.is_none() {
-                    self.due = Some(Instant::now() + LATER);
-                    wake(ctx, LATER);
+                    self.due = Some(Instant::now() + MAX_DELAY);
+                    schedule_wake_up(ctx, MAX_DELAY);
                 }
             }
-            Output::Command(ticket, operate) => {
+            Output::Command(ticket, command) => {
                 let link = self.link.clone();
                 tokio::spawn(async move {
-                    let result = link.operate(operate).await;
-                    link.back.send(Input::Completed(ticket, result)).await;
+                    let result = link.execute(command).await;
+                    link.inputs.send(Input::Completed(ticket, result)).await;
                 });
             }
             _ => {}
@@ -190,104 +193,112 @@
     }
 }
 
-impl Handler<Landed> for Committer {
+impl Handler<CommitEnded> for Committer {
     type Return = ();
 
-    async fn handle(&mut self, _: Landed, ctx: &mut Context<Self>) {
-        self.flying = false;
+    async fn handle(&mut self, _: CommitEnded, ctx: &mut Context<Self>) {
+        self.in_flight = false;
         self.try_commit(ctx);
     }
 }
 
-impl Handler<Due> for Committer {
+impl Handler<DelayEnded> for Committer {
     type Return = ();
 
-    async fn handle(&mut self, _: Due, ctx: &mut Context<Self>) {
+    async fn handle(&mut self, _: DelayEnded, ctx: &mut Context<Self>) {
         self.try_commit(ctx);
     }
 }
 
-fn wake(ctx: &Context<Committer>, wait: Duration) {
+/// Sends [`DelayEnded`] to the committer after `delay`.
+fn schedule_wake_up(ctx: &Context<Committer>, delay: Duration) {
     let address = ctx.mailbox().address();
     tokio::spawn(async move {
-        sleep(wait).await;
-        address.send(Due).await.ok();
+        sleep(delay).await;
+        address.send(DelayEnded).await.ok();
     });
 }
 
 impl Committer {
-    fn waiting(&self) -> usize {
-        self.urgent.len() + self.later.len()
+    fn count_waiting(&self) -> usize {
+        self.urgent.len() + self.deferred.len()
     }
 
-    /// Commits what waits, if none is in flight and the share of writes allows it.
+    /// Starts a commit of the waiting groups, unless one is in flight or the bucket has no token.
     fn try_commit(&mut self, ctx: &Context<Self>) {
         let now = Instant::now();
-        let late = self.due.is_some_and(|due| now >= due);
-        if self.flying || (self.urgent.is_empty() && !late) {
+        let is_due = self.due.is_some_and(|due| now >= due);
+        if self.in_flight || (self.urgent.is_empty() && !is_due) {
             return;
         }
-        if let Err(wait) = self.bucket.take(now) {
-            wake(ctx, wait);
+        if let Err(delay) = self.bucket.try_take(now) {
+            schedule_wake_up(ctx, delay);
             return;
         }
         let mut batch = Vec::new();
-        for queue in [&mut self.urgent, &mut self.later] {
-            let room = GROUPS - batch.len();
-            batch.extend(queue.drain(..room.min(queue.len())));
+        for queue in [&mut self.urgent, &mut self.deferred] {
+            let space = MAX_GROUPS - batch.len();
+            batch.extend(queue.drain(..space.min(queue.len())));
         }
         self.due = None;
-        if !self.later.is_empty() {
-            self.due = Some(now + LATER);
-            wake(ctx, LATER);
+        if !self.deferred.is_empty() {
+            self.due = Some(now + MAX_DELAY);
+            schedule_wake_up(ctx, MAX_DELAY);
         }
-        self.flying = true;
+        self.in_flight = true;
         let link = self.link.clone();
         let address = ctx.mailbox().address();
         tokio::spawn(async move {
             link.commit(batch).await;
-            address.send(Landed).await.ok();
+            address.send(CommitEnded).await.ok();
         });
     }
 }
 
 impl Bucket {
-    fn new(writes: u32) -> Self {
-        let writes = f64::from(writes.max(1));
+    /// Makes a bucket for `total_rate` commits a second, all of them this instance's.
+    fn new(total_rate: u32) -> Self {
+        let total_rate = f64::from(total_rate.max(1));
         Self {
-            writes,
-            rate: writes,
+            total_rate,
+            rate: total_rate,
             tokens: 1.0,
-            at: Instant::now(),
+            refilled_at: Instant::now(),
         }
     }
 
-    fn share(&mut self, instances: usize) {
-        self.rate = self.writes / instances.max(1) as f64;
+    /// Divides the total rate equally among `instances`.
+    fn set_share(&mut self, instances: usize) {
+        self.rate = self.total_rate / instances.max(1) as f64;
     }
 
-    /// Takes a commit's token, or tells how long to wait for one.
-    fn take(&mut self, now: Instant) -> Result<(), Duration> {
-        let most = (self.rate * BURST).max(1.0);
-        let gained = now.duration_since(self.at).as_secs_f64() * self.rate;
-        self.tokens = (self.tokens + gained).min(most);
-        self.at = now;
+    /// Takes a token.
+    ///
+    /// # Errors
+    ///
+    /// Returns the time until a token is there.
+    fn try_take(&mut self, now: Instant) -> Result<(), Duration> {
+        let capacity = (self.rate * BURST_SECONDS).max(1.0);
+        let gained = now.duration_since(self.refilled_at).as_secs_f64() * self.rate;
+        self.tokens = (self.tokens + gained).min(capacity);
+        self.refilled_at = now;
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
             return Ok(());
         }
-        let wait = (1.0 - self.tokens) / self.rate;
-        Err(Duration::from_secs_f64(wait) + Duration::from_micros(100))
+        let delay = (1.0 - self.tokens) / self.rate;
+        Err(Duration::from_secs_f64(delay) + Duration::from_micros(100))
     }
 }
 
 impl Link {
-    /// Tells the end of an operation from a place that must not wait.
-    fn tell(self: &Arc<Self>, ticket: Ticket, result: Completion) {
+    /// Sends the result of a command to the core without waiting for space in the ring.
+    fn spawn_complete(self: &Arc<Self>, ticket: Ticket, result: Completion) {
         let link = self.clone();
-        tokio::spawn(async move { link.back.send(Input::Completed(ticket, result)).await });
+        tokio::spawn(async move { link.inputs.send(Input::Completed(ticket, result)).await });
     }
 
+    /// Commits `batch` in one request and sends the core a result for each group.
     async fn commit(&self, batch: Vec<(Ticket, Group)>) {
         let (tickets, groups): (Vec<_>, Vec<_>) = batch.into_iter().unzip();
         let count = groups.len();
@@ -302,32 +313,34 @@
                     .filter(|verdicts| verdicts.len() == count)
             }
             Ok(_) | Err(Failure::Unsent(_)) => {
-                return self.tell_all(tickets, &Completion::Refused).await;
+                return self.complete_all(tickets, &Completion::Refused).await;
             }
             Err(Failure::Broken(_)) => None,
         };
-        // An answer that can't be read says no more than none.
+        // An unreadable response leaves open whether the commit took effect, as a lost one does.
         let Some(verdicts) = verdicts else {
-            return self.tell_all(tickets, &Completion::Unknown).await;
+            return self.complete_all(tickets, &Completion::Unknown).await;
         };
         for (ticket, verdict) in tickets.into_iter().zip(verdicts) {
             let result = Completion::Verdict(verdict);
-            self.back.send(Input::Completed(ticket, result)).await;
+            self.inputs.send(Input::Completed(ticket, result)).await;
         }
     }
 
-    async fn tell_all(&self, tickets: Vec<Ticket>, result: &Completion) {
+    /// Sends the core the same result for all `tickets`.
+    async fn complete_all(&self, tickets: Vec<Ticket>, result: &Completion) {
         for ticket in tickets {
-            self.back
+            self.inputs
                 .send(Input::Completed(ticket, result.clone()))
                 .await;
         }
     }
 
-    async fn operate(&self, operate: Command) -> Completion {
-        // A semaphore that is never closed always gives a permit.
-        let _permit = self.reads.acquire().await;
-        match operate {
+    /// Executes a read or an object operation; refuses commits, which the committer gathers.
+    async fn execute(&self, command: Command) -> Completion {
+        // The semaphore is never closed, so `acquire` doesn't fail.
+        let _permit = self.read_permits.acquire().await;
+        match command {
             Command::Read(key) => {
                 self.metrics.message(Message::TableRead);
                 let path = format!("/table/row?key={key}");
@@ -370,6 +383,7 @@
         }
     }
 
+    /// Sends a GET request and parses its body, which is none for status 404.
     async fn read(
         &self,
         path: &str,
@@ -387,25 +401,26 @@
         parse(body).unwrap_or(Completion::Refused)
     }
 
-    /// Sends a request to the platform; what takes longer than the bound may have taken effect.
+    /// Sends a request to the platform. One that times out may have taken effect.
     async fn send(&self, method: Method, path: &str, body: Bytes) -> Result<Reply, Failure> {
         let request = http::request(method, &self.address, path, body);
         self.send_request(request).await
     }
 
+    /// Sends a request on a pooled connection, or on a new one where the pool has none.
     async fn send_request(&self, request: Request<Full<Bytes>>) -> Result<Reply, Failure> {
-        let known = lock(&self.pool).take(&self.address);
-        let mut connection = match known {
+        let pooled = lock(&self.pool).take(&self.address);
+        let mut connection = match pooled {
             Some(connection) => connection,
             None => Connection::open(&self.address).await?,
         };
-        match timeout(self.wait, connection.send(request)).await {
+        match timeout(self.timeout, connection.send(request)).await {
             Ok(Ok(reply)) => {
                 lock(&self.pool).put(&self.address, connection);
                 Ok(reply)
             }
             Ok(Err(failure)) => Err(failure),
-            Err(_) => Err(Failure::Broken(Cause::Answer(self.wait))),
+            Err(_) => Err(Failure::Broken(Cause::Answer(self.timeout))),
         }
     }
 }
--- a/src/table/list.rs
+++ b/src/table/list.rs
@@ -1,4 +1,4 @@
-//! The platform's list, read again and again, in parts where the settings name data centres.
+//! Polls the platform's list of instances and endpoints, per data centre where the settings name some.
 
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
     prelude::*, //
 };
 
-/// What was read of one part of the list.
+/// One part of the list, as last read.
 struct Part {
     path: String,
     etag: Option<String>,
@@ -38,8 +38,8 @@
     }
 }
 
-/// Returns the parts of the list: all of it, or the endpoints of each data centre apart.
-fn parts(centres: &[Centre]) -> Vec<Part> {
+/// Returns the parts to read: the whole list, or one part for each data centre.
+fn list_parts(centres: &[Centre]) -> Vec<Part> {
     if centres.is_empty() {
         return vec![Part::new("/instances".to_owned())];
     }
@@ -48,33 +48,33 @@
 }
 
 impl Link {
-    /// Reads the list every `period` and hands on what it tells.
+    /// Polls the list every `period` and sends it to the core.
     ///
-    /// A part that hasn't changed is not sent again, which is what keeps 22,000 endpoints within the bytes that an
-    /// instance may use for control.
+    /// An `if-none-match` header avoids transferring an unchanged part, which bounds the control traffic of an
+    /// instance: a list may have 22,000 endpoints.
     pub(super) async fn read_lists(self: Arc<Self>, centres: Vec<Centre>, period: Span) {
-        let mut parts = parts(&centres);
-        let mut whole: Option<Arc<List>> = None;
+        let mut parts = list_parts(&centres);
+        let mut merged: Option<Arc<List>> = None;
         loop {
             let mut changed = false;
-            let mut heard = false;
+            let mut any_read = false;
             for part in &mut parts {
-                if let Some(news) = self.read_part(part).await {
-                    heard = true;
-                    changed |= news;
+                if let Some(part_changed) = self.read_part(part).await {
+                    any_read = true;
+                    changed |= part_changed;
                 }
             }
-            if changed || whole.is_none() && heard {
-                whole = Some(Arc::new(merge(&parts)));
+            if changed || merged.is_none() && any_read {
+                merged = Some(Arc::new(merge(&parts)));
             }
-            if let (Some(list), true) = (&whole, heard) {
-                self.back.send(Input::Listed(list.clone())).await;
+            if let (Some(list), true) = (&merged, any_read) {
+                self.inputs.send(Input::Listed(list.clone())).await;
             }
             sleep(period.duration()).await;
         }
     }
 
-    /// Reads one part; tells whether it has changed, or nothing where it can't be read.
+    /// Reads one part and returns whether it has changed; none if it can't be read.
     async fn read_part(&self, part: &mut Part) -> Option<bool> {
         self.metrics.message(Message::ListRead);
         let mut request = http::request(Method::GET, &self.address, &part.path, Bytes::new());
@@ -96,12 +96,12 @@
     }
 }
 
-/// Puts the parts together. Each of them has all instances, so those of the last one count.
+/// Merges the parts. Each of them has all instances, so those of the last one are taken.
 fn merge(parts: &[Part]) -> List {
-    let mut whole = List::default();
+    let mut merged = List::default();
     for part in parts {
-        whole.instances.clone_from(&part.list.instances);
-        whole.endpoints.extend_from_slice(&part.list.endpoints);
+        merged.instances.clone_from(&part.list.instances);
+        merged.endpoints.extend_from_slice(&part.list.endpoints);
     }
-    whole
+    merged
 }
--- a/src/table/wire.rs
+++ b/src/table/wire.rs
@@ -1,16 +1,16 @@
-//! What goes between an instance and the platform: JSON over HTTP/1.1.
+//! Messages between an instance and the platform: JSON over HTTP/1.1.
 //!
-//! | call | body | answer |
+//! | request | body | response |
 //! |---|---|---|
 //! | `POST /table/commit` | [`Commit`] | 200 [`Verdicts`] |
 //! | `GET /table/row?key=KEY` | none | 200 [`Row`], 404 |
 //! | `GET /table/scan?prefix=P&after=KEY&limit=N` | none | 200 [`Scan`], keys in order |
 //! | `PUT /objects/NAME` | bytes | 204 |
 //! | `GET /objects/NAME` | none | 200 bytes, 404 |
-//! | `GET /instances` | none | 200 [`List`] with an `etag`; 304 where `if-none-match` names it |
+//! | `GET /instances` | none | 200 [`List`] with an `etag`; 304 if `if-none-match` has that tag |
 //! | `GET /instances?data_centre=C` | none | the same, with the endpoints of `C` alone |
 //!
-//! Any other status means that nothing took effect; no answer at all means that it is not known.
+//! Any other status means that the request had no effect. Without a response it is unknown whether it had one.
 
 use serde::{
     Deserialize,
@@ -19,95 +19,95 @@
 
 use crate::prelude::*;
 
-/// A row of the table. Versions start at 1; a row that is absent counts as version 0.
+/// A row of the table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// The key.
     pub key: String,
-    /// How often the row has been written.
+    /// How often the row has been written: 1 after the first write.
     pub version: u64,
     /// The value: JSON text.
     pub value: String,
 }
 
-/// Holds while the row has this version; zero stands for an absent row.
+/// The version that a row must have for a group to be applied.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Condition {
-    /// The row.
+    /// The key of the row.
     pub key: String,
-    /// The version that it must have.
+    /// The version; 0 if the row must be absent.
     pub version: u64,
 }
 
-/// Puts a row, or deletes it.
+/// Writes a row, or deletes it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Write {
-    /// The row.
+    /// The key of the row.
     pub key: String,
     /// The new value; none deletes the row.
     pub value: Option<String>,
 }
 
-/// Writes that take effect together, when all conditions hold, or not at all.
+/// Writes that are applied together if all conditions hold, and otherwise not at all.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Group {
-    /// What must hold.
+    /// The conditions.
     pub conditions: Vec<Condition>,
-    /// What is written.
+    /// The writes.
     pub writes: Vec<Write>,
 }
 
-/// One transaction: the groups are decided one by one, and made durable together.
+/// A batch of groups: each is applied or rejected by itself, and all are made durable together.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Commit {
     /// The groups.
     pub groups: Vec<Group>,
 }
 
-/// What became of one group.
+/// The result of one group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Verdict {
-    /// Whether the writes took effect.
+    /// Whether the writes were applied.
     pub applied: bool,
-    /// The rows whose conditions failed, as they stand; absent ones are left out.
+    /// The current rows whose conditions failed, without absent ones.
     #[serde(default)]
     pub current: Vec<Row>,
 }
 
-/// The answer to a [`Commit`], a verdict for each group in order.
+/// The response to a [`Commit`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Verdicts {
-    /// The verdicts.
+    /// The verdicts, in the order of the groups.
     pub verdicts: Vec<Verdict>,
 }
 
-/// Rows of a scan.
+/// The response to a scan.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Scan {
     /// The rows in the order of their keys.
     pub rows: Vec<Row>,
 }
 
-/// Whether a member of the list is to get new work.
+/// Whether an instance or endpoint of the list takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// It is there.
+    /// It takes new work.
     Live,
-    /// It is leaving.
+    /// It is shutting down and takes no new work.
     Leaving,
 }
 
-/// An entry instance in the platform's list.
+/// An instance in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Its name.
     pub name: Instance,
     /// Its data centre.
     pub centre: Centre,
-    /// Where it listens to its peers, as `IP:PORT`.
+    /// The address that its peers connect to, as `IP:PORT`.
     pub address: String,
-    /// Whether it is leaving.
+    /// Whether it takes new work.
     pub state: State,
 }
 
@@ -120,26 +120,26 @@
     pub centre: Centre,
     /// Its rack.
     pub rack: String,
-    /// Where it listens, as `IP:PORT`.
+    /// The address that it listens on, as `IP:PORT`.
     pub address: String,
     /// The worker pool that it belongs to.
     pub pool: Pool,
-    /// Tasks that it runs at once.
+    /// The most tasks that it runs at once.
     pub slots: u32,
-    /// Connections that it takes from all instances together.
+    /// The most connections that it accepts from all instances together.
     pub connections: u32,
-    /// What it has.
+    /// Its hardware.
     #[serde(rename = "has")]
     pub resources: Hardware,
-    /// Whether it is leaving.
+    /// Whether it takes new work.
     pub state: State,
 }
 
-/// The platform's list; it lags behind reality.
+/// The platform's list of instances and endpoints, which may be out of date.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct List {
-    /// Entry instances.
+    /// The instances.
     pub instances: Vec<Member>,
-    /// Endpoints.
+    /// The endpoints.
     pub endpoints: Vec<Worker>,
 }
