--- a/src/record.rs
+++ b/src/record.rs
@@ -1,7 +1,7 @@
-//! Configuration records: what operators write, in schema 1 or 2, and the domain types that both parse into.
+//! Configuration records: JSON text in schema 1 or 2, and the domain types that both schemas parse into.
 //!
-//! A record is kept as written. Only `schema`, `kind`, `name` and, in rules, `service` are read of a record whose
-//! schema is not known; every future schema must keep their meaning.
+//! The text of a record is stored as the operator wrote it. Of a record with an unknown schema, only the fields `schema`,
+//! `kind`, `name` and, in rules, `service` are interpreted; every future schema must keep their meaning.
 
 pub mod check;
 pub mod difference;
@@ -40,9 +40,9 @@
     prelude::*, //
 };
 
-/// The newest schema that this version knows.
+/// The newest schema that this version supports.
 pub const NEWEST_SCHEMA: u64 = 2;
-/// The longest text of a record, in bytes.
+/// The greatest length of a record's text, in bytes.
 pub const MAX_TEXT_BYTES: usize = 16 << 10;
 
 /// The kind of a record.
@@ -76,7 +76,7 @@
     }
 }
 
-/// Names a record: `KIND/NAME`.
+/// The full name of a record: `KIND/NAME`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Name {
@@ -87,7 +87,7 @@
 }
 
 impl Name {
-    /// Makes a name of one that is known to be well formed.
+    /// Makes a name from a well-formed `name`, which isn't checked.
     pub fn new(kind: Kind, name: impl fmt::Display) -> Self {
         let name = name.to_string();
         Self { kind, name }
@@ -114,79 +114,81 @@
 
 as_text!(Name, String);
 
-/// What a record says, whichever schema it is written in.
+/// The content of a record, independent of its schema.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Body {
-    /// Of a service.
+    /// A service.
     Service(service::Body),
-    /// Of a worker pool.
+    /// A worker pool.
     Pool(pool::Body),
-    /// Of a placement rule.
+    /// A placement rule.
     Rule(rule::Body),
-    /// Of a schema that this version doesn't know: it stays in force, and nobody guesses at it.
+    /// A record with a schema that this version doesn't support: it stays in force, without being interpreted.
     Unknown(Unknown),
 }
 
-/// What is read of a record whose schema is not known.
+/// The interpreted parts of a record with an unknown schema.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Unknown {
-    /// The service that it is for, where it is a rule.
+    /// The service of a rule; none in records of other kinds.
     pub service: Option<Service>,
-    /// Every text in it, any of which may refer to another record.
+    /// All strings and nested keys in it, any of which may name another record.
     pub texts: Vec<String>,
 }
 
-/// A record: its name, what it says, and the text as written.
+/// A configuration record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Record {
     /// Its name.
     pub name: Name,
     /// The schema that it is written in.
     pub schema: u64,
-    /// What it says.
+    /// Its content.
     pub body: Body,
-    /// The text as written.
+    /// The text as the operator wrote it.
     pub text: String,
 }
 
 impl Record {
-    /// Parses what an operator wrote, which must be of a known schema.
+    /// Parses the text of a record, which must have a supported schema.
     ///
     /// # Errors
     ///
-    /// Returns every fault.
+    /// Returns all faults of the text, up to [`fault::MAX_FAULTS`].
     pub fn parse(text: impl Into<String>) -> Result<Self, Vec<Fault>> {
         let text = text.into();
         if text.len() > MAX_TEXT_BYTES {
             let detail = format!("has {} bytes; give {MAX_TEXT_BYTES} at most", text.len());
             return Err(vec![Fault::new("", Code::Size, detail)]);
         }
-        let (map, twice) = object::read(&text).map_err(|fault| vec![fault])?;
+        let (map, duplicates) = object::parse(&text).map_err(|fault| vec![fault])?;
         let mut fields = Fields::new(&map, "");
-        let head = head(&mut fields);
+        let head = read_head(&mut fields);
         let body = head
             .as_ref()
-            .and_then(|(kind, schema)| body(*kind, *schema, &mut fields));
-        let name = fields.required("name", "the record's name", fields::name::<Service>);
-        let whole = head.zip(body).zip(name);
-        // Of a schema or kind that can't be told, no other field can be judged.
-        let mut faults = match &whole {
-            None if !fields_known(&map) => head_faults(fields.finish()),
+            .and_then(|(kind, schema)| read_body(*kind, *schema, &mut fields));
+        let name = fields.required("name", "the record's name", fields::read_name::<Service>);
+        let parts = head.zip(body).zip(name);
+        // Without a valid schema and kind it is unknown which other fields are allowed.
+        let mut faults = match &parts {
+            None if !has_valid_head(&map) => without_unknown_fields(fields.finish()),
             _ => fields.finish(),
         };
-        faults.extend(twice);
-        match whole {
+        faults.extend(duplicates);
+        match parts {
             Some((((kind, schema), body), name)) if faults.is_empty() => Ok(Self {
                 name: Name::new(kind, name),
                 schema,
                 body,
                 text,
             }),
-            _ => Err(fault::shorten(faults)),
+            _ => Err(fault::truncate(faults)),
         }
     }
 
-    /// Reads a record that was accepted, maybe by a newer version.
+    /// Parses a record that was accepted earlier, possibly by a newer version.
+    ///
+    /// A text that can't be parsed as the record `name` becomes [`Body::Unknown`], so that no accepted record is lost.
     pub fn parse_accepted(name: Name, text: impl Into<String>) -> Self {
         let text = text.into();
         if let Ok(record) = Self::parse(text.as_str()) {
@@ -194,10 +196,11 @@
                 return record;
             }
         }
-        let (map, _) = object::read(&text).unwrap_or_default();
+        let (map, _) = object::parse(&text).unwrap_or_default();
         let mut texts = Vec::new();
-        map.values().for_each(|value| gather(value, &mut texts));
-        let service = map.get("service").and_then(|v| fields::name(v).ok());
+        map.values()
+            .for_each(|value| collect_texts(value, &mut texts));
+        let service = map.get("service").and_then(|v| fields::read_name(v).ok());
         Self {
             name,
             schema: map.get("schema").and_then(Value::as_u64).unwrap_or(0),
@@ -206,12 +209,12 @@
         }
     }
 
-    /// Tells whether this version understands the record.
+    /// Returns whether this version supports the record's schema.
     pub fn has_known_schema(&self) -> bool {
         !matches!(self.body, Body::Unknown(_))
     }
 
-    /// Names what an amendment in `schema` would lose of this record.
+    /// Returns a fault for each field that an amendment in `schema` can't express and would drop.
     pub fn find_lost_fields(&self, schema: u64) -> Vec<Fault> {
         if schema >= self.schema {
             return Vec::new();
@@ -225,16 +228,17 @@
     }
 }
 
-/// Reads just the name of a record, whatever else is wrong with its text.
+/// Returns the name in the text of a record, whose other fields may be invalid.
 pub fn parse_name(text: &str) -> Option<Name> {
-    let (map, _) = object::read(text).ok()?;
+    let (map, _) = object::parse(text).ok()?;
     let kind: Kind = map.get("kind")?.as_str()?.parse().ok()?;
-    let name: Service = fields::name(map.get("name")?).ok()?;
+    let name: Service = fields::read_name(map.get("name")?).ok()?;
     Some(Name::new(kind, name))
 }
 
-fn head(fields: &mut Fields<'_>) -> Option<(Kind, u64)> {
-    let kind = fields.required("kind", "service, pool or rule", fields::word::<Kind>);
+/// Reads the kind and the schema.
+fn read_head(fields: &mut Fields<'_>) -> Option<(Kind, u64)> {
+    let kind = fields.required("kind", "service, pool or rule", fields::read_word::<Kind>);
     let schema = fields.required("schema", "1 or 2", |value| match value.as_u64() {
         Some(schema) if (1..=NEWEST_SCHEMA).contains(&schema) => Ok(schema),
         _ => Err((
@@ -245,33 +249,35 @@
     kind.zip(schema)
 }
 
-fn body(kind: Kind, schema: u64, fields: &mut Fields<'_>) -> Option<Body> {
+/// Reads the fields that depend on kind and schema.
+fn read_body(kind: Kind, schema: u64, fields: &mut Fields<'_>) -> Option<Body> {
     match (kind, schema) {
-        (Kind::Service, 1) => service::Body::v1(fields).map(Body::Service),
-        (Kind::Service, _) => service::Body::v2(fields).map(Body::Service),
-        (Kind::Pool, 1) => pool::Body::v1(fields).map(Body::Pool),
-        (Kind::Pool, _) => pool::Body::v2(fields).map(Body::Pool),
-        (Kind::Rule, 1) => rule::Body::v1(fields).map(Body::Rule),
-        (Kind::Rule, _) => rule::Body::v2(fields).map(Body::Rule),
+        (Kind::Service, 1) => service::Body::read_v1(fields).map(Body::Service),
+        (Kind::Service, _) => service::Body::read_v2(fields).map(Body::Service),
+        (Kind::Pool, 1) => pool::Body::read_v1(fields).map(Body::Pool),
+        (Kind::Pool, _) => pool::Body::read_v2(fields).map(Body::Pool),
+        (Kind::Rule, 1) => rule::Body::read_v1(fields).map(Body::Rule),
+        (Kind::Rule, _) => rule::Body::read_v2(fields).map(Body::Rule),
     }
 }
 
-fn fields_known(map: &Map<String, Value>) -> bool {
-    head(&mut Fields::new(map, "")).is_some()
+fn has_valid_head(map: &Map<String, Value>) -> bool {
+    read_head(&mut Fields::new(map, "")).is_some()
 }
 
-fn head_faults(faults: Vec<Fault>) -> Vec<Fault> {
-    let known = |fault: &Fault| fault.code != Code::UnknownField;
-    faults.into_iter().filter(known).collect()
+fn without_unknown_fields(faults: Vec<Fault>) -> Vec<Fault> {
+    let is_other = |fault: &Fault| fault.code != Code::UnknownField;
+    faults.into_iter().filter(is_other).collect()
 }
 
-fn gather(value: &Value, texts: &mut Vec<String>) {
+/// Appends all strings in `value` and all keys of objects in it to `texts`.
+fn collect_texts(value: &Value, texts: &mut Vec<String>) {
     match value {
         Value::String(text) => texts.push(text.clone()),
-        Value::Array(items) => items.iter().for_each(|item| gather(item, texts)),
+        Value::Array(items) => items.iter().for_each(|item| collect_texts(item, texts)),
         Value::Object(map) => map.iter().for_each(|(key, item)| {
             texts.push(key.clone());
-            gather(item, texts);
+            collect_texts(item, texts);
         }),
         _ => {}
     }
--- a/src/record/check.rs
+++ b/src/record/check.rs
@@ -1,4 +1,4 @@
-//! Checks a change against all records that would then be in force, and against the workers that are there.
+//! Validates a change against the records that would be in force with it, and against the listed workers.
 
 use std::collections::{
     BTreeMap,
@@ -7,13 +7,13 @@
 
 use super::{
     fault::{
-        shorten,
+        truncate,
         Code,
         Fault, //
     },
     route::Route,
     set::{
-        target,
+        rule_service,
         Set, //
     },
     Body,
@@ -29,12 +29,12 @@
     },
 };
 
-/// The most records that are in force together.
+/// The most records in force.
 pub const MAX_RECORDS: usize = 10_000;
-/// The most bytes of all texts together.
+/// The most bytes of the texts of all records in force.
 pub const MAX_TOTAL_BYTES: usize = 8 << 20;
 
-/// The capacity that there is: slots by pool and data centre, and the sizes of the workers.
+/// The available capacity: slots by pool and data centre, and the hardware of the workers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Capacity {
     slots: BTreeMap<Pool, BTreeMap<Centre, u64>>,
@@ -43,7 +43,7 @@
 }
 
 impl Capacity {
-    /// Adds up the workers of the platform's list; leaving ones count for nothing.
+    /// Sums up the workers of the platform's list. Those that are shutting down add their data centre, but no slots.
     pub fn from_workers<'a>(workers: impl IntoIterator<Item = &'a Worker>) -> Self {
         let mut capacity = Self::default();
         for worker in workers {
@@ -58,7 +58,7 @@
     }
 
     fn add(&mut self, worker: &Worker) {
-        // The list has many workers and few pools and data centres: names are cloned only when they are new.
+        // Names are cloned only when they are new: the list has many workers, but few pools and data centres.
         if !self.slots.contains_key(&worker.pool) {
             self.slots.insert(worker.pool.clone(), BTreeMap::new());
             self.sizes.insert(worker.pool.clone(), Vec::new());
@@ -76,30 +76,31 @@
         }
     }
 
-    /// Adds the data centres that are known from instances.
+    /// Adds data centres that may have no worker.
     pub fn add_centres(&mut self, centres: impl IntoIterator<Item = Centre>) {
         self.centres.extend(centres);
     }
 
-    /// Returns the slots of a pool in a data centre.
+    /// Returns the slots of a pool in one data centre.
     fn slots(&self, pool: &Pool, centre: &Centre) -> u64 {
         let centres = self.slots.get(pool);
         centres.and_then(|c| c.get(centre)).copied().unwrap_or(0)
     }
 
-    /// Returns the slots that an instance in `from` can reach on a route.
-    fn reach(&self, route: &Route, from: &Centre) -> u64 {
-        let listed = |c: &&Centre| route.centres.is_empty() || route.centres.contains(c);
+    /// Returns the slots that an instance in `from` can use on a route.
+    fn reachable_slots(&self, route: &Route, from: &Centre) -> u64 {
+        let allowed = |c: &&Centre| route.centres.is_empty() || route.centres.contains(c);
         let others = self.centres.iter().filter(|c| route.spill && *c != from);
-        let reached: Vec<&Centre> = others.filter(listed).chain([from]).collect();
+        let reached: Vec<&Centre> = others.filter(allowed).chain([from]).collect();
         let slots = |pool| reached.iter().map(move |centre| self.slots(pool, centre));
         route.pools.iter().flat_map(slots).sum()
     }
 }
 
-/// Returns every fault that the change from `before` to `after` at `name` has.
+/// Returns the faults of the change of the record `name` that leads from `before` to `after`.
 ///
-/// A confirmed change may cut the capacity of a service to less than half, but never to nothing.
+/// A change must be `confirmed` if it reduces the capacity of a service to less than half. A reduction to zero is always
+/// a fault, since it would make every job of the service fail.
 pub fn validate(
     before: &Set,
     after: &Set,
@@ -108,52 +109,53 @@
     confirmed: bool,
 ) -> Vec<Fault> {
     let mut faults = match after.get(name) {
-        Some(entry) => references(after, &entry.record, capacity),
-        None => referred(after, name),
+        Some(entry) => check_references(after, &entry.record, capacity),
+        None => find_referrers(after, name),
     };
-    faults.extend(size(after));
-    // What capacity would be left can't be told while a reference leads to nothing.
+    faults.extend(check_size(after));
+    // The remaining capacity is undefined while a reference is unresolved.
     if !faults.is_empty() {
         return faults;
     }
-    for service in affected(before, after, name) {
-        faults.extend(cut(before, after, &service, capacity, confirmed));
+    for service in affected_services(before, after, name) {
+        faults.extend(check_capacity(before, after, &service, capacity, confirmed));
     }
-    shorten(faults)
+    truncate(faults)
 }
 
-fn size(after: &Set) -> Option<Fault> {
+fn check_size(after: &Set) -> Option<Fault> {
     let fault = |detail| Some(Fault::new("", Code::Size, detail));
     if after.len() > MAX_RECORDS {
         return fault(format!(
-            "there would be more than {MAX_RECORDS} records; withdraw some"
+            "there would be more than {MAX_RECORDS} records; withdraw unused ones"
         ));
     }
     if after.text_bytes() > MAX_TOTAL_BYTES {
         return fault(format!(
-            "all records would have more than {MAX_TOTAL_BYTES} bytes; withdraw some"
+            "the records would have more than {MAX_TOTAL_BYTES} bytes in total; withdraw unused ones"
         ));
     }
     None
 }
 
-fn references(after: &Set, record: &Record, capacity: &Capacity) -> Vec<Fault> {
+/// Returns the faults of what `record` refers to: other records, workers and data centres.
+fn check_references(after: &Set, record: &Record, capacity: &Capacity) -> Vec<Fault> {
     match &record.body {
         Body::Service(body) => {
-            let nothing = |pool: &Pool| after.get(&Name::new(Kind::Pool, pool)).is_none();
+            let is_absent = |pool: &Pool| after.get(&Name::new(Kind::Pool, pool)).is_none();
             let missing = body
                 .pools
                 .iter()
                 .enumerate()
-                .filter(|(_, pool)| nothing(pool));
+                .filter(|(_, pool)| is_absent(pool));
             missing
-                .map(|(i, pool)| no_pool(record.schema, i, pool))
+                .map(|(i, pool)| missing_pool(record.schema, i, pool))
                 .collect()
         }
         Body::Pool(body) => body
             .least
             .iter()
-            .filter_map(|n| too_large(record, n, capacity))
+            .filter_map(|n| check_hardware(record, n, capacity))
             .collect(),
         Body::Rule(body) => {
             let mut faults = Vec::new();
@@ -167,43 +169,45 @@
                 .map(|entry| &entry.record.name);
             faults.extend(others.filter(|other| **other != record.name).map(|other| {
                 let detail = format!(
-                    "{} has a rule already, {other}; amend that one",
+                    "service {} already has the rule {other}; amend that one",
                     body.service
                 );
                 Fault::new("service", Code::Twice, detail)
             }));
-            faults.extend(centres(after, record, body, capacity));
+            faults.extend(check_centres(after, record, body, capacity));
             faults
         }
         Body::Unknown(_) => Vec::new(),
     }
 }
 
-fn no_pool(schema: u64, place: usize, pool: &Pool) -> Fault {
+fn missing_pool(schema: u64, index: usize, pool: &Pool) -> Fault {
     let path = match schema {
         1 => "pool".to_owned(),
-        _ => format!("pools[{place}]"),
+        _ => format!("pools[{index}]"),
     };
     let detail = format!("no pool {pool} is in force; submit it first or name another");
     Fault::new(path, Code::Reference, detail)
 }
 
-fn too_large(record: &Record, need: &Hardware, capacity: &Capacity) -> Option<Fault> {
+/// Returns a fault if no worker of the pool has the hardware that its record requires.
+fn check_hardware(record: &Record, need: &Hardware, capacity: &Capacity) -> Option<Fault> {
     let pool: Pool = record.name.name.parse().ok()?;
     let sizes = capacity.sizes.get(&pool)?;
-    let enough = |has: &Hardware| {
+    let is_sufficient = |has: &Hardware| {
         has.cores >= need.cores
             && has.memory_mb >= need.memory_mb
             && has.accelerators >= need.accelerators
     };
-    if sizes.iter().any(enough) {
+    if sizes.iter().any(is_sufficient) {
         return None;
     }
-    let detail = format!("no worker of pool {pool} is that large; the list has {sizes:?}");
+    let detail = format!("no worker of pool {pool} has that hardware; its workers have {sizes:?}");
     Some(Fault::new("least", Code::Unsatisfiable, detail))
 }
 
-fn centres(
+/// Returns the faults of a rule's data centres: unknown ones, and a service that has no slots in all of them.
+fn check_centres(
     after: &Set,
     record: &Record,
     rule: &super::rule::Body,
@@ -214,13 +218,13 @@
         _ => format!("centres[{i}]"),
     };
     let known: Vec<&str> = capacity.centres.iter().map(Centre::as_str).collect();
-    let strange = |c: &Centre| !capacity.centres.contains(c);
+    let is_unknown = |c: &Centre| !capacity.centres.contains(c);
     let named = rule.centres.iter().enumerate();
     let mut faults: Vec<Fault> = named
-        .filter(|(_, centre)| strange(centre))
+        .filter(|(_, centre)| is_unknown(centre))
         .map(|(i, centre)| {
             let detail = format!(
-                "no data centre {centre} is known; known are {}",
+                "unknown data centre {centre}; known are {}",
                 known.join(", ")
             );
             Fault::new(path(i), Code::Reference, detail)
@@ -235,7 +239,7 @@
     };
     let slots = |pool| all.iter().map(move |centre| capacity.slots(pool, centre));
     if faults.is_empty() && route.pools.iter().flat_map(slots).sum::<u64>() == 0 {
-        let detail = "no worker of the service's open pools is in any of these data centres";
+        let detail = "the service's open pools have no worker in any of these data centres";
         let path = if rule.centres.is_empty() {
             "service".to_owned()
         } else {
@@ -246,11 +250,12 @@
     faults
 }
 
-fn referred(after: &Set, name: &Name) -> Vec<Fault> {
+/// Returns a fault for each record that refers to the withdrawn record `name`.
+fn find_referrers(after: &Set, name: &Name) -> Vec<Fault> {
     let refers = |record: &Record| match (&record.body, name.kind) {
         (Body::Service(body), Kind::Pool) => body.pools.iter().any(|p| p.as_str() == name.name),
         (Body::Rule(body), Kind::Service) => body.service.as_str() == name.name,
-        // What an unknown schema refers to can't be told, so every text in it counts as a reference.
+        // Which fields of an unknown schema are references is unknown, so every text in it counts as one.
         (Body::Unknown(unknown), Kind::Pool | Kind::Service) => unknown.texts.contains(&name.name),
         _ => false,
     };
@@ -258,19 +263,25 @@
     records
         .filter(|record| refers(record))
         .map(|record| {
-            let detail = format!("{} refers to it; amend or withdraw that first", record.name);
+            let detail = format!(
+                "{} refers to it; amend or withdraw that record first",
+                record.name
+            );
             Fault::new("", Code::Referred, detail)
         })
         .collect()
 }
 
-/// Lists the services whose route the change may touch.
-fn affected(before: &Set, after: &Set, name: &Name) -> BTreeSet<Service> {
+/// Returns the services whose route the change may affect.
+fn affected_services(before: &Set, after: &Set, name: &Name) -> BTreeSet<Service> {
     let versions = [before, after].map(|set| set.get(name));
     match name.kind {
         Kind::Service => name.name.parse().into_iter().collect(),
         Kind::Rule => {
-            let targets = versions.iter().flatten().filter_map(|e| target(&e.record));
+            let targets = versions
+                .iter()
+                .flatten()
+                .filter_map(|e| rule_service(&e.record));
             targets.cloned().collect()
         }
         Kind::Pool => {
@@ -286,7 +297,8 @@
     }
 }
 
-fn cut(
+/// Returns the faults of a reduced capacity of `service`, as seen from each data centre.
+fn check_capacity(
     before: &Set,
     after: &Set,
     service: &Service,
@@ -298,14 +310,18 @@
     };
     let mut faults = Vec::new();
     for centre in &capacity.centres {
-        let (had, has) = (capacity.reach(&old, centre), capacity.reach(&new, centre));
-        let told =
-            format!("service {service} would go from {had} slots to {has}, seen from {centre}");
+        let (had, has) = (
+            capacity.reachable_slots(&old, centre),
+            capacity.reachable_slots(&new, centre),
+        );
+        let reduction = format!(
+            "service {service} would go from {had} to {has} slots, as seen from data centre {centre}"
+        );
         if had > 0 && has == 0 {
-            let detail = format!("{told}; leave it some, or withdraw the service");
+            let detail = format!("{reduction}; leave some, or withdraw the service");
             faults.push(Fault::new("", Code::Capacity, detail));
         } else if has * 2 < had && !confirmed {
-            let detail = format!("{told}; go in smaller steps, or confirm the cut");
+            let detail = format!("{reduction}; make smaller changes, or confirm this one");
             faults.push(Fault::new("", Code::Halved, detail));
         }
     }
--- a/src/record/difference.rs
+++ b/src/record/difference.rs
@@ -1,4 +1,4 @@
-//! The fields in which two texts of a record differ.
+//! Compares two texts of a record field by field.
 
 use serde::{
     Deserialize,
@@ -6,34 +6,35 @@
 };
 use serde_json::Value;
 
-/// The most differences that are told.
-const MOST: usize = 64;
+/// The most differences that are returned.
+const MAX_DIFFERENCES: usize = 64;
 
 /// A field that differs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Difference {
     /// The path of the field.
     pub path: String,
-    /// What stands in force; none where the field is absent.
+    /// The value in force; none if the field is absent.
     pub current: Option<Value>,
-    /// What was asked for; none where the field is absent.
+    /// The value in the requested text; none if the field is absent.
     pub asked: Option<Value>,
 }
 
-/// Lists the fields in which `asked` differs from `current`, the first 64 of them.
+/// Returns the fields in which `asked` differs from `current`, at most the first 64.
 pub fn compare(current: &str, asked: &str) -> Vec<Difference> {
-    let read = |text: &str| serde_json::from_str(text).unwrap_or(Value::Null);
+    let parse = |text: &str| serde_json::from_str(text).unwrap_or(Value::Null);
     let mut list = Vec::new();
     collect(
         String::new(),
-        Some(&read(current)),
-        Some(&read(asked)),
+        Some(&parse(current)),
+        Some(&parse(asked)),
         &mut list,
     );
-    list.truncate(MOST);
+    list.truncate(MAX_DIFFERENCES);
     list
 }
 
+/// Appends the differences between `a` and `b`, the values at `path`, to `list`.
 fn collect(path: String, a: Option<&Value>, b: Option<&Value>, list: &mut Vec<Difference>) {
     if a == b {
         return;
@@ -48,10 +49,10 @@
     };
     let added = y.keys().filter(|key| !x.contains_key(*key));
     for key in x.keys().chain(added) {
-        let inner = match path.as_str() {
+        let inner_path = match path.as_str() {
             "" => key.clone(),
             path => format!("{path}.{key}"),
         };
-        collect(inner, x.get(key), y.get(key), list);
+        collect(inner_path, x.get(key), y.get(key), list);
     }
 }
--- a/src/record/fault.rs
+++ b/src/record/fault.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a record.
+//! Faults of a record, as reported to operators.
 
 use std::fmt;
 
@@ -7,20 +7,20 @@
     Serialize, //
 };
 
-/// The most faults that are told at once.
-pub const MOST: usize = 100;
+/// The most faults of one report.
+pub const MAX_FAULTS: usize = 100;
 
-/// Which sort of fault it is.
+/// The kind of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Code {
     /// The text is not a JSON object.
     Syntax,
-    /// The record, or all records together, are too large.
+    /// The record, or the set of all records, is too large.
     Size,
-    /// The schema is not known to this version.
+    /// This version doesn't support the schema.
     Schema,
-    /// A field is not known in this schema.
+    /// The schema has no such field.
     UnknownField,
     /// A field is missing.
     Missing,
@@ -28,21 +28,21 @@
     Type,
     /// A value is out of its range.
     Range,
-    /// A name is not well formed.
+    /// A name is malformed.
     Name,
-    /// A value stands twice.
+    /// A field or value is duplicated.
     Twice,
-    /// A reference to nothing.
+    /// A reference to a record or data centre that doesn't exist.
     Reference,
-    /// Others refer to what would be withdrawn.
+    /// Other records refer to the one that would be withdrawn.
     Referred,
-    /// A field of the newer schema would be lost.
+    /// A field that the older schema can't express would be dropped.
     Lost,
-    /// No worker can satisfy it.
+    /// No worker satisfies the record.
     Unsatisfiable,
     /// A service would be left without capacity.
     Capacity,
-    /// The capacity of a service would fall to less than half at a stroke.
+    /// A service would be left with less than half of its capacity, and the change isn't confirmed.
     Halved,
 }
 
@@ -52,14 +52,14 @@
     }
 }
 
-/// One fault: where it is, which it is, and what would be right.
+/// One fault of a record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
-    /// The path of the field, as `quotas.risk.weight`; empty for the record as a whole.
+    /// The path of the field, such as `quotas.risk.weight`; empty for the record as a whole.
     pub path: String,
-    /// Which sort of fault it is.
+    /// The kind of the fault.
     pub code: Code,
-    /// What is wrong, and what would be right.
+    /// What is wrong, and how to correct it.
     pub detail: String,
 }
 
@@ -83,12 +83,12 @@
     }
 }
 
-/// Keeps the first [`MOST`] faults and tells how many there are besides.
-pub fn shorten(mut faults: Vec<Fault>) -> Vec<Fault> {
-    let more = faults.len().saturating_sub(MOST);
-    if more > 0 {
-        faults.truncate(MOST);
-        let detail = format!("there are {more} more faults; mend these first");
+/// Keeps the first [`MAX_FAULTS`] faults, and adds one that says how many were dropped.
+pub fn truncate(mut faults: Vec<Fault>) -> Vec<Fault> {
+    let dropped = faults.len().saturating_sub(MAX_FAULTS);
+    if dropped > 0 {
+        faults.truncate(MAX_FAULTS);
+        let detail = format!("{dropped} more faults are not shown; correct these first");
         faults.push(Fault::new("", Code::Size, detail));
     }
     faults
--- a/src/record/fields.rs
+++ b/src/record/fields.rs
@@ -1,4 +1,4 @@
-//! Reads the fields of a JSON object and gathers every fault instead of stopping at the first.
+//! Reads the fields of a JSON object, collecting all faults instead of stopping at the first.
 
 use std::{
     fmt::Display,
@@ -16,13 +16,13 @@
     Fault, //
 };
 
-/// The farthest that a misspelt field may be from the one that is suggested, in single edits.
-const NEAR: usize = 2;
+/// The greatest Levenshtein distance between an unknown field and the one that is suggested for it.
+const MAX_DISTANCE: usize = 2;
 
-/// A value that can't be read: which sort of fault, and what would be right.
-type Wrong = (Code, String);
+/// The code and the detail of a fault whose path the caller adds.
+type ValueFault = (Code, String);
 
-/// An object that is being read.
+/// A JSON object whose fields are being read.
 #[derive(Debug)]
 pub struct Fields<'a> {
     map: &'a Map<String, Value>,
@@ -32,7 +32,7 @@
 }
 
 impl<'a> Fields<'a> {
-    /// Starts to read the object at `path`.
+    /// Makes a reader of the object at `path`.
     pub fn new(map: &'a Map<String, Value>, path: impl Into<String>) -> Self {
         Self {
             map,
@@ -43,17 +43,17 @@
     }
 
     /// Adds a fault of the field `key`.
-    pub fn report(&mut self, key: &str, code: Code, detail: impl Into<String>) {
+    pub fn add_fault(&mut self, key: &str, code: Code, detail: impl Into<String>) {
         let path = join(&self.path, key);
         self.faults.push(Fault::new(path, code, detail));
     }
 
-    /// Adds faults found in a nested object.
-    pub fn extend(&mut self, faults: impl IntoIterator<Item = Fault>) {
+    /// Adds the faults of a nested object.
+    pub fn add_faults(&mut self, faults: impl IntoIterator<Item = Fault>) {
         self.faults.extend(faults);
     }
 
-    /// Returns the value of a field, and takes the field as known.
+    /// Returns the value of a field, and marks the field as known.
     pub fn value(&mut self, key: &'static str) -> Option<&'a Value> {
         if !self.known.contains(&key) {
             self.known.push(key);
@@ -61,37 +61,37 @@
         self.map.get(key)
     }
 
-    /// Reads a field that must be there.
+    /// Reads a required field; `expected` describes its value to the operator.
     pub fn required<T>(
         &mut self,
         key: &'static str,
-        right: &str,
-        read: impl Fn(&Value) -> Result<T, Wrong>,
+        expected: &str,
+        read: impl Fn(&Value) -> Result<T, ValueFault>,
     ) -> Option<T> {
         if !self.map.contains_key(key) {
             self.known.push(key);
-            self.report(key, Code::Missing, format!("is missing; give {right}"));
+            self.add_fault(key, Code::Missing, format!("is missing; give {expected}"));
             return None;
         }
         self.optional(key, read)
     }
 
-    /// Reads a field that may be left out.
+    /// Reads an optional field.
     pub fn optional<T>(
         &mut self,
         key: &'static str,
-        read: impl Fn(&Value) -> Result<T, Wrong>,
+        read: impl Fn(&Value) -> Result<T, ValueFault>,
     ) -> Option<T> {
         match read(self.value(key)?) {
             Ok(value) => Some(value),
             Err((code, detail)) => {
-                self.report(key, code, detail);
+                self.add_fault(key, code, detail);
                 None
             }
         }
     }
 
-    /// Reads a list of distinct names; a fault tells the place of the element.
+    /// Reads an optional list of distinct names. The path of a fault has the index of the element.
     pub fn names<T>(&mut self, key: &'static str) -> Vec<T>
     where
         T: FromStr<Err: Display> + PartialEq,
@@ -100,28 +100,28 @@
             return Vec::new();
         };
         let Some(items) = value.as_array() else {
-            self.report(key, Code::Type, "is not a list; give a list of names");
+            self.add_fault(key, Code::Type, "is not a list; give a list of names");
             return Vec::new();
         };
         let mut names = Vec::new();
         for (i, item) in items.iter().enumerate() {
-            let at = format!("{key}[{i}]");
-            match name::<T>(item) {
+            let path = format!("{key}[{i}]");
+            match read_name::<T>(item) {
                 Ok(name) if names.contains(&name) => {
-                    self.report(&at, Code::Twice, "stands twice; leave one out");
+                    self.add_fault(&path, Code::Twice, "is a duplicate; remove it");
                 }
                 Ok(name) => names.push(name),
-                Err((code, detail)) => self.report(&at, code, detail),
+                Err((code, detail)) => self.add_fault(&path, code, detail),
             }
         }
         names
     }
 
-    /// Reads a nested object that may be left out.
+    /// Reads an optional nested object.
     pub fn object(&mut self, key: &'static str) -> Option<&'a Map<String, Value>> {
         let object = self.value(key)?.as_object();
         if object.is_none() {
-            self.report(key, Code::Type, "is not an object; give {...}");
+            self.add_fault(key, Code::Type, "is not an object; give {...}");
         }
         object
     }
@@ -131,7 +131,7 @@
         join(&self.path, key)
     }
 
-    /// Ends the reading: the fields that were never asked for are unknown.
+    /// Returns all faults, one for each unknown field among them: those that were never read.
     pub fn finish(mut self) -> Vec<Fault> {
         let unknown: Vec<&String> = self
             .map
@@ -139,20 +139,21 @@
             .filter(|key| !self.known.contains(&key.as_str()))
             .collect();
         for key in unknown {
-            let detail = self.hint(key);
-            self.report(key, Code::UnknownField, detail);
+            let detail = self.describe_unknown(key);
+            self.add_fault(key, Code::UnknownField, detail);
         }
         self.faults
     }
 
-    fn hint(&self, key: &str) -> String {
-        let near = |known: &&str| known.starts_with(key) || key.starts_with(*known);
+    /// Returns the detail of the fault of an unknown field, with the field that was probably meant.
+    fn describe_unknown(&self, key: &str) -> String {
+        let is_prefix = |known: &&str| known.starts_with(key) || key.starts_with(*known);
         let nearest = self.known.iter().min_by_key(|known| distance(known, key));
-        let nearest = nearest.filter(|known| distance(known, key) <= NEAR);
-        match self.known.iter().find(|known| near(known)).or(nearest) {
-            Some(known) => format!("is not known in this schema; did you mean `{known}`?"),
+        let nearest = nearest.filter(|known| distance(known, key) <= MAX_DISTANCE);
+        match self.known.iter().find(|known| is_prefix(known)).or(nearest) {
+            Some(known) => format!("is no field of this schema; did you mean `{known}`?"),
             None => format!(
-                "is not known in this schema; known are {}",
+                "is no field of this schema, which has {}",
                 self.known.join(", ")
             ),
         }
@@ -166,7 +167,7 @@
     }
 }
 
-/// Counts the single edits between two words.
+/// Returns the Levenshtein distance between two words, in bytes.
 fn distance(a: &str, b: &str) -> usize {
     let mut row: Vec<usize> = (0..=b.len()).collect();
     for (i, x) in a.bytes().enumerate() {
@@ -185,43 +186,46 @@
 ///
 /// # Errors
 ///
-/// Tells why the value is no name.
-pub fn name<T: FromStr<Err: Display>>(value: &Value) -> Result<T, Wrong> {
+/// Fails if the value is no string or no valid name.
+pub fn read_name<T: FromStr<Err: Display>>(value: &Value) -> Result<T, ValueFault> {
     let text = value
         .as_str()
-        .ok_or((Code::Type, "is not a text; give a name".to_owned()))?;
+        .ok_or((Code::Type, "is not a string; give a name".to_owned()))?;
     text.parse()
         .map_err(|e: T::Err| (Code::Name, e.to_string()))
 }
 
-/// Reads a whole number within a range.
+/// Returns a function that reads a whole number within `range`.
 ///
 /// # Errors
 ///
-/// Tells the range that it must be in.
-pub fn whole(range: RangeInclusive<u64>, unit: &str) -> impl Fn(&Value) -> Result<u64, Wrong> + '_ {
+/// The function fails if the value is no number or is out of range.
+pub fn read_whole(
+    range: RangeInclusive<u64>,
+    unit: &str,
+) -> impl Fn(&Value) -> Result<u64, ValueFault> + '_ {
     move |value| {
-        let right = format!(
+        let expected = format!(
             "a whole number of {unit} from {} to {}",
             range.start(),
             range.end()
         );
         if !value.is_number() {
-            return Err((Code::Type, format!("is {value}; give {right}")));
+            return Err((Code::Type, format!("is {value}; give {expected}")));
         }
         match value.as_u64() {
             Some(number) if range.contains(&number) => Ok(number),
-            _ => Err((Code::Range, format!("is {value}; give {right}"))),
+            _ => Err((Code::Range, format!("is {value}; give {expected}"))),
         }
     }
 }
 
-/// Reads a flag.
+/// Reads a boolean.
 ///
 /// # Errors
 ///
-/// Tells that the value is neither true nor false.
-pub fn flag(value: &Value) -> Result<bool, Wrong> {
+/// Fails if the value is neither true nor false.
+pub fn read_bool(value: &Value) -> Result<bool, ValueFault> {
     value
         .as_bool()
         .ok_or_else(|| (Code::Type, format!("is {value}; give true or false")))
@@ -231,11 +235,11 @@
 ///
 /// # Errors
 ///
-/// Tells the words that are allowed.
-pub fn word<T: FromStr<Err: Display>>(value: &Value) -> Result<T, Wrong> {
+/// Fails if the value is no string or none of the words.
+pub fn read_word<T: FromStr<Err: Display>>(value: &Value) -> Result<T, ValueFault> {
     let text = value
         .as_str()
-        .ok_or((Code::Type, format!("is {value}; give a text")))?;
+        .ok_or((Code::Type, format!("is {value}; give a string")))?;
     text.parse()
         .map_err(|e: T::Err| (Code::Range, e.to_string()))
 }
--- a/src/record/object.rs
+++ b/src/record/object.rs
@@ -1,4 +1,4 @@
-//! Reads JSON text and finds the fields that stand twice.
+//! Parses JSON text and finds duplicate fields.
 
 use std::{
     cell::RefCell,
@@ -24,15 +24,14 @@
     Fault, //
 };
 
-/// Reads a JSON object, of fields that stand twice the last one.
+/// Parses a JSON object. Returns it with a fault for each duplicate field, of which the object has the last value.
 ///
-/// JSON allows a field to stand twice and readers take one of them unseen, which need not be the one that was meant;
-/// the faults tell of each.
+/// JSON parsers accept duplicate fields and silently take one of them, which need not be the one that was meant.
 ///
 /// # Errors
 ///
-/// Tells that the text is not a JSON object.
-pub fn read(text: &str) -> Result<(Map<String, Value>, Vec<Fault>), Fault> {
+/// Fails if the text is not a JSON object.
+pub fn parse(text: &str) -> Result<(Map<String, Value>, Vec<Fault>), Fault> {
     let faults = RefCell::new(Vec::new());
     let seed = Seed {
         path: String::new(),
@@ -52,13 +51,14 @@
     }
 }
 
-/// Reads the value at a path.
+/// Deserializes the value at a path.
 struct Seed<'a> {
     path: String,
     faults: &'a RefCell<Vec<Fault>>,
 }
 
 impl Seed<'_> {
+    /// Returns the seed of the value of `key` in the object at this path.
     fn at(&self, key: &str) -> Self {
         let path = match self.path.as_str() {
             "" => key.to_owned(),
@@ -119,12 +119,12 @@
     fn visit_map<A: MapAccess<'de>>(self, mut fields: A) -> Result<Value, A::Error> {
         let mut map = Map::new();
         while let Some(key) = fields.next_key::<String>()? {
-            let inner = self.at(&key);
+            let seed = self.at(&key);
             if map.contains_key(&key) {
-                let fault = Fault::new(&inner.path, Code::Twice, "stands twice; leave one out");
+                let fault = Fault::new(&seed.path, Code::Twice, "is a duplicate; remove it");
                 self.faults.borrow_mut().push(fault);
             }
-            map.insert(key, fields.next_value_seed(inner)?);
+            map.insert(key, fields.next_value_seed(seed)?);
         }
         Ok(map.into())
     }
--- a/src/record/pool.rs
+++ b/src/record/pool.rs
@@ -1,4 +1,4 @@
-//! Worker pool records: whether a pool takes work, and the size that its workers are counted on to have.
+//! Worker pool records: whether a pool takes work, and the hardware that its workers must have.
 
 use std::{
     fmt,
@@ -29,7 +29,7 @@
     /// It takes new work.
     #[default]
     Open,
-    /// It gets nothing new; what runs there ends.
+    /// It takes no new work; running tasks are completed.
     Closed,
 }
 
@@ -51,33 +51,33 @@
     }
 }
 
-/// What a pool record says, in either schema.
+/// The content of a pool record, in either schema.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Body {
     /// Whether it takes new work.
     pub state: State,
-    /// The size that at least one of its workers must have, where the record tells one.
+    /// The hardware that at least one of its workers must have; none for no requirement.
     pub least: Option<Hardware>,
 }
 
 impl Body {
-    /// Reads schema 1: open or not.
-    pub(super) fn v1(fields: &mut Fields<'_>) -> Option<Self> {
-        let open = fields.optional("open", fields::flag).unwrap_or(true);
+    /// Reads schema 1, which has a flag `open`.
+    pub(super) fn read_v1(fields: &mut Fields<'_>) -> Option<Self> {
+        let open = fields.optional("open", fields::read_bool).unwrap_or(true);
         let state = if open { State::Open } else { State::Closed };
         Some(Self { state, least: None })
     }
 
-    /// Reads schema 2: a state, and the least size of a worker.
-    pub(super) fn v2(fields: &mut Fields<'_>) -> Option<Self> {
-        let state = fields.optional("state", fields::word::<State>);
+    /// Reads schema 2, which has a state and the least hardware.
+    pub(super) fn read_v2(fields: &mut Fields<'_>) -> Option<Self> {
+        let state = fields.optional("state", fields::read_word::<State>);
         let path = fields.path("least");
         let least = fields.object("least").map(|map| {
             let mut inner = Fields::new(map, path);
-            let need = need(&mut inner);
-            fields.extend(inner.finish());
-            need
+            let hardware = read_hardware(&mut inner);
+            fields.add_faults(inner.finish());
+            hardware
         });
         Some(Self {
             state: state.unwrap_or_default(),
@@ -85,22 +85,22 @@
         })
     }
 
-    /// Names what schema 1 can't say of this body.
+    /// Returns a fault for each field that schema 1 can't express.
     pub(super) fn find_lost_fields(&self) -> Vec<Fault> {
-        let detail = "the least size would be lost in schema 1; amend in schema 2";
+        let detail = "the least hardware would be lost in schema 1; amend in schema 2";
         let fault = |_| Fault::new("least", Code::Lost, detail);
         self.least.iter().map(fault).collect()
     }
 }
 
-fn need(fields: &mut Fields<'_>) -> Hardware {
-    let mut count = |key, most, unit| {
-        let count = fields.optional(key, fields::whole(0..=most, unit));
+fn read_hardware(fields: &mut Fields<'_>) -> Hardware {
+    let mut read_count = |key, max, unit| {
+        let count = fields.optional(key, fields::read_whole(0..=max, unit));
         u32::try_from(count.unwrap_or(0)).unwrap_or(u32::MAX)
     };
     Hardware {
-        cores: count("cores", 4_096, "cores"),
-        memory_mb: count("memory_mb", 64 << 20, "MiB"),
-        accelerators: count("accelerators", 1_024, "accelerators"),
+        cores: read_count("cores", 4_096, "cores"),
+        memory_mb: read_count("memory_mb", 64 << 20, "MiB"),
+        accelerators: read_count("accelerators", 1_024, "accelerators"),
     }
 }
--- a/src/record/route.rs
+++ b/src/record/route.rs
@@ -1,4 +1,4 @@
-//! Routes: how the jobs of a service are run, as its records say together.
+//! Routes: the resolved configuration of a service.
 
 use std::collections::BTreeMap;
 
@@ -9,47 +9,47 @@
 
 use crate::prelude::*;
 
-/// What a team may use of a service.
+/// The limits of a team at a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quota {
-    /// Its share of the capacity when teams compete, relative to the others' weights.
+    /// Its share of the capacity while teams compete, relative to the weights of the other teams.
     pub weight: u32,
-    /// The most tasks that it may have in progress at one instance; zero stands for no bound.
+    /// The most tasks that it may have in progress at one instance; 0 for no limit.
     pub outstanding: u32,
 }
 
-/// How the jobs of one service are run: the records that concern it, resolved.
+/// The records that concern one service, resolved into the parameters of its jobs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
     /// The service.
     pub service: Service,
-    /// The newest revision of the records that it is from.
+    /// The newest revision of these records.
     pub revision: Revision,
-    /// The worker pools to try, in order.
+    /// The open worker pools to try, in order.
     pub pools: Vec<Pool>,
-    /// The data centres to try, in order, after the instance's own; empty stands for all.
+    /// The data centres to try, in order, after the instance's own; empty for all.
     pub centres: Vec<Centre>,
-    /// Whether work may leave the instance's own data centre.
+    /// Whether tasks may run outside the instance's own data centre.
     pub spill: bool,
-    /// The class of jobs that name none.
+    /// The default class of jobs.
     pub class: Class,
-    /// The deadline of jobs that name none, and the longest that is allowed.
+    /// The default deadline of jobs, and the longest that is allowed.
     pub deadline: Span,
-    /// The longest that a task may run: the lease that it starts under.
+    /// The lease of a task: the longest that it may run.
     pub lease: Span,
     /// The most tasks in a job.
     pub max_tasks: u32,
-    /// What teams may use; others get weight 1 without a bound.
+    /// The quotas of teams. A team without one has weight 1 and no limit.
     pub quotas: BTreeMap<Team, Quota>,
 }
 
-/// Why there is no route.
+/// The reason why a service has no route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
 pub enum Error {
-    /// No service of this name is in force.
+    /// There is no service of this name.
     #[error("no service of this name is in force")]
     UnknownService,
-    /// One of its records is of a schema that this version doesn't know.
+    /// One of the service's records has a schema that this version doesn't support.
     #[error("a record of this service has a schema that this version doesn't know")]
     UnknownSchema,
 }
--- a/src/record/rule.rs
+++ b/src/record/rule.rs
@@ -1,4 +1,4 @@
-//! Placement rule records: where the work of a service may go, and what teams may use.
+//! Placement rule records: the data centres that run the tasks of a service, and the quotas of teams.
 
 use std::collections::BTreeMap;
 
@@ -22,32 +22,32 @@
 use crate::prelude::*;
 
 /// The greatest weight of a quota.
-const MOST_WEIGHT: u64 = 1_000;
-/// The greatest bound of a quota.
-const MOST_OUTSTANDING: u64 = 1_000_000;
+const MAX_WEIGHT: u64 = 1_000;
+/// The greatest limit of a quota on tasks in progress.
+const MAX_OUTSTANDING: u64 = 1_000_000;
 /// The most data centres of a rule.
-const MOST_CENTRES: usize = 64;
+const MAX_CENTRES: usize = 64;
 
-/// What a rule record says, in either schema.
+/// The content of a rule record, in either schema.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Body {
-    /// The service that it is for.
+    /// The service that it applies to.
     pub service: Service,
-    /// The data centres to try, in order, after the instance's own; empty stands for all.
+    /// The data centres to try, in order, after the instance's own; empty for all.
     pub centres: Vec<Centre>,
-    /// Whether work may leave the instance's own data centre.
+    /// Whether tasks may run outside the instance's own data centre.
     pub spill: bool,
-    /// What teams may use.
+    /// The quotas of teams.
     pub quotas: BTreeMap<Team, Quota>,
 }
 
 impl Body {
-    /// Reads schema 1: one data centre at most, and no quotas.
-    pub(super) fn v1(fields: &mut Fields<'_>) -> Option<Self> {
-        let service = fields.required("service", "the name of a service", fields::name);
-        let centre = fields.optional("centre", fields::name);
-        let spill = fields.optional("spill", fields::flag);
+    /// Reads schema 1, which has at most one data centre and no quotas.
+    pub(super) fn read_v1(fields: &mut Fields<'_>) -> Option<Self> {
+        let service = fields.required("service", "the name of a service", fields::read_name);
+        let centre = fields.optional("centre", fields::read_name);
+        let spill = fields.optional("spill", fields::read_bool);
         Some(Self {
             service: service?,
             centres: centre.into_iter().collect(),
@@ -56,16 +56,16 @@
         })
     }
 
-    /// Reads schema 2: data centres in order, and quotas of teams.
-    pub(super) fn v2(fields: &mut Fields<'_>) -> Option<Self> {
-        let service = fields.required("service", "the name of a service", fields::name);
+    /// Reads schema 2, which has data centres in order and quotas of teams.
+    pub(super) fn read_v2(fields: &mut Fields<'_>) -> Option<Self> {
+        let service = fields.required("service", "the name of a service", fields::read_name);
         let centres: Vec<Centre> = fields.names("centres");
-        if centres.len() > MOST_CENTRES {
-            let detail = format!("give {MOST_CENTRES} data centres at most");
-            fields.report("centres", Code::Range, detail);
+        if centres.len() > MAX_CENTRES {
+            let detail = format!("give {MAX_CENTRES} data centres at most");
+            fields.add_fault("centres", Code::Range, detail);
         }
-        let spill = fields.optional("spill", fields::flag);
-        let quotas = quotas(fields);
+        let spill = fields.optional("spill", fields::read_bool);
+        let quotas = read_quotas(fields);
         Some(Self {
             service: service?,
             centres,
@@ -74,7 +74,7 @@
         })
     }
 
-    /// Names what schema 1 can't say of this body.
+    /// Returns a fault for each field that schema 1 can't express.
     pub(super) fn find_lost_fields(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
         if self.centres.len() > 1 {
@@ -89,35 +89,38 @@
     }
 }
 
-fn quotas(fields: &mut Fields<'_>) -> BTreeMap<Team, Quota> {
+fn read_quotas(fields: &mut Fields<'_>) -> BTreeMap<Team, Quota> {
     let mut quotas = BTreeMap::new();
     let Some(map) = fields.object("quotas") else {
         return quotas;
     };
     for (team, value) in map {
         let key = format!("quotas.{team}");
-        let quota = quota(fields, &key, value);
+        let quota = read_quota(fields, &key, value);
         match team.parse::<Team>() {
             Ok(team) => quotas.extend(quota.map(|quota| (team, quota))),
-            Err(e) => fields.report(&key, Code::Name, format!("the team {e}")),
+            Err(e) => fields.add_fault(&key, Code::Name, format!("the team {e}")),
         }
     }
     quotas
 }
 
-fn quota(fields: &mut Fields<'_>, key: &str, value: &Value) -> Option<Quota> {
+fn read_quota(fields: &mut Fields<'_>, key: &str, value: &Value) -> Option<Quota> {
     let Some(map) = value.as_object() else {
         let detail = "is not an object; give {\"weight\": 1, \"outstanding\": 0}";
-        fields.report(key, Code::Type, detail);
+        fields.add_fault(key, Code::Type, detail);
         return None;
     };
     let mut inner = Fields::new(map, fields.path(key));
-    let weight = inner.optional("weight", fields::whole(1..=MOST_WEIGHT, "shares"));
-    let outstanding = inner.optional("outstanding", fields::whole(0..=MOST_OUTSTANDING, "tasks"));
-    fields.extend(inner.finish());
-    let narrow = |number: u64| u32::try_from(number).unwrap_or(u32::MAX);
+    let weight = inner.optional("weight", fields::read_whole(1..=MAX_WEIGHT, "shares"));
+    let outstanding = inner.optional(
+        "outstanding",
+        fields::read_whole(0..=MAX_OUTSTANDING, "tasks"),
+    );
+    fields.add_faults(inner.finish());
+    let to_u32 = |number: u64| u32::try_from(number).unwrap_or(u32::MAX);
     Some(Quota {
-        weight: narrow(weight.unwrap_or(1)),
-        outstanding: narrow(outstanding.unwrap_or(0)),
+        weight: to_u32(weight.unwrap_or(1)),
+        outstanding: to_u32(outstanding.unwrap_or(0)),
     })
 }
--- a/src/record/set.rs
+++ b/src/record/set.rs
@@ -1,4 +1,4 @@
-//! A set of records that are in force together, and the routes that they make.
+//! The set of records in force, and the routes that they resolve to.
 
 use std::{
     collections::BTreeMap,
@@ -20,16 +20,16 @@
 };
 use crate::prelude::*;
 
-/// A record, with the revision that it is from.
+/// A record with its revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
-    /// The revision that wrote it.
+    /// The revision that submitted or last amended it.
     pub revision: Revision,
     /// The record.
     pub record: Arc<Record>,
 }
 
-/// Records that are in force together.
+/// Records by name, such as those in force.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Set {
     entries: BTreeMap<Name, Entry>,
@@ -37,41 +37,41 @@
 }
 
 impl Set {
-    /// Returns a record.
+    /// Returns the record `name`.
     pub fn get(&self, name: &Name) -> Option<&Entry> {
         self.entries.get(name)
     }
 
-    /// Returns all records in the order of their names.
+    /// Iterates over all records in the order of their names.
     pub fn iter(&self) -> impl Iterator<Item = (&Name, &Entry)> {
         self.entries.iter()
     }
 
-    /// Returns the records after `name` in the order of their names.
+    /// Iterates over the records after `name`, or over all, in the order of their names.
     pub fn iter_after<'a>(
         &'a self,
         name: Option<&'a Name>,
     ) -> impl Iterator<Item = (&'a Name, &'a Entry)> {
-        let later = move |entry: &(&'a Name, &'a Entry)| name.is_none_or(|name| entry.0 > name);
-        self.entries.iter().filter(later)
+        let is_later = move |entry: &(&'a Name, &'a Entry)| name.is_none_or(|name| entry.0 > name);
+        self.entries.iter().filter(is_later)
     }
 
-    /// Returns how many records there are.
+    /// Returns the number of records.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Tells whether there is no record.
+    /// Returns whether there is no record.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Returns the bytes of all texts together.
+    /// Returns the total length of all texts, in bytes.
     pub fn text_bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Puts a record in place of the one of its name.
+    /// Inserts a record, replacing the one of the same name.
     pub fn insert(&mut self, record: Arc<Record>, revision: Revision) {
         self.remove(&record.name.clone());
         self.bytes += record.text.len();
@@ -79,40 +79,40 @@
         self.entries.insert(name, Entry { revision, record });
     }
 
-    /// Takes a record out.
+    /// Removes the record `name`, if there is one.
     pub fn remove(&mut self, name: &Name) {
         if let Some(entry) = self.entries.remove(name) {
             self.bytes -= entry.record.text.len();
         }
     }
 
-    /// Returns the records of a kind.
+    /// Iterates over the records of one kind.
     pub fn iter_kind(&self, kind: Kind) -> impl Iterator<Item = &Entry> {
-        let same = move |entry: &&Entry| entry.record.name.kind == kind;
-        self.entries.values().filter(same)
+        let has_kind = move |entry: &&Entry| entry.record.name.kind == kind;
+        self.entries.values().filter(has_kind)
     }
 
-    /// Returns the rules of a service, those of an unknown schema among them.
+    /// Iterates over the rules of a service, including those with an unknown schema.
     pub fn rules_for<'a>(&'a self, service: &'a Service) -> impl Iterator<Item = &'a Entry> {
         self.iter_kind(Kind::Rule)
-            .filter(move |entry| target(&entry.record) == Some(service))
+            .filter(move |entry| rule_service(&entry.record) == Some(service))
     }
 
     /// Resolves the records that concern one service.
     ///
     /// # Errors
     ///
-    /// Tells that there is no such service, or that one of its records is of an unknown schema.
+    /// Fails if there is no such service, or if one of its records is absent or has an unknown schema.
     pub fn resolve(&self, service: &Service) -> Result<Route, Error> {
         let name = Name::new(Kind::Service, service);
         let entry = self.get(&name).ok_or(Error::UnknownService)?;
         self.build_route(service, entry, self.rules_for(service).next())
     }
 
-    /// Resolves every service.
+    /// Resolves all services in force.
     pub fn resolve_all(&self) -> BTreeMap<Service, Result<Arc<Route>, Error>> {
         let rules = self.iter_kind(Kind::Rule);
-        let rules = rules.filter_map(|entry| Some((target(&entry.record)?, entry)));
+        let rules = rules.filter_map(|entry| Some((rule_service(&entry.record)?, entry)));
         let rules: BTreeMap<&Service, &Entry> = rules.collect();
         let route = |entry: &Entry| {
             let name: Service = entry.record.name.name.parse().ok()?;
@@ -122,6 +122,7 @@
         self.iter_kind(Kind::Service).filter_map(route).collect()
     }
 
+    /// Builds the route of a service from its record, its rule and the records of its pools.
     fn build_route(
         &self,
         service: &Service,
@@ -150,12 +151,12 @@
                 _ => return Err(Error::UnknownSchema),
             }
         }
-        Ok(route(service, revision, pools, body, rule))
+        Ok(make_route(service, revision, pools, body, rule))
     }
 }
 
-/// Returns the service that a rule is for.
-pub fn target(rule: &Record) -> Option<&Service> {
+/// Returns the service that a rule applies to.
+pub fn rule_service(rule: &Record) -> Option<&Service> {
     match &rule.body {
         Body::Rule(body) => Some(&body.service),
         Body::Unknown(unknown) => unknown.service.as_ref(),
@@ -163,7 +164,7 @@
     }
 }
 
-fn route(
+fn make_route(
     service: &Service,
     revision: Revision,
     pools: Vec<Pool>,
