--- a/src/id.rs
+++ b/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers: newtypes that parse, print and serialise as text.
+//! Identifiers: newtypes that are parsed, displayed and serialized as text.
 
 use std::{
     fmt,
@@ -12,10 +12,10 @@
 };
 use sha2::Digest as _;
 
-/// The longest name that is accepted for any identifier, in bytes.
+/// The greatest length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// Says why a text is no identifier.
+/// The reason why a text is no identifier.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
     /// The text is empty.
@@ -24,10 +24,10 @@
     /// The text is too long.
     #[error("has {0} bytes, more than the {MAX_NAME_BYTES} allowed")]
     Long(usize),
-    /// The text holds a character that is not allowed.
+    /// The text has a character that is not allowed.
     #[error("holds {0:?}; letters, digits, '-', '_', '.' and ':' are allowed")]
     Character(char),
-    /// The text is not the fixed number of hexadecimal digits.
+    /// The text is not this number of hexadecimal digits.
     #[error("is not {0} hexadecimal digits")]
     Hexadecimal(usize),
     /// The text is not a whole number.
@@ -49,7 +49,9 @@
     }
 }
 
-/// Gives serde the text that a type displays and parses; the type says `try_from = "String", into = "String"`.
+/// Implements the conversions that serde needs to write a type as its `Display` text and to read it with `FromStr`.
+///
+/// The type needs the attribute `#[serde(try_from = "String", into = "String")]`.
 macro_rules! as_text {
     ($type:ty, $fault:ty) => {
         impl TryFrom<String> for $type {
@@ -69,6 +71,7 @@
 }
 pub(crate) use as_text;
 
+/// Defines an identifier that is a name of letters, digits, `-`, `_`, `.` and `:`.
 macro_rules! name {
     ($(#[$doc:meta])* $type:ident) => {
         $(#[$doc])*
@@ -116,7 +119,7 @@
 }
 
 name!(
-    /// A team that submits jobs and has quotas.
+    /// The name of a team, which submits jobs and has quotas.
     Team
 );
 name!(
@@ -140,7 +143,7 @@
     Endpoint
 );
 name!(
-    /// The name of an instance; it stays the same over restarts.
+    /// The name of an instance, which is the same across restarts.
     Instance
 );
 name!(
@@ -148,6 +151,7 @@
     Operator
 );
 
+/// Defines a random identifier of 128 bits, displayed as 32 hexadecimal digits.
 macro_rules! hex {
     ($(#[$doc:meta])* $type:ident) => {
         $(#[$doc])*
@@ -156,9 +160,9 @@
         pub struct $type(pub u128);
 
         impl $type {
-            /// Draws a new one.
-            pub fn random(random: &mut impl Rng) -> Self {
-                Self(random.random())
+            /// Generates an identifier.
+            pub fn random(rng: &mut impl Rng) -> Self {
+                Self(rng.random())
             }
         }
 
@@ -186,25 +190,25 @@
 }
 
 hex!(
-    /// One run of one instance: drawn at start, never used again.
+    /// One run of an instance's process, generated at its start.
     Incarnation
 );
 hex!(
-    /// Tells the insert of one claim from every other insert under the same key.
+    /// Distinguishes the insert of a claim from other inserts under the same key, so that its writer recognizes it.
     Nonce
 );
 hex!(
-    /// One change that an operator asked for, so that a lost answer can be settled.
+    /// One change that an operator requests. A retry with the same identifier isn't applied twice.
     Operation
 );
 
-/// The digest of a submission's body: the same key with another digest is a conflict.
+/// The SHA-256 digest of a submission's body. The same key with a different digest is a conflict.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Digest(pub [u8; 32]);
 
 impl Digest {
-    /// Takes the SHA-256 of `bytes`.
+    /// Returns the SHA-256 digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Self {
         Self(sha2::Sha256::digest(bytes).into())
     }
@@ -220,13 +224,13 @@
     type Err = Fault;
 
     fn from_str(text: &str) -> Result<Self, Fault> {
-        const WRONG: Fault = Fault::Hexadecimal(64);
+        const FAULT: Fault = Fault::Hexadecimal(64);
         if text.len() != 64 || !text.is_ascii() {
-            return Err(WRONG);
+            return Err(FAULT);
         }
         let mut bytes = [0; 32];
         for (i, byte) in bytes.iter_mut().enumerate() {
-            *byte = u8::from_str_radix(&text[2 * i..2 * i + 2], 16).map_err(|_| WRONG)?;
+            *byte = u8::from_str_radix(&text[2 * i..2 * i + 2], 16).map_err(|_| FAULT)?;
         }
         Ok(Self(bytes))
     }
@@ -234,7 +238,7 @@
 
 as_text!(Digest, Fault);
 
-/// A revision of the configuration: every accepted change takes the next one.
+/// A revision of the configuration. Each accepted change increments it.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -262,15 +266,15 @@
     }
 }
 
-/// One attempt to run one task: `INCARNATION.JOB.TASK.ATTEMPT`, never used twice.
+/// The identifier of one attempt to run a task: `INCARNATION.JOB.TASK.ATTEMPT`. It is never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Attempt {
-    /// The incarnation that starts it.
+    /// The incarnation that starts the attempt.
     pub incarnation: Incarnation,
     /// The number of the job within the incarnation.
     pub job: u64,
-    /// The place of the task within the job.
+    /// The index of the task within the job.
     pub task: u32,
     /// The number of the attempt, from zero.
     pub number: u32,
--- a/src/job.rs
+++ b/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs as callers see them: submissions, tasks, answers.
+//! The job API: submissions, tasks and answers.
 
 use std::{
     fmt,
@@ -14,7 +14,7 @@
 
 use crate::prelude::*;
 
-/// How often a task may run.
+/// Whether a task may run more than once.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -22,15 +22,15 @@
 pub enum Class {
     /// May be retried and hedged within a budget.
     Idempotent,
-    /// Starts once, also over resubmissions: a task of a job.
+    /// Is started at most once, also across resubmissions.
     #[default]
     Once,
-    /// At most once: the same rules as [`Class::Once`], marked by the caller or the record.
+    /// Is started at most once like [`Class::Once`], and is declared so by the caller or the record.
     NonIdempotent,
 }
 
 impl Class {
-    /// Tells whether a task of this class may be started again without a proof that it never ran.
+    /// Returns whether a task of this class may be started again without proof that it never ran.
     pub fn is_repeatable(self) -> bool {
         matches!(self, Self::Idempotent)
     }
@@ -59,15 +59,15 @@
     }
 }
 
-/// What one task needs of an endpoint, as the caller declares it.
+/// The hardware that a task requires or that an endpoint has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Hardware {
-    /// Processor cores.
+    /// The number of processor cores.
     pub cores: u32,
     /// Memory in MiB.
     pub memory_mb: u32,
-    /// Accelerators.
+    /// The number of accelerators.
     pub accelerators: u32,
 }
 
@@ -85,22 +85,22 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Task {
-    /// What the endpoint gets, passed on as it is.
-    #[serde(default = "null")]
+    /// The input of the task, passed to the endpoint unchanged.
+    #[serde(default = "null_payload")]
     pub payload: Arc<RawValue>,
-    /// The run time that the caller expects; it guides placement and is never trusted.
-    #[serde(default = "expected", rename = "expected_ms")]
+    /// The expected run time: a hint for placement, on which no guarantee depends.
+    #[serde(default = "default_expected", rename = "expected_ms")]
     pub expected: Span,
-    /// What the task needs.
+    /// The hardware that the task requires.
     #[serde(default)]
     pub need: Hardware,
 }
 
-fn null() -> Arc<RawValue> {
+fn null_payload() -> Arc<RawValue> {
     RawValue::NULL.to_owned().into()
 }
 
-fn expected() -> Span {
+fn default_expected() -> Span {
     Span::millis(200)
 }
 
@@ -108,34 +108,34 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Submission {
-    /// The team that pays for it.
+    /// The team whose quota it counts against.
     pub team: Team,
-    /// The service that it goes to.
+    /// The service that runs it.
     pub service: Service,
-    /// The idempotency key; where there is none, nobody can ask for the answer again.
+    /// The idempotency key; without one, a lost answer can't be retrieved.
     #[serde(default)]
     pub key: Option<Key>,
-    /// How often the tasks may run; the service's record decides where there is none.
+    /// The class of the tasks; the default is that of the service's record.
     #[serde(default)]
     pub class: Option<Class>,
-    /// The time from arrival to the answer; the service's record decides where there is none.
+    /// The time from the arrival to the answer; the default is that of the service's record.
     #[serde(default, rename = "deadline_ms")]
     pub deadline: Option<Span>,
     /// The tasks.
     pub tasks: Vec<Task>,
 }
 
-/// The word that an answer carries.
+/// The outcome of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// Every task ran to its end, and every result is in the answer.
+    /// All tasks completed, and the answer has all results.
     Complete,
-    /// The job ran, in part or whole, and at least one task failed.
+    /// The job ran, at least in part, and at least one task failed.
     Failed,
-    /// Proved: no task of the job was started, and none will be.
+    /// It is proven that no task of the job was started, and none will be.
     NotRun,
-    /// Tasks may have run; it can't be told whether.
+    /// Tasks may or may not have run.
     Unknown,
 }
 
@@ -150,51 +150,51 @@
     }
 }
 
-/// Why a job has the outcome that it has.
+/// The reason for the outcome of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// All went well.
+    /// All tasks completed.
     Done,
-    /// The request is malformed or breaks a bound.
+    /// The request is malformed or exceeds a limit.
     Invalid,
-    /// The same key came with another body.
+    /// The same key was submitted with a different body.
     Conflict,
     /// No service of this name is in force.
     NoService,
     /// No endpoint can ever run one of the tasks.
     Impossible,
-    /// No endpoint that could run it is there at the moment.
+    /// No endpoint that could run one of the tasks is available at present.
     NoEndpoint,
-    /// A bound on queued work is reached, or the wait would pass the deadline.
+    /// A limit on queued work is reached, or the expected wait exceeds the deadline.
     Busy,
-    /// The platform's table can't be reached, so the key can't be claimed.
+    /// The key can't be claimed because the platform's table is unavailable.
     Store,
     /// The instance is draining.
     Draining,
     /// The instance has no configuration yet.
     NotReady,
-    /// The key is from a range that is closed.
+    /// The key belongs to a closed key range.
     RangeClosed,
-    /// The key is older than the kept window.
+    /// The key is older than the time for which answers are kept.
     Forgotten,
-    /// The claim's owner is gone or can't be reached, and no outcome was recorded.
+    /// The instance that claimed the key has ended or can't be reached, and no outcome is recorded.
     OwnerGone,
     /// A task failed at its endpoint.
     TaskFailed,
-    /// The connection to an endpoint was lost after a start that may have arrived.
+    /// The connection to an endpoint was lost, and the start of a task may have arrived.
     Lost,
     /// The deadline passed.
     Deadline,
     /// The caller cancelled the job.
     Cancelled,
-    /// The record's schema is newer than this instance knows.
+    /// A record of the service has a schema that this instance doesn't support.
     Schema,
     /// The job is in progress.
     Running,
-    /// The request is larger than allowed.
+    /// The request exceeds the size limit.
     TooLarge,
-    /// The caller's body was not read to its end.
+    /// The request body ended early or wasn't received in time.
     Incomplete,
 }
 
@@ -204,26 +204,26 @@
     }
 }
 
-/// The whole answer to one submission.
+/// The answer to a submission.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Answer {
-    /// What became of the job.
+    /// The outcome of the job.
     pub outcome: Outcome,
-    /// Why.
+    /// The reason for it.
     pub reason: Reason,
-    /// The same in a sentence, with the field or task it speaks of.
+    /// The reason as a sentence, with the field or task concerned.
     pub detail: String,
     /// The key under which the answer is kept.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub key: Option<Key>,
-    /// When it makes sense to come back, where it does.
+    /// The delay before a retry, if one is useful.
     #[serde(
         skip_serializing_if = "Option::is_none",
         default,
         rename = "retry_after_ms"
     )]
     pub retry_after: Option<Span>,
-    /// The results in the order of the tasks; there are none unless the outcome is complete.
+    /// The results in the order of the tasks; empty unless the outcome is [`Outcome::Complete`].
     #[serde(skip_serializing_if = "Vec::is_empty", default)]
     pub results: Vec<Arc<RawValue>>,
 }
@@ -241,24 +241,24 @@
         }
     }
 
-    /// Makes a refusal: nothing was run.
+    /// Makes the answer to a job that is refused: no task was started.
     pub fn refusal(reason: Reason, detail: impl Into<String>) -> Self {
         Self::new(Outcome::NotRun, reason, detail)
     }
 
-    /// Adds when to come back.
-    pub fn with_retry_after(mut self, span: Span) -> Self {
-        self.retry_after = Some(span);
+    /// Sets the delay before a retry.
+    pub fn with_retry_after(mut self, delay: Span) -> Self {
+        self.retry_after = Some(delay);
         self
     }
 
-    /// Adds the key.
+    /// Sets the key.
     pub fn with_key(mut self, key: Key) -> Self {
         self.key = Some(key);
         self
     }
 
-    /// Returns about how many bytes the answer takes in memory.
+    /// Returns the approximate memory use of the answer, in bytes.
     pub fn memory_bytes(&self) -> usize {
         let results: usize = self.results.iter().map(|r| r.get().len() + 32).sum();
         size_of::<Self>() + self.detail.len() + results
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -28,42 +28,42 @@
     prelude::*, //
 };
 
-/// What an address may be.
-const ADDRESS: &str = "allowed is IP:PORT, such as 127.0.0.1:7400 or [::1]:7400";
+/// The hint on valid addresses in a fault.
+const ADDRESS_HINT: &str = "allowed is IP:PORT, such as 127.0.0.1:7400 or [::1]:7400";
 
-/// What a name may be.
-const NAME: &str = "allowed are 1 to 128 letters, digits, '-', '_' and '.'";
+/// The hint on valid names in a fault.
+const NAME_HINT: &str = "allowed are 1 to 128 letters, digits, '-', '_' and '.'";
 
-/// What is allowed for several data centres.
-const NAMES: &str = "allowed are names of data centres with commas between them";
+/// The hint on a valid list of data centres in a fault.
+const CENTRES_HINT: &str = "allowed are names of data centres with commas between them";
 
-/// The levels of the log.
-const LEVEL: &str = "allowed are off, error, warn, info, debug and trace";
+/// The hint on valid log levels in a fault.
+const LEVEL_HINT: &str = "allowed are off, error, warn, info, debug and trace";
 
-/// Everything that an instance learns from its settings.
+/// The settings of an instance.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// The instance's name.
     pub name: Instance,
     /// The instance's data centre.
     pub centre: Centre,
-    /// Where callers and operators connect; port 0 takes any free port.
+    /// The listen address for callers and operators; port 0 takes any free port.
     pub caller_address: SocketAddr,
-    /// Where peers connect.
+    /// The listen address for peers; port 0 takes any free port.
     pub peer_address: SocketAddr,
-    /// Where the platform listens.
+    /// The address of the platform.
     pub platform_address: SocketAddr,
-    /// The data centres whose endpoints are used, the own one among them; empty stands for all.
+    /// The data centres whose endpoints are used, the instance's own included; empty for all.
     pub data_centres: Vec<Centre>,
-    /// Operators by their tokens.
+    /// The operators, each with the token that authenticates it.
     pub operators: Vec<(Operator, String)>,
-    /// The bounds.
+    /// Limits on what the instance holds.
     pub limits: Limits,
-    /// The waits.
+    /// Intervals and timeouts.
     pub timing: Timing,
-    /// The least level that is logged.
+    /// The least severe level that is logged.
     pub log_level: LevelFilter,
-    /// The file that the log goes to; standard error where there is none.
+    /// The file that the log is written to; standard error if there is none.
     pub log_file: Option<PathBuf>,
 }
 
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the file can't be read, and otherwise with every fault in it at once.
+    /// Fails if the file can't be read, and otherwise with all faults in it.
     pub fn load(path: impl AsRef<Path>) -> Result<Self, Error> {
         let path = path.as_ref();
         let text = fs::read_to_string(path).map_err(|source| Error::Read {
@@ -89,31 +89,31 @@
     ///
     /// # Errors
     ///
-    /// Returns every fault in the text at once.
+    /// Returns all faults in the text.
     pub fn parse(text: &str) -> Result<Self, Vec<Fault>> {
         let mut reader = Reader::new(text)?;
         let settings = Self::read(&mut reader);
-        match (settings, reader.faults()) {
+        match (settings, reader.into_faults()) {
             (Some(settings), faults) if faults.is_empty() => Ok(settings),
             (_, faults) => Err(faults),
         }
     }
 
     fn read(reader: &mut Reader) -> Option<Self> {
-        // Every value is read before the first missing one ends the reading, so that all faults are found.
-        let name = reader.required("instance", "name", NAME);
-        let centre = reader.required("instance", "data_centre", NAME);
-        let callers = reader.required("listen", "callers", ADDRESS);
-        let peers = reader.required("listen", "peers", ADDRESS);
-        let platform = reader.required("platform", "address", ADDRESS);
-        let data_centres = reader.optional("platform", "data_centres", NAMES);
+        // All values are read before `?` returns at the first missing one, so that all faults are reported.
+        let name = reader.required("instance", "name", NAME_HINT);
+        let centre = reader.required("instance", "data_centre", NAME_HINT);
+        let callers = reader.required("listen", "callers", ADDRESS_HINT);
+        let peers = reader.required("listen", "peers", ADDRESS_HINT);
+        let platform = reader.required("platform", "address", ADDRESS_HINT);
+        let data_centres = reader.optional("platform", "data_centres", CENTRES_HINT);
         let operators = reader.operators();
         let limits = Limits::read(reader);
         let timing = Timing::read(reader);
-        let log = reader.optional("log", "level", LEVEL);
+        let log = reader.optional("log", "level", LEVEL_HINT);
         let file: Option<PathBuf> = reader.optional("log", "file", "allowed is a path");
         if file.as_ref().is_some_and(|f| f.as_os_str().is_empty()) {
-            reader.fault(Fault::new("log", "file", "is empty; allowed is a path"));
+            reader.add_fault(Fault::new("log", "file", "is empty; allowed is a path"));
         }
         check_addresses(reader, callers, peers, platform);
         Some(Self {
@@ -122,7 +122,7 @@
             caller_address: callers?,
             peer_address: peers?,
             platform_address: platform?,
-            data_centres: data_centres.map_or_else(Vec::new, |Names(names)| names),
+            data_centres: data_centres.map_or_else(Vec::new, |Centres(names)| names),
             operators,
             limits,
             timing,
@@ -133,9 +133,9 @@
 }
 
 /// Names of data centres, separated by commas.
-struct Names(Vec<Centre>);
+struct Centres(Vec<Centre>);
 
-impl FromStr for Names {
+impl FromStr for Centres {
     type Err = crate::id::Fault;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
@@ -144,6 +144,7 @@
     }
 }
 
+/// Reports a peer address equal to the caller address, and a platform address that can't be connected to.
 fn check_addresses(
     reader: &mut Reader,
     callers: Option<SocketAddr>,
@@ -153,38 +154,40 @@
     if let (Some(callers), Some(peers)) = (callers, peers) {
         if callers == peers && callers.port() != 0 {
             let problem = "must differ from [listen] callers";
-            reader.fault(Fault::new("listen", "peers", problem).with_value(&peers.to_string()));
+            reader.add_fault(Fault::new("listen", "peers", problem).with_value(&peers.to_string()));
         }
     }
-    let unreachable = |a: &SocketAddr| a.ip().is_unspecified() || a.port() == 0;
-    if let Some(platform) = platform.filter(unreachable) {
+    let is_unreachable = |a: &SocketAddr| a.ip().is_unspecified() || a.port() == 0;
+    if let Some(platform) = platform.filter(is_unreachable) {
         let problem = "must be one host's address with a port other than 0";
-        reader.fault(Fault::new("platform", "address", problem).with_value(&platform.to_string()));
+        reader.add_fault(
+            Fault::new("platform", "address", problem).with_value(&platform.to_string()),
+        );
     }
 }
 
-/// Bounds on what an instance holds.
+/// Limits on what an instance holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// Connections of callers.
+    /// The most connections of callers.
     pub connections: usize,
-    /// Bytes of the headers of a request.
+    /// The most bytes of the headers of a request.
     pub header_bytes: usize,
-    /// Bytes of the body of a request.
+    /// The most bytes of the body of a request.
     pub body_bytes: usize,
-    /// Jobs in progress.
+    /// The most jobs in progress.
     pub jobs: usize,
-    /// Bytes of jobs in progress.
+    /// The most bytes of all jobs in progress.
     pub job_bytes: usize,
-    /// Tasks that wait for an endpoint.
+    /// The most tasks that wait for an endpoint.
     pub waiting_tasks: usize,
-    /// Tasks outstanding at one endpoint; its share of the endpoint's connections where that is less.
+    /// The most tasks outstanding at one endpoint; the instance's share of the endpoint's connections if that is less.
     pub tasks_per_endpoint: u32,
-    /// Bytes of kept answers.
+    /// The most bytes of kept answers.
     pub kept_answer_bytes: usize,
-    /// Table writes a second of all instances together.
+    /// The most table commits per second of all instances together.
     pub writes_per_second: u32,
-    /// Places in each ring between threads.
+    /// The capacity of each ring between threads, in messages.
     pub ring_capacity: usize,
 }
 
@@ -208,31 +211,41 @@
 impl Limits {
     fn read(reader: &mut Reader) -> Self {
         const SECTION: &str = "limits";
-        let d = Self::default();
-        let mut size = |key, default, range: [usize; 2]| {
-            let [least, most] = range.map(Size);
-            reader.within(SECTION, key, Size(default), least..=most).0
+        let defaults = Self::default();
+        let mut read_size = |key, default, range: [usize; 2]| {
+            let [min, max] = range.map(Size);
+            reader.in_range(SECTION, key, Size(default), min..=max).0
         };
-        let headers = size("headers", d.header_bytes, [1 << 10, 1 << 20]);
-        let body = size("body", d.body_bytes, [1 << 10, 64 << 20]);
-        let bytes = size("bytes", d.job_bytes, [64 << 10, 16 << 30]);
-        let kept = size("kept", d.kept_answer_bytes, [64 << 10, 16 << 30]);
+        let headers = read_size("headers", defaults.header_bytes, [1 << 10, 1 << 20]);
+        let body = read_size("body", defaults.body_bytes, [1 << 10, 64 << 20]);
+        let bytes = read_size("bytes", defaults.job_bytes, [64 << 10, 16 << 30]);
+        let kept = read_size("kept", defaults.kept_answer_bytes, [64 << 10, 16 << 30]);
         let limits = Self {
-            connections: reader.within(SECTION, "connections", d.connections, 1..=65_536),
+            connections: reader.in_range(SECTION, "connections", defaults.connections, 1..=65_536),
             header_bytes: headers,
             body_bytes: body,
-            jobs: reader.within(SECTION, "jobs", d.jobs, 1..=1_000_000),
+            jobs: reader.in_range(SECTION, "jobs", defaults.jobs, 1..=1_000_000),
             job_bytes: bytes,
-            waiting_tasks: reader.within(SECTION, "waiting", d.waiting_tasks, 1..=1_000_000),
-            tasks_per_endpoint: reader.within(
+            waiting_tasks: reader.in_range(
+                SECTION,
+                "waiting",
+                defaults.waiting_tasks,
+                1..=1_000_000,
+            ),
+            tasks_per_endpoint: reader.in_range(
                 SECTION,
                 "outstanding",
-                d.tasks_per_endpoint,
+                defaults.tasks_per_endpoint,
                 1..=1_024,
             ),
             kept_answer_bytes: kept,
-            writes_per_second: reader.within(SECTION, "writes", d.writes_per_second, 1..=100_000),
-            ring_capacity: reader.within(SECTION, "ring", d.ring_capacity, 16..=65_536),
+            writes_per_second: reader.in_range(
+                SECTION,
+                "writes",
+                defaults.writes_per_second,
+                1..=100_000,
+            ),
+            ring_capacity: reader.in_range(SECTION, "ring", defaults.ring_capacity, 16..=65_536),
         };
         if limits.body_bytes > limits.job_bytes {
             let problem = format!(
@@ -240,34 +253,35 @@
                 Size(limits.job_bytes)
             );
             let fault = Fault::new(SECTION, "body", problem);
-            reader.fault(fault.with_value(&Size(limits.body_bytes).to_string()));
+            reader.add_fault(fault.with_value(&Size(limits.body_bytes).to_string()));
         }
         limits
     }
 }
 
-/// How long things may take.
+/// Intervals and timeouts of an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Timing {
-    /// Between heartbeats to a peer.
+    /// The interval between heartbeats to a peer.
     pub heartbeat_interval: Span,
-    /// After which a silent peer counts as gone.
+    /// The time without a message after which a peer counts as lost.
     pub peer_timeout: Span,
-    /// Between reads of the platform's list.
+    /// The interval between reads of the platform's list.
     pub list_interval: Span,
-    /// Between polls of the configuration's head.
+    /// The interval between polls of the configuration's head.
     pub poll_interval: Span,
-    /// For one operation on the platform.
+    /// The timeout of one request to the platform.
     pub platform_timeout: Span,
-    /// For a caller to send its whole request.
+    /// The time that a caller has to send a whole request.
     pub receive_timeout: Span,
-    /// After which an idle connection to an endpoint is not trusted with a start any more.
+    /// The idle time after which a pooled connection isn't reused: the server may be closing it, and a request on it
+    /// would end without an answer.
     pub idle_timeout: Span,
-    /// After its expected time, until a start without an answer is looked up.
+    /// The time beyond twice its expected run time after which the status of an unanswered task is looked up.
     pub lookup_delay: Span,
-    /// How long answers are kept.
+    /// The time that answers are kept.
     pub answer_retention: Span,
-    /// For a drain to end what is in progress.
+    /// The time that a drain has to complete the jobs in progress.
     pub drain_timeout: Span,
 }
 
@@ -291,43 +305,44 @@
 impl Timing {
     fn read(reader: &mut Reader) -> Self {
         const SECTION: &str = "timing";
-        let d = Self::default();
-        let mut span = |key, default, range: [u64; 2]| {
-            let [least, most] = range.map(Span::millis);
-            reader.within(SECTION, key, default, least..=most)
+        let defaults = Self::default();
+        let mut read_span = |key, default, range: [u64; 2]| {
+            let [min, max] = range.map(Span::millis);
+            reader.in_range(SECTION, key, default, min..=max)
         };
         let timing = Self {
-            heartbeat_interval: span("heartbeat", d.heartbeat_interval, [50, 60_000]),
-            peer_timeout: span("silence", d.peer_timeout, [100, 600_000]),
-            list_interval: span("list", d.list_interval, [100, 60_000]),
-            // An accepted change has to be in force everywhere within 10 s.
-            poll_interval: span("poll", d.poll_interval, [100, 5_000]),
-            platform_timeout: span("platform", d.platform_timeout, [50, 30_000]),
-            receive_timeout: span("receive", d.receive_timeout, [100, 300_000]),
-            idle_timeout: span("idle", d.idle_timeout, [100, 3_600_000]),
-            lookup_delay: span("look", d.lookup_delay, [50, 60_000]),
-            answer_retention: span("kept", d.answer_retention, [1_000, 86_400_000]),
-            drain_timeout: span("drain", d.drain_timeout, [1_000, 600_000]),
+            heartbeat_interval: read_span("heartbeat", defaults.heartbeat_interval, [50, 60_000]),
+            peer_timeout: read_span("silence", defaults.peer_timeout, [100, 600_000]),
+            list_interval: read_span("list", defaults.list_interval, [100, 60_000]),
+            // The upper bound keeps an accepted change in force everywhere within 10 s.
+            poll_interval: read_span("poll", defaults.poll_interval, [100, 5_000]),
+            platform_timeout: read_span("platform", defaults.platform_timeout, [50, 30_000]),
+            receive_timeout: read_span("receive", defaults.receive_timeout, [100, 300_000]),
+            idle_timeout: read_span("idle", defaults.idle_timeout, [100, 3_600_000]),
+            lookup_delay: read_span("look", defaults.lookup_delay, [50, 60_000]),
+            answer_retention: read_span("kept", defaults.answer_retention, [1_000, 86_400_000]),
+            drain_timeout: read_span("drain", defaults.drain_timeout, [1_000, 600_000]),
         };
-        timing.check(reader);
+        timing.check_relations(reader);
         timing
     }
 
-    fn check(&self, reader: &mut Reader) {
-        // One late heartbeat must not make a living peer count as gone.
+    /// Reports timeouts that contradict one another.
+    fn check_relations(&self, reader: &mut Reader) {
+        // A single late or lost heartbeat must not make a live peer count as lost.
         if self.peer_timeout <= self.heartbeat_interval.times(2) {
             let problem = format!(
                 "must exceed twice [timing] heartbeat = {}",
                 self.heartbeat_interval
             );
             let fault = Fault::new("timing", "silence", problem);
-            reader.fault(fault.with_value(&self.peer_timeout.to_string()));
+            reader.add_fault(fault.with_value(&self.peer_timeout.to_string()));
         }
-        // A caller that lost its answer at the end of the drain still has to find it kept elsewhere.
+        // A caller whose connection breaks at the end of a drain must still find its answer at another instance.
         if self.answer_retention <= self.drain_timeout {
             let problem = format!("must exceed [timing] drain = {}", self.drain_timeout);
             let fault = Fault::new("timing", "kept", problem);
-            reader.fault(fault.with_value(&self.answer_retention.to_string()));
+            reader.add_fault(fault.with_value(&self.answer_retention.to_string()));
         }
     }
 }
--- a/src/settings/fault.rs
+++ b/src/settings/fault.rs
@@ -1,15 +1,15 @@
-//! What is wrong with a settings file.
+//! Faults of a settings file, as reported to the operator.
 
 use std::fmt;
 
-/// One fault: where it is and what is allowed there.
+/// One fault of a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// The section; empty where the file as a whole is at fault.
+    /// The section; empty if the fault concerns no section.
     pub section: String,
-    /// The key; empty where the section as a whole is at fault.
+    /// The key; empty if the fault concerns the whole section.
     pub key: String,
-    /// The value as written; none where it is missing or secret.
+    /// The value as written; none if it is missing or secret.
     pub value: Option<String>,
     /// What is wrong, and what is allowed.
     pub problem: String,
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -1,4 +1,4 @@
-//! Reads settings from INI and gathers every fault on the way.
+//! Reads settings from INI text, collecting all faults instead of stopping at the first.
 
 use std::{
     fmt,
@@ -17,20 +17,24 @@
 };
 use crate::prelude::*;
 
-/// The shortest token of an operator, in characters.
-const SHORTEST_TOKEN: usize = 16;
+/// The least length of an operator's token, in characters.
+const MIN_TOKEN_LENGTH: usize = 16;
 
-/// Reads values and keeps the faults.
+/// Reads values of a parsed file and collects their faults.
 pub(super) struct Reader {
     ini: Ini,
     faults: Vec<Fault>,
 }
 
 impl Reader {
-    /// Parses the text; a text that is no INI gives all its faulty lines.
+    /// Parses the text, and collects the faults of unknown and duplicate sections and keys.
+    ///
+    /// # Errors
+    ///
+    /// Returns a fault for each line that is no INI.
     pub(super) fn new(text: &str) -> Result<Self, Vec<Fault>> {
         let text = text.trim_start_matches('\u{feff}');
-        let faults = syntax(text);
+        let faults = check_syntax(text);
         if !faults.is_empty() {
             return Err(faults);
         }
@@ -45,22 +49,22 @@
             ini,
             faults: Vec::new(),
         };
-        reader.refuse_unknown();
-        reader.refuse_duplicates();
+        reader.check_unknown();
+        reader.check_duplicates();
         Ok(reader)
     }
 
-    /// Returns the faults found.
-    pub(super) fn faults(self) -> Vec<Fault> {
+    /// Returns the collected faults.
+    pub(super) fn into_faults(self) -> Vec<Fault> {
         self.faults
     }
 
     /// Adds a fault.
-    pub(super) fn fault(&mut self, fault: Fault) {
+    pub(super) fn add_fault(&mut self, fault: Fault) {
         self.faults.push(fault);
     }
 
-    /// Reads a value that must be there.
+    /// Reads a required value; `allowed` describes the valid values to the operator.
     pub(super) fn required<T: FromStr>(
         &mut self,
         section: &str,
@@ -68,13 +72,13 @@
         allowed: &str,
     ) -> Option<T> {
         if self.get(section, key).is_none() {
-            self.fault(Fault::new(section, key, format!("is missing; {allowed}")));
+            self.add_fault(Fault::new(section, key, format!("is missing; {allowed}")));
             return None;
         }
         self.optional(section, key, allowed)
     }
 
-    /// Reads a value that may be left out.
+    /// Reads an optional value; `allowed` describes the valid values to the operator.
     pub(super) fn optional<T: FromStr>(
         &mut self,
         section: &str,
@@ -84,13 +88,13 @@
         let text = self.get(section, key)?;
         let value = text.parse().ok();
         if value.is_none() {
-            self.fault(Fault::new(section, key, allowed).with_value(&text));
+            self.add_fault(Fault::new(section, key, allowed).with_value(&text));
         }
         value
     }
 
-    /// Reads a value that has a default and a range.
-    pub(super) fn within<T>(
+    /// Reads an optional value within a range, and returns the default if it is absent or invalid.
+    pub(super) fn in_range<T>(
         &mut self,
         section: &str,
         key: &str,
@@ -107,28 +111,28 @@
             Ok(value) if range.contains(&value) => value,
             _ => {
                 let allowed = format!("allowed is {} to {}", range.start(), range.end());
-                self.fault(Fault::new(section, key, allowed).with_value(&text));
+                self.add_fault(Fault::new(section, key, allowed).with_value(&text));
                 default
             }
         }
     }
 
-    /// Reads the operators with their tokens. No fault shows a token.
+    /// Reads the operators with their tokens. Faults don't contain tokens, which are secrets.
     pub(super) fn operators(&mut self) -> Vec<(Operator, String)> {
         let mut operators: Vec<(Operator, String)> = Vec::new();
         for (name, token) in self.pairs(key::OPERATORS) {
-            let fault = |problem: String| Fault::new(key::OPERATORS, &name, problem);
-            if token.len() < SHORTEST_TOKEN || !token.bytes().all(|b| b.is_ascii_graphic()) {
-                self.fault(fault(format!(
-                    "the token needs at least {SHORTEST_TOKEN} visible ASCII characters, without spaces"
+            let new_fault = |problem: String| Fault::new(key::OPERATORS, &name, problem);
+            if token.len() < MIN_TOKEN_LENGTH || !token.bytes().all(|b| b.is_ascii_graphic()) {
+                self.add_fault(new_fault(format!(
+                    "the token needs at least {MIN_TOKEN_LENGTH} visible ASCII characters, without spaces"
                 )));
             }
             if let Some((other, _)) = operators.iter().find(|(_, t)| *t == token) {
-                self.fault(fault(format!("has the same token as {other}")));
+                self.add_fault(new_fault(format!("has the same token as {other}")));
             }
             match name.parse() {
                 Ok(operator) => operators.push((operator, token)),
-                Err(e) => self.fault(fault(format!("the name {e}"))),
+                Err(e) => self.add_fault(new_fault(format!("the name {e}"))),
             }
         }
         operators
@@ -144,15 +148,16 @@
         pairs.map(|(k, v)| (k.to_owned(), v.to_owned())).collect()
     }
 
-    fn refuse_unknown(&mut self) {
+    /// Collects the faults of unknown sections, unknown keys and keys outside any section.
+    fn check_unknown(&mut self) {
         let mut faults = Vec::new();
         for (section, properties) in &self.ini {
             let Some(section) = section else {
-                let stray = properties.iter().map(|(key, _)| stray(key));
-                faults.extend(stray);
+                let keys = properties.iter().map(|(key, _)| key_without_section(key));
+                faults.extend(keys);
                 continue;
             };
-            let Some(keys) = key::of(section) else {
+            let Some(keys) = key::section_keys(section) else {
                 faults.push(unknown_section(section));
                 continue;
             };
@@ -164,7 +169,8 @@
         self.faults.extend(faults);
     }
 
-    fn refuse_duplicates(&mut self) {
+    /// Collects a fault for each key that is set more than once, in one section or in several of the same name.
+    fn check_duplicates(&mut self) {
         let mut faults = Vec::new();
         for (section, _) in key::SECTIONS {
             let pairs = self.pairs(section);
@@ -179,11 +185,11 @@
     }
 }
 
-/// Finds the lines that are no INI.
+/// Returns a fault for each line that is no INI.
 ///
-/// The parser takes a line without `=` as the beginning of the next line's key, so that one forgotten sign
-/// would spoil two settings and name neither. Each line is therefore looked at by itself first.
-fn syntax(text: &str) -> Vec<Fault> {
+/// The parser joins a line without `=` with the next line's key, so that one missing sign would invalidate two settings
+/// and the fault would name neither. Each line is therefore checked by itself first.
+fn check_syntax(text: &str) -> Vec<Fault> {
     let lines = text.lines().map(str::trim).enumerate();
     let faults = lines.filter_map(|(i, line)| {
         let problem = line_problem(line)?;
@@ -192,6 +198,7 @@
     faults.collect()
 }
 
+/// Returns what is wrong with a trimmed line.
 fn line_problem(line: &str) -> Option<&'static str> {
     if line.is_empty() || line.starts_with([';', '#']) {
         return None;
@@ -205,33 +212,36 @@
     }
     match line.find(['=', ':']) {
         Some(0) => Some("there is no key before the sign"),
-        Some(place) if line[place..].starts_with('=') => None,
+        Some(index) if line[index..].starts_with('=') => None,
         Some(_) => Some("a key may hold no ':'; a setting is written key = value"),
         None => Some("a setting is written key = value"),
     }
 }
 
-fn stray(key: &str) -> Fault {
-    let place = match key::home(key) {
-        Some(home) => format!("stands before any section; it belongs to [{home}]"),
-        None => "stands before any section".to_owned(),
+fn key_without_section(key: &str) -> Fault {
+    let problem = match key::find_section(key) {
+        Some(section) => format!("is outside any section; it belongs to [{section}]"),
+        None => "is outside any section".to_owned(),
     };
-    Fault::new("", key, place)
+    Fault::new("", key, problem)
 }
 
 fn unknown_section(section: &str) -> Fault {
     let names = || key::SECTIONS.iter().map(|(name, _)| *name);
-    let problem = match key::nearest(section, names()) {
-        Some(near) => format!("is no section; did you mean [{near}]?"),
+    let problem = match key::find_similar(section, names()) {
+        Some(similar) => format!("is no section; did you mean [{similar}]?"),
         None => format!("is no section; there are {}", join(names())),
     };
     Fault::new(section, "", problem)
 }
 
 fn unknown_key(section: &str, key: &str, keys: &[&str]) -> Fault {
-    let problem = match (key::nearest(key, keys.iter().copied()), key::home(key)) {
-        (_, Some(home)) => format!("is no key of this section; it belongs to [{home}]"),
-        (Some(near), None) => format!("is no key; did you mean {near}?"),
+    let problem = match (
+        key::find_similar(key, keys.iter().copied()),
+        key::find_section(key),
+    ) {
+        (_, Some(other)) => format!("is no key of this section; it belongs to [{other}]"),
+        (Some(similar), None) => format!("is no key; did you mean {similar}?"),
         (None, None) => format!("is no key; there are {}", join(keys.iter().copied())),
     };
     Fault::new(section, key, problem)
--- a/src/settings/size.rs
+++ b/src/settings/size.rs
@@ -16,8 +16,8 @@
 
 impl fmt::Display for Size {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let whole = |unit: &&(&str, usize)| self.0 != 0 && self.0.is_multiple_of(unit.1);
-        match UNITS.iter().find(whole) {
+        let divides = |unit: &&(&str, usize)| self.0 != 0 && self.0.is_multiple_of(unit.1);
+        match UNITS.iter().find(divides) {
             Some((name, bytes)) => write!(f, "{}{name}", self.0 / bytes),
             None => write!(f, "{}", self.0),
         }
@@ -27,7 +27,7 @@
 impl FromStr for Size {
     type Err = Fault;
 
-    /// Reads whole bytes, or a whole number of KiB, MiB or GiB.
+    /// Parses a whole number of bytes, KiB, MiB or GiB.
     fn from_str(text: &str) -> Result<Self, Fault> {
         let text = text.trim();
         let unit = UNITS
