--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -105,7 +105,7 @@
         pool: name("notebooks"),
         slots: 8,
         connections: 64,
-        has: Need {
+        resources: Hardware {
             cores: 64,
             memory_mb: 128 << 10,
             accelerators: 0,
@@ -125,7 +125,7 @@
         class: Class::Once,
         deadline: Span::seconds(30),
         lease: Span::seconds(10),
-        tasks: 210,
+        max_tasks: 210,
         quotas: BTreeMap::new(),
     }
 }
@@ -156,7 +156,7 @@
     let route = route();
     let requirement = Requirement {
         route: &route,
-        need: Need::default(),
+        need: Hardware::default(),
         class: Class::Once,
         avoid: &[],
     };
@@ -187,7 +187,7 @@
             .map(|team| name(format!("team-{team}")))
             .collect();
         let mut admission = Admission::new(&Limits::default(), 1);
-        let mut queue = Queue::new(Limits::default().waiting);
+        let mut queue = Queue::new(Limits::default().waiting_tasks);
         for team in &teams {
             queue.push(team, 1, 0, TASK, 0).expect("room");
         }
--- a/examples/measure/policy.rs
+++ b/examples/measure/policy.rs
@@ -133,7 +133,7 @@
         while let Some((job, sleep)) = self.instances[number].queue.front().copied() {
             let requirement = Requirement {
                 route: &self.route,
-                need: Need::default(),
+                need: Hardware::default(),
                 class: Class::Once,
                 avoid: &[],
             };
@@ -213,7 +213,7 @@
         class: Class::Once,
         deadline: Span::seconds(60),
         lease: Span::seconds(60),
-        tasks: 1_000,
+        max_tasks: 1_000,
         quotas: BTreeMap::new(),
     })
 }
--- a/src/caller.rs
+++ b/src/caller.rs
@@ -182,9 +182,12 @@
                 sleep(CLOSE_POLL_INTERVAL).await;
             }
         };
-        timeout(self.context.settings.timing.receive.duration(), closed)
-            .await
-            .ok();
+        timeout(
+            self.context.settings.timing.receive_timeout.duration(),
+            closed,
+        )
+        .await
+        .ok();
     }
 
     /// Serves a connection on a task of its own; rejects or closes it above the connection limit.
@@ -228,8 +231,8 @@
         let mut shutdown = self.context.shutdown.clone();
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(settings.timing.receive.duration())
-            .max_buf_size(settings.limits.headers.max(8 << 10))
+            .header_read_timeout(settings.timing.receive_timeout.duration())
+            .max_buf_size(settings.limits.header_bytes.max(8 << 10))
             .serve_connection(TokioIo::new(stream), service);
         tokio::pin!(connection);
         tokio::select! {
@@ -335,11 +338,12 @@
     fn refusal(&self) -> Answer {
         if *self.context.shutdown.borrow() {
             let detail = "this instance has shut down; try another one";
-            return Answer::refusal(Reason::Draining, detail).with_retry(Span::millis(50));
+            return Answer::refusal(Reason::Draining, detail).with_retry_after(Span::millis(50));
         }
         self.context.metrics.count_ring_refusal();
         Event::new(Code::RingFull, "from the callers").log();
-        Answer::refusal(Reason::Busy, "the instance is overloaded").with_retry(Span::millis(500))
+        Answer::refusal(Reason::Busy, "the instance is overloaded")
+            .with_retry_after(Span::millis(500))
     }
 
     /// Returns the answer to a job, after cancelling it if `cancel` is set.
@@ -393,8 +397,8 @@
 
     /// Reads the whole body of a request, within the limits of size and time.
     async fn read_body(&self, request: Request<Incoming>) -> Result<Bytes, Answer> {
-        let limit = self.context.settings.limits.body;
-        let allowed = self.context.settings.timing.receive;
+        let limit = self.context.settings.limits.body_bytes;
+        let allowed = self.context.settings.timing.receive_timeout;
         let body = Limited::new(request.into_body(), limit).collect();
         match timeout(allowed.duration(), body).await {
             Ok(Ok(body)) => Ok(body.to_bytes()),
@@ -426,7 +430,7 @@
         };
         set(OUTCOME_HEADER, answer.outcome.to_string());
         set(RANGE_HEADER, lock(&self.context.status.range).clone());
-        if let Some(retry) = answer.retry {
+        if let Some(retry) = answer.retry_after {
             let seconds = retry.as_millis().div_ceil(1_000);
             set(RETRY_AFTER.as_str(), seconds.to_string());
         }
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -127,8 +127,8 @@
     pub fn new(limits: &Limits, seed: u64) -> Self {
         Self {
             max_jobs: limits.jobs,
-            max_bytes: limits.bytes,
-            max_tasks: limits.waiting,
+            max_bytes: limits.job_bytes,
+            max_tasks: limits.waiting_tasks,
             random: SmallRng::seed_from_u64(seed),
             total: Usage::default(),
             teams: HashMap::new(),
--- a/src/core/answer.rs
+++ b/src/core/answer.rs
@@ -27,7 +27,7 @@
         Reason::OwnerGone,
         "the instance that owns this key can't be reached, and no outcome is recorded",
     )
-    .with_retry(RETRY_AFTER)
+    .with_retry_after(RETRY_AFTER)
 }
 
 /// Returns the answer for a key that isn't in the registry.
--- a/src/core/completion.rs
+++ b/src/core/completion.rs
@@ -96,7 +96,7 @@
     /// Keeps a job's answer in the registry, and records it in the table if the claim is there.
     fn keep_answer(&mut self, job: &Job<stage::Running>, key: &Key, answer: &Answer) {
         let team = &job.submission.team;
-        if job.stage.admitted.class.repeatable() {
+        if job.stage.admitted.class.is_repeatable() {
             return self.registry.remove(team, key);
         }
         let entry = if answer.outcome == Outcome::NotRun {
@@ -215,7 +215,7 @@
         if let Stage::Running(job) = job {
             let has_no_key = job.submission.key.is_none();
             let has_no_recipient = job.waiters.is_empty();
-            if has_no_recipient && has_no_key && job.stage.admitted.class.repeatable() {
+            if has_no_recipient && has_no_key && job.stage.admitted.class.is_repeatable() {
                 self.end_job(number, Reason::Cancelled);
             }
         }
--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -66,7 +66,7 @@
     record::{
         check::Capacity,
         route::{
-            Missing,
+            Error,
             Route, //
         },
     },
@@ -186,7 +186,7 @@
     /// # Errors
     ///
     /// Returns an error if there is no such service, or one of its records has a schema that this version doesn't know.
-    pub fn route(&self, service: &Service) -> std::result::Result<Arc<Route>, Missing> {
+    pub fn route(&self, service: &Service) -> std::result::Result<Arc<Route>, Error> {
         self.applied.route(service)
     }
 
@@ -211,7 +211,7 @@
             Input::Returned(ticket, result) => self.on_return(ticket, result.ok()),
             Input::Peers(peers) => self.update_peers(peers),
             Input::Workers(workers) => {
-                self.workers = Some(Capacity::of(&workers));
+                self.workers = Some(Capacity::from_workers(&workers));
                 self.update_centres();
             }
             Input::Tick => self.expire(),
@@ -244,7 +244,7 @@
         let centres = self.peers.values().map(|peer| peer.centre.clone());
         let centres = centres.chain([self.centre.clone()]);
         if let Some(workers) = &mut self.workers {
-            workers.know(centres);
+            workers.add_centres(centres);
         }
     }
 
--- a/src/core/config/edit/validate.rs
+++ b/src/core/config/edit/validate.rs
@@ -37,7 +37,7 @@
         },
         set::Entry,
         Record,
-        NEWEST, //
+        NEWEST_SCHEMA, //
     },
     table::wire::{
         Group,
@@ -91,13 +91,13 @@
     if faults.is_empty() {
         let mut after = applied.set().clone();
         match &pending.record {
-            Some(record) => after.put(Arc::clone(record), change.revision),
+            Some(record) => after.insert(Arc::clone(record), change.revision),
             None => after.remove(&pending.name),
         }
         let none = Capacity::default();
         let workers = workers.unwrap_or(&none);
         let confirmed = pending.edit.confirmed;
-        faults = check::change(applied.set(), &after, &pending.name, workers, confirmed);
+        faults = check::validate(applied.set(), &after, &pending.name, workers, confirmed);
     }
     match faults.is_empty() {
         true => Ok(change),
@@ -113,7 +113,7 @@
         None if amends.is_some() => Err(Refusal::Absent { record }),
         Some(entry) if amends != Some(entry.revision) => {
             let text = pending.edit.act.text();
-            let differences = text.map(|text| difference::between(&entry.record.text, text));
+            let differences = text.map(|text| difference::compare(&entry.record.text, text));
             Err(Refusal::Conflict {
                 record,
                 current: entry.revision,
@@ -127,12 +127,12 @@
 /// Returns the faults that keep this version from replacing the record in force without losing some of it.
 fn check_schema(entry: &Entry, pending: &PendingEdit) -> Vec<Fault> {
     let schema = entry.record.schema;
-    if !(1..=NEWEST).contains(&schema) {
+    if !(1..=NEWEST_SCHEMA).contains(&schema) {
         let detail = format!("{} is in schema {schema}, which this version doesn't know; send the change to a newer one", pending.name);
         return vec![Fault::new("schema", Code::Schema, detail)];
     }
     let schema = pending.record.as_ref().map(|record| record.schema);
-    schema.map_or(Vec::new(), |schema| entry.record.lost(schema))
+    schema.map_or(Vec::new(), |schema| entry.record.find_lost_fields(schema))
 }
 
 /// Creates the change that a request makes under `revision`.
@@ -184,8 +184,9 @@
         End::Accepted { .. } => Vec::new(),
     };
     let name = Some(pending.name.clone());
-    writes
-        .extend(trail::make_entry(instance, &pending.edit, name, revision, before, lines).writes());
+    writes.extend(
+        trail::make_entry(instance, &pending.edit, name, revision, before, lines).to_writes(),
+    );
     // Operators may send changes at the same time, or one operation twice. Without the conditions, both changes would
     // be accepted, and one would overwrite the other. The head's version guarantees that the configuration is the one
     // validated against; the operation's row, that it has no decision yet.
--- a/src/core/config/load.rs
+++ b/src/core/config/load.rs
@@ -124,7 +124,11 @@
 
     /// Logs the records whose schema this version doesn't know.
     fn warn_unknown_schemas(&mut self) {
-        let unknown = self.applied.set().iter().filter(|(_, e)| !e.record.known());
+        let unknown = self
+            .applied
+            .set()
+            .iter()
+            .filter(|(_, e)| !e.record.has_known_schema());
         let names: Vec<String> = unknown.map(|(name, _)| name.to_string()).collect();
         if !names.is_empty() {
             self.log_event(Code::SchemaUnknown, names.join(", "));
--- a/src/core/config/query.rs
+++ b/src/core/config/query.rs
@@ -101,8 +101,8 @@
 
     /// Starts to read a page of the audit trail.
     fn read_audit(&mut self, request: Request, audit: ask::Audit) {
-        let prefix = audit::prefix(audit.record.as_ref());
-        let first = || audit::mark(audit.from_ms, None);
+        let prefix = audit::key_prefix(audit.record.as_ref());
+        let first = || audit::key_suffix(audit.from_ms, None);
         let after = prefix.clone() + &audit.after.clone().unwrap_or_else(first);
         let scan = Command::Scan {
             prefix,
@@ -133,7 +133,7 @@
         let more = rows.len() >= AUDIT_PAGE as usize && entries.last().is_some_and(in_range);
         entries.retain(in_range);
         let last = entries.last().filter(|_| more);
-        let after = last.map(|entry| audit::mark(entry.at_ms, Some(entry.operation)));
+        let after = last.map(|entry| audit::key_suffix(entry.at_ms, Some(entry.operation)));
         self.report(request, Report::Audit { entries, after });
     }
 }
@@ -144,7 +144,7 @@
     View {
         name: record.name.clone(),
         revision: entry.revision,
-        known: record.known(),
+        known: record.has_known_schema(),
         record: value.unwrap_or_else(|_| record.text.as_str().into()),
     }
 }
--- a/src/core/config/state.rs
+++ b/src/core/config/state.rs
@@ -20,7 +20,7 @@
     prelude::*,
     record::{
         route::{
-            Missing,
+            Error,
             Route, //
         },
         set::Set,
@@ -99,7 +99,7 @@
     revision: Revision,
     set: Set,
     /// The route of each service, derived from the records.
-    routes: BTreeMap<Service, Result<Arc<Route>, Missing>>,
+    routes: BTreeMap<Service, Result<Arc<Route>, Error>>,
     /// The latest changes without a gap, kept for peers that lag behind.
     recent: VecDeque<Arc<Change>>,
     /// The size of the recent changes.
@@ -119,9 +119,9 @@
         &self.set
     }
 
-    pub(super) fn route(&self, service: &Service) -> Result<Arc<Route>, Missing> {
+    pub(super) fn route(&self, service: &Service) -> Result<Arc<Route>, Error> {
         let route = self.routes.get(service).cloned();
-        route.unwrap_or(Err(Missing::Service))
+        route.unwrap_or(Err(Error::UnknownService))
     }
 
     /// Puts a whole configuration in force, unless the applied one is as new; returns whether it did.
@@ -134,7 +134,7 @@
         self.ready = true;
         self.revision = revision;
         self.set = set;
-        self.routes = self.set.routes();
+        self.routes = self.set.resolve_all();
         self.recent.clear();
         self.bytes = 0;
         true
@@ -150,7 +150,7 @@
         }
         apply_to(&mut self.set, change);
         self.revision = change.revision;
-        self.routes = self.set.routes();
+        self.routes = self.set.resolve_all();
         self.push_recent(change);
         true
     }
@@ -215,8 +215,8 @@
 
     /// Adds a record.
     pub(super) fn add(&mut self, stored: Stored) {
-        let record = Record::accepted(stored.name.clone(), stored.text);
-        self.set.put(Arc::new(record), stored.revision);
+        let record = Record::parse_accepted(stored.name.clone(), stored.text);
+        self.set.insert(Arc::new(record), stored.revision);
         self.last = Some(stored.name);
     }
 
@@ -235,8 +235,8 @@
 fn apply_to(set: &mut Set, change: &Change) {
     match &change.text {
         Some(text) => {
-            let record = Record::accepted(change.name.clone(), text.as_str());
-            set.put(Arc::new(record), change.revision);
+            let record = Record::parse_accepted(change.name.clone(), text.as_str());
+            set.insert(Arc::new(record), change.revision);
         }
         None => set.remove(&change.name),
     }
--- a/src/core/config/trail.rs
+++ b/src/core/config/trail.rs
@@ -26,7 +26,7 @@
         self,
         fault::Fault,
         Name,
-        LONGEST_TEXT, //
+        MAX_TEXT_BYTES, //
     },
     table::wire::Group,
 };
@@ -64,7 +64,7 @@
         match self.trail.entries.len() < MAX_ENTRIES {
             true => {
                 let name = edit.act.name().cloned();
-                let name = name.or_else(|| edit.act.text().and_then(record::name));
+                let name = name.or_else(|| edit.act.text().and_then(record::parse_name));
                 let entry = make_entry(&self.name, edit, name, None, None, refusal.lines());
                 self.trail.entries.push_back(entry);
             }
@@ -88,7 +88,7 @@
             writes: trail
                 .entries
                 .iter()
-                .flat_map(audit::Entry::writes)
+                .flat_map(audit::Entry::to_writes)
                 .collect(),
         };
         let count = trail.entries.len();
@@ -138,5 +138,5 @@
 /// Passes characters on until they exceed [`LONGEST_TEXT`] bytes, `bytes` being those passed so far.
 fn take_while_short(bytes: &mut usize, c: char) -> Option<char> {
     *bytes += c.len_utf8();
-    (*bytes <= LONGEST_TEXT).then_some(c)
+    (*bytes <= MAX_TEXT_BYTES).then_some(c)
 }
--- a/src/core/execution.rs
+++ b/src/core/execution.rs
@@ -97,7 +97,7 @@
         let team = &job.submission.team;
         let weight = route.quotas.get(team).map_or(1, |quota| quota.weight);
         let expected = job.submission.tasks[item.task as usize].expected;
-        let max_waiting = self.limits.waiting;
+        let max_waiting = self.limits.waiting_tasks;
         let queue = self
             .queues
             .entry(route.service.clone())
@@ -192,10 +192,10 @@
         progress.attempts += 1;
         // An idempotent task is hedged once it runs longer than nearly all others of its service. For any other task
         // the endpoint is asked for the status.
-        let default_delay = task.expected.times(2) + self.timing.look;
+        let default_delay = task.expected.times(2) + self.timing.lookup_delay;
         let class = job.stage.admitted.class;
         let hedge_delay = class
-            .repeatable()
+            .is_repeatable()
             .then(|| self.hedges.delay(&job.stage.admitted.route.service))
             .flatten();
         let delay = hedge_delay.unwrap_or(default_delay);
@@ -317,13 +317,13 @@
             }
             Conclusion::NotStarted => self.requeue(attempt),
             Conclusion::Failed(error) => {
-                if !class.repeatable() || !self.retry_task(attempt) {
+                if !class.is_repeatable() || !self.retry_task(attempt) {
                     let detail = format!("tasks[{}]: {error}", attempt.task);
                     self.fail_job(attempt.job, Reason::TaskFailed, &detail);
                 }
             }
             Conclusion::Lost => {
-                if !class.repeatable() || !self.retry_task(attempt) {
+                if !class.is_repeatable() || !self.retry_task(attempt) {
                     let detail = format!(
                         "tasks[{}]: the endpoint can't be reached after the start was sent",
                         attempt.task
@@ -441,7 +441,7 @@
         let mut answer = Answer::new(outcome, reason, detail);
         if outcome == Outcome::NotRun && reason != Reason::Impossible {
             let retry_after = self.jitter(Span::millis(500));
-            answer = answer.with_retry(retry_after);
+            answer = answer.with_retry_after(retry_after);
         }
         self.finish_running(job, answer);
     }
@@ -476,7 +476,7 @@
     /// Returns whether the job runs and its tasks may run more than once.
     pub(super) fn is_repeatable(&self, job: u64) -> bool {
         match self.jobs.get(&job) {
-            Some(Stage::Running(job)) => job.stage.admitted.class.repeatable(),
+            Some(Stage::Running(job)) => job.stage.admitted.class.is_repeatable(),
             _ => false,
         }
     }
--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -68,7 +68,7 @@
     /// The route of the task's service.
     pub route: &'a Route,
     /// The resources that the task needs.
-    pub need: Need,
+    pub need: Hardware,
     /// The class of the task: endpoints on probation get idempotent tasks only.
     pub class: Class,
     /// Endpoints that get the task only if no other one is eligible.
@@ -258,7 +258,7 @@
     }
 
     /// Returns whether any endpoint of the route that was ever listed is large enough; `true` if none was listed.
-    pub fn is_possible(&self, route: &Route, need: Need) -> bool {
+    pub fn is_possible(&self, route: &Route, need: Hardware) -> bool {
         let mut groups = self.reachable_groups(route).peekable();
         groups.peek().is_none() || groups.any(|group| fits(&need, &group.has))
     }
@@ -431,7 +431,7 @@
 }
 
 /// Returns whether an endpoint with the resources `has` can run a task that needs `need`.
-fn fits(need: &Need, has: &Need) -> bool {
+fn fits(need: &Hardware, has: &Hardware) -> bool {
     need.cores <= has.cores
         && need.memory_mb <= has.memory_mb
         && need.accelerators <= has.accelerators
--- a/src/core/placement/index.rs
+++ b/src/core/placement/index.rs
@@ -71,7 +71,7 @@
 pub(super) struct Group {
     pub(super) pool: Pool,
     pub(super) centre: Centre,
-    pub(super) has: Need,
+    pub(super) has: Hardware,
     pub(super) members: u32,
     pub(super) index: Index,
     pub(super) count: Count,
@@ -82,7 +82,7 @@
 
 impl Group {
     /// Creates a group without endpoints.
-    pub(super) fn new(pool: Pool, centre: Centre, has: Need) -> Self {
+    pub(super) fn new(pool: Pool, centre: Centre, has: Hardware) -> Self {
         Self {
             pool,
             centre,
@@ -99,7 +99,9 @@
     pub(super) fn trial(&self, class: Class, avoid: &[Slot]) -> Option<Slot> {
         let mut trials = self.trials.iter();
         trials
-            .find(|(slot, any_class)| (*any_class || class.repeatable()) && !avoid.contains(slot))
+            .find(|(slot, any_class)| {
+                (*any_class || class.is_repeatable()) && !avoid.contains(slot)
+            })
             .map(|(slot, _)| *slot)
     }
 
--- a/src/core/placement/table.rs
+++ b/src/core/placement/table.rs
@@ -97,8 +97,8 @@
         }
         let before = entry.worker.clone();
         let returned = entry.is_absent || before.state != State::Live;
-        let group_changed = (&before.pool, &before.centre, before.has)
-            != (&worker.pool, &worker.centre, worker.has);
+        let group_changed = (&before.pool, &before.centre, before.resources)
+            != (&worker.pool, &worker.centre, worker.resources);
         if group_changed {
             self.regroup(slot, worker);
         }
@@ -201,7 +201,7 @@
             .copied();
         let found = candidates.find(|group| {
             let group = &self.groups[*group];
-            group.centre == worker.centre && group.has == worker.has
+            group.centre == worker.centre && group.has == worker.resources
         });
         let index = found.unwrap_or_else(|| self.create_group(worker));
         self.groups[index].members += 1;
@@ -210,7 +210,7 @@
 
     /// Creates the group of an endpoint, in place of a removable one if there is one, and returns its index.
     fn create_group(&mut self, worker: &Worker) -> usize {
-        let group = Group::new(worker.pool.clone(), worker.centre.clone(), worker.has);
+        let group = Group::new(worker.pool.clone(), worker.centre.clone(), worker.resources);
         let index = match self.removable_group() {
             Some(index) => self.remove_group(index),
             None => self.groups.len(),
--- a/src/core/store.rs
+++ b/src/core/store.rs
@@ -131,7 +131,7 @@
         digest: Digest,
         answer: &Answer,
     ) {
-        let is_long = answer.bytes() > MAX_ROW_BYTES;
+        let is_long = answer.memory_bytes() > MAX_ROW_BYTES;
         let record = claim::Record {
             digest,
             answer: (!is_long).then(|| answer.clone()),
--- a/src/core/submission.rs
+++ b/src/core/submission.rs
@@ -33,7 +33,7 @@
 use crate::{
     prelude::*,
     record::route::{
-        Missing,
+        Error,
         Route, //
     },
 };
@@ -154,7 +154,7 @@
     /// submission of the key may have run on another instance. So the claim of a key that may have been sent before
     /// is read from the table first. If there is one, its owner answers; otherwise the refusal is sent.
     fn refuse(&mut self, arrival: Arrival, deadline: Span, refusal: Answer, origin: Origin) {
-        let repeatable = arrival.submission.class.is_some_and(Class::repeatable);
+        let repeatable = arrival.submission.class.is_some_and(Class::is_repeatable);
         if origin != Origin::Table || arrival.first || repeatable {
             self.count_answer(&refusal, arrival.submission.class.unwrap_or_default());
             return self.send_answer(arrival.waiter, &refusal);
@@ -188,26 +188,26 @@
         if self.draining.is_some() {
             let refusal =
                 Answer::refusal(Reason::Draining, "this instance is draining; try another");
-            return Err(refusal.with_retry(Span::millis(50)));
+            return Err(refusal.with_retry_after(Span::millis(50)));
         }
         if !self.is_ready() {
             let refusal =
                 Answer::refusal(Reason::NotReady, "this instance has no configuration yet");
-            return Err(refusal.with_retry(RETRY_AFTER));
+            return Err(refusal.with_retry_after(RETRY_AFTER));
         }
         let route = self.find_route(&submission.service)?;
-        if submission.tasks.len() > route.tasks as usize {
+        if submission.tasks.len() > route.max_tasks as usize {
             let detail = format!(
                 "tasks: {} tasks, the service allows {}",
                 submission.tasks.len(),
-                route.tasks
+                route.max_tasks
             );
             return Err(Answer::refusal(Reason::Invalid, detail));
         }
         self.check_needs(&route, submission)?;
         if self.registry.is_full() {
             let refusal = Answer::refusal(Reason::Busy, "the memory for keys and answers is full");
-            return Err(refusal.with_retry(RETRY_AFTER));
+            return Err(refusal.with_retry_after(RETRY_AFTER));
         }
         let deadline = submission.deadline.unwrap_or(route.deadline);
         let deadline = arrival.time_left.unwrap_or(deadline).min(route.deadline);
@@ -226,7 +226,7 @@
         self.admission.admit(self.now, &demand).map_err(|refusal| {
             let answer = Answer::refusal(refusal.reason, refusal.detail);
             match refusal.retry_after {
-                Some(span) => answer.with_retry(span),
+                Some(span) => answer.with_retry_after(span),
                 None => answer,
             }
         })?;
@@ -252,14 +252,14 @@
     /// Returns a refusal if no configuration of the service is in force or supported.
     fn find_route(&self, service: &Service) -> Result<Arc<Route>, Answer> {
         self.config.route(service).map_err(|missing| match missing {
-            Missing::Schema => Answer::refusal(
+            Error::UnknownSchema => Answer::refusal(
                 Reason::Schema,
                 format!(
                     "service: a record of {service} has a schema that this version doesn't know"
                 ),
             )
-            .with_retry(RETRY_AFTER),
-            Missing::Service => Answer::refusal(
+            .with_retry_after(RETRY_AFTER),
+            Error::UnknownService => Answer::refusal(
                 Reason::NoService,
                 format!("service: no service {service} is in force"),
             ),
@@ -272,7 +272,7 @@
     ///
     /// Returns a refusal that names the first task that fits no endpoint.
     fn check_needs(&self, route: &Route, submission: &Submission) -> Result<(), Answer> {
-        let mut last_checked: Option<Need> = None;
+        let mut last_checked: Option<Hardware> = None;
         for (i, task) in submission.tasks.iter().enumerate() {
             if last_checked == Some(task.need) {
                 continue;
@@ -313,7 +313,7 @@
     /// Claims the key of an admitted job in the table; runs the job at once if it needs no such claim.
     fn claim_key(&mut self, job: Job<Received>, origin: Origin) {
         let class = job.stage.admitted.as_ref().map(|admitted| admitted.class);
-        if class.is_some_and(Class::repeatable) {
+        if class.is_some_and(Class::is_repeatable) {
             return self.run_job(job.permit(Permit::without_claim(), None));
         }
         let Some(key) = job.submission.key.clone() else {
@@ -336,7 +336,7 @@
     pub(super) fn fail_claim(&mut self, job: Job<Received>) {
         let refusal = Answer::refusal(Reason::Store, "the platform's table can't be reached");
         let retry_after = self.jitter(RETRY_AFTER);
-        let refusal = refusal.with_retry(retry_after);
+        let refusal = refusal.with_retry_after(retry_after);
         let answer = qualify_refusal(&refusal, job.first);
         self.finish_received(job, answer);
     }
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -91,13 +91,13 @@
         clock,
         metrics,
         inputs,
-        pool: Mutex::new(Pool::new(settings.timing.idle.duration())),
+        pool: Mutex::new(Pool::new(settings.timing.idle_timeout.duration())),
         starts: Mutex::default(),
     };
     let client = Client {
         shared: Arc::new(shared),
     };
-    let address = xtra::spawn_tokio(client, Mailbox::bounded(settings.limits.ring));
+    let address = xtra::spawn_tokio(client, Mailbox::bounded(settings.limits.ring_capacity));
     let mut close = tokio::time::interval(CLOSE_INTERVAL);
     loop {
         let running = tokio::select! {
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -71,8 +71,8 @@
 pub fn run(settings: Settings) -> Result<(), Error> {
     let settings = Arc::new(settings);
     let main = build_runtime("main")?;
-    let callers = listen("callers", settings.callers)?;
-    let peers = listen("peers", settings.peers)?;
+    let callers = listen("callers", settings.caller_address)?;
+    let peers = listen("peers", settings.peer_address)?;
     let mut random = rand::rng();
     let identity = Identity {
         name: settings.name.clone(),
@@ -123,7 +123,7 @@
     callers: std::net::TcpListener,
     peers: std::net::TcpListener,
 ) -> Result<Handles, Error> {
-    let capacity = settings.limits.ring;
+    let capacity = settings.limits.ring_capacity;
     let clock = Clock::start();
     let metrics = Arc::new(Metrics::new());
     let status = Arc::new(decision::Status::default());
@@ -214,7 +214,7 @@
     let mut int = signal_stream(SignalKind::interrupt())?;
     wait_for_signal(&mut term, &mut int).await;
     control.send(Input::Drain).await;
-    let limit = settings.timing.drain.duration();
+    let limit = settings.timing.drain_timeout.duration();
     let cause = tokio::select! {
         _ = &mut drained => return Ok(()),
         () = wait_for_signal(&mut term, &mut int) => "by a second signal",
@@ -223,7 +223,7 @@
     Event::new(Code::Interrupted, cause).log();
     control.send(Input::Interrupt).await;
     // The outcomes of the remaining jobs are stored before they are answered.
-    let flush = settings.timing.platform.times(2).duration();
+    let flush = settings.timing.platform_timeout.times(2).duration();
     timeout(flush, drained).await.ok();
     Ok(())
 }
--- a/tests/policy/membership.rs
+++ b/tests/policy/membership.rs
@@ -297,7 +297,7 @@
     let mut view = view(0, 1, FEW_CENTRES);
     view.apply_list(Time(0), &[member(3, FEW_CENTRES)]);
     assert!(!view.has_converged(Time(0), Time(0)));
-    let silence = Timing::default().silence;
+    let silence = Timing::default().peer_timeout;
     assert!(view.has_converged(Time(0) + silence, Time(0)));
     view.on_heartbeat(Time(1), &heartbeat(3, 10));
     assert!(view.has_converged(Time(1), Time(0)));
--- a/tests/policy/placement.rs
+++ b/tests/policy/placement.rs
@@ -71,7 +71,7 @@
             let centre = if number % 3 == 0 { OTHER } else { OWN };
             let mut worker = worker(number, centre);
             worker.slots = 1 + number as u32 % 4;
-            worker.has = need(1 + number as u32 % 2);
+            worker.resources = need(1 + number as u32 % 2);
             if usize::from(value) % 13 == number {
                 worker.state = State::Leaving;
             }
@@ -120,7 +120,7 @@
         let has_place = |model: &&Model| {
             model.eligible()
                 && model.outstanding < model.limit(self.instances)
-                && requirement.need.cores <= model.worker.has.cores
+                && requirement.need.cores <= model.worker.resources.cores
         };
         // The best endpoints of the own data centre, or of the others; any of them may be picked.
         let best = |near: bool| {
--- a/tests/standin.rs
+++ b/tests/standin.rs
@@ -15,10 +15,10 @@
     prelude::*,
     table::wire::{
         Commit,
-        Committed,
         Condition,
         Group,
         Scan,
+        Verdicts,
         Write, //
     },
 };
@@ -97,7 +97,7 @@
     let answer = client
         .post("/table/commit", &[], &insert_commit(&["a", "b"]))
         .await?;
-    let committed: Committed = answer.json()?;
+    let committed: Verdicts = answer.json()?;
 
     assert!(committed.verdicts[0].applied && !committed.verdicts[1].applied);
     assert_eq!(committed.verdicts[1].current, platform.rows("b"));
--- a/tests/support/platform.rs
+++ b/tests/support/platform.rs
@@ -20,13 +20,13 @@
     prelude::Digest,
     table::wire::{
         Commit,
-        Committed,
         Group,
         List,
         Member,
         Row,
         Scan,
         Verdict,
+        Verdicts,
         Worker, //
     },
 };
@@ -100,9 +100,9 @@
 
 impl State {
     /// Applies a commit group by group, each on its own verdict.
-    fn apply(&mut self, commit: &Commit) -> Committed {
+    fn apply(&mut self, commit: &Commit) -> Verdicts {
         let verdicts = commit.groups.iter().map(|g| self.apply_group(g)).collect();
-        Committed { verdicts }
+        Verdicts { verdicts }
     }
 
     /// Applies the writes of a group if all its conditions hold.
