--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -1,6 +1,6 @@
-//! Property tests of the core over orders of events: losses, duplicates, delays, crashes, clock jumps.
+//! Property tests of the core over random event sequences: losses, duplicates, delays, crashes and clock jumps.
 
-#![allow(unreachable_pub)] // The world is a module of the test.
+#![allow(unreachable_pub)] // `world` is a module of this test.
 
 #[path = "orders/world.rs"]
 mod world;
@@ -15,38 +15,40 @@
     World, //
 };
 
-/// A time for which keys are kept that outlasts every order of events.
-const LONG: Span = Span::seconds(3_600);
+/// A retention of keys that outlasts every event sequence.
+const LONG_RETENTION: Span = Span::seconds(3_600);
 
-/// Steps in one order of events.
-const STEPS: usize = 400;
+/// The most steps in one event sequence.
+const MAX_STEPS: usize = 400;
 
+/// Checks a property for 500 event sequences from a fixed seed.
 fn check(property: fn(Vec<Step>) -> bool) {
     QuickCheck::new()
-        .rng(Gen::from_size_and_seed(STEPS, 7))
+        .rng(Gen::from_size_and_seed(MAX_STEPS, 7))
         .tests(500)
         .quickcheck(property as fn(Vec<Step>) -> bool);
 }
 
-/// Runs an order of events, then lets everything that is left arrive.
+/// Runs an event sequence with a long retention of keys, then delivers all pending messages.
 fn run(steps: Vec<Step>) -> World {
-    run_with(LONG, steps)
+    run_with(LONG_RETENTION, steps)
 }
 
-fn run_with(kept: Span, steps: Vec<Step>) -> World {
-    let mut world = World::new(kept);
+/// Runs an event sequence, then delivers all pending messages.
+fn run_with(retention: Span, steps: Vec<Step>) -> World {
+    let mut world = World::new(retention);
     for step in steps {
-        world.take(step);
+        world.apply(step);
     }
     world.finish();
     world
 }
 
-// The orders of events reach every outcome, so that the properties below are not empty.
+// Event sequences that never reach an outcome would make the properties below vacuous.
 #[test]
 fn every_outcome_is_reached() {
     use quickcheck::Arbitrary as _;
-    let mut gen = Gen::from_size_and_seed(STEPS, 7);
+    let mut gen = Gen::from_size_and_seed(MAX_STEPS, 7);
     let worlds = (0..50).map(|_| run(Vec::arbitrary(&mut gen)));
     let answers = worlds.flat_map(|world| world.answers);
     let mut counts = std::collections::BTreeMap::<Outcome, u32>::new();
@@ -57,42 +59,42 @@
     assert_eq!(counts.len(), 4, "{counts:?}");
 }
 
-// A caller submits a job, and again at any instance, while messages are lost, doubled and late, the table loses
-// answers or applies writes late, instances crash and stand still. Each task starts at most once: the claim in the
-// table names one incarnation, and no other ever starts anything under it.
+// Faults and resubmissions at other instances must not start a task twice: the claim in the table names one
+// incarnation, and no other one starts tasks under it.
 #[test]
 fn no_task_starts_twice() {
     fn property(steps: Vec<Step>) -> bool {
-        run(steps).twice().is_empty()
+        run(steps).tasks_started_twice().is_empty()
     }
     check(property);
 }
 
-// A caller submits a job again when the instance that ran it has dropped its key, to stay within its bounds of memory.
-// The claim in the table still names that incarnation, under a nonce that no longer stands for a job in memory; a range
-// whose keys were dropped is closed. So the caller is told "unknown" or the recorded outcome, and nothing runs again.
+// A job that is resubmitted after its instance dropped the key from memory must not run a second time. The claim in the
+// table has a nonce that belongs to no job in memory, and a range whose keys were dropped is closed. The answer is
+// "unknown" or the recorded outcome.
 #[test]
 fn a_key_that_was_dropped_is_not_run_again() {
     fn property(steps: Vec<Step>) -> bool {
-        run_with(Span::millis(200), steps).twice().is_empty()
+        run_with(Span::millis(200), steps)
+            .tasks_started_twice()
+            .is_empty()
     }
     check(property);
 }
 
-// A caller is told "not run" for its job, by whichever instance refused it, and may act on that. No task of the job
-// had started by then, and none starts later unless the job is submitted again: only what was never handed out for a
-// start is called "not run", and a refusal before the claim is checked against the table.
+// "not run" must be true of a job whichever instance answers: no task has started, and none starts later unless the job
+// is resubmitted. A refusal before the claim is checked against the table.
 #[test]
-fn what_is_not_run_was_not_run() {
+fn a_job_answered_not_run_never_starts() {
     fn property(steps: Vec<Step>) -> bool {
         let world = run(steps);
-        world.lies.is_empty() && world.untold().is_empty()
+        world.false_refusals.is_empty() && world.jobs_run_unreported().is_empty()
     }
     check(property);
 }
 
-// A caller gets results of several tasks that end in any order, some told twice, some after a look. An answer that is
-// complete has each task's own result in its place; any other has none.
+// Task results arrive in any order, some twice, some by a status lookup. A complete answer must have each task's
+// own result at the task's index; any other answer has no results.
 #[test]
 fn an_answer_is_whole_or_has_no_results() {
     fn property(steps: Vec<Step>) -> bool {
@@ -109,41 +111,42 @@
     check(property);
 }
 
-// A caller waits for its answer while everything that could bring it is lost. It gets exactly one answer all the same
-// as long as its instance lives: the deadline brings it, whatever else has not come.
+// A request must get exactly one answer as long as its instance lives, even if every other message is lost: the deadline
+// ends it.
 #[test]
 fn every_request_gets_one_answer() {
     fn property(steps: Vec<Step>) -> bool {
         let world = run(steps);
-        world.unanswered().is_empty() && world.doubled == 0
+        world.unanswered_requests().is_empty() && world.duplicate_answers == 0
     }
     check(property);
 }
 
-// A desk releases a confirmation, marked non-idempotent, and its endpoint falls silent or the connection breaks. The
-// release runs at most once: it is sent again only after the endpoint has barred the first attempt.
+// A start whose connection broke may still arrive. A non-idempotent task must be retried only after the endpoint has
+// barred the earlier attempt.
 #[test]
 fn a_start_is_repeated_only_after_it_is_barred() {
     fn property(steps: Vec<Step>) -> bool {
         let world = run(steps);
-        world.repeats.is_empty()
+        world.unsafe_retries.is_empty()
     }
     check(property);
 }
 
-// A caller waits for its answer when its instance is told to end, in the middle of losses, crashes and late answers. The
-// instance says that it has drained only when every request that it took has its answer, and it does say so in the end.
+// A draining instance must report that it has drained, but only when every request that it accepted has its answer.
 #[test]
 fn a_drain_ends_when_everything_is_answered() {
     fn property(mut steps: Vec<Step>) -> bool {
-        let later = steps.split_off(steps.len() / 2);
-        let mut world = World::new(LONG);
-        steps.into_iter().for_each(|step| world.take(step));
+        let after_drain = steps.split_off(steps.len() / 2);
+        let mut world = World::new(LONG_RETENTION);
+        steps.into_iter().for_each(|step| world.apply(step));
         world.drain();
-        later.into_iter().for_each(|step| world.take(step));
+        after_drain.into_iter().for_each(|step| world.apply(step));
         world.drain();
         world.finish();
-        world.cut_off.is_empty() && world.drained >= 3 && world.unanswered().is_empty()
+        world.open_at_drain.is_empty()
+            && world.drains >= 3
+            && world.unanswered_requests().is_empty()
     }
     check(property);
 }
--- a/tests/orders/world.rs
+++ b/tests/orders/world.rs
@@ -1,4 +1,4 @@
-//! A small world of cores, a table and endpoints, in which every message is a thing that can be lost or late.
+//! A simulated cluster of cores, a table and endpoints, in which any message can be lost, duplicated or late.
 
 use std::{
     collections::{
@@ -60,35 +60,36 @@
 
 const INSTANCES: usize = 3;
 const WORKERS: usize = 3;
+/// Tasks in each job.
 const TASKS: usize = 3;
-/// Jobs that callers submit, each with its own key.
+/// The number of jobs that callers submit, each under its own key.
 const JOBS: u8 = 8;
-/// Of these, the jobs whose keys are from a range of the first instance.
-const RANGED: [u8; 4] = [0, 5, 6, 7];
-/// The job whose tasks may be repeated.
-const IDEMPOTENT: u8 = 3;
-/// The task that fails wherever it runs.
-const FAILING: &str = "\"4/2\"";
+/// The jobs whose keys are from a range of the first instance.
+const RANGE_KEY_JOBS: [u8; 4] = [0, 5, 6, 7];
+/// The job whose tasks may start more than once.
+const IDEMPOTENT_JOB: u8 = 3;
+/// The payload of the task that fails on every endpoint.
+const FAILING_PAYLOAD: &str = "\"4/2\"";
 const DEADLINE: Span = Span::seconds(5);
 
-/// One thing that happens.
+/// An event.
 #[derive(Debug, Clone, Copy)]
 pub enum Step {
-    /// A job is submitted at an instance; the key is from a range where the caller has one.
+    /// A caller submits a job at an instance.
     Submit { job: u8, instance: u8 },
-    /// The eldest message arrives, or one further back.
+    /// The message at this index arrives; 0 is the oldest.
     Deliver(u8),
-    /// A message is lost, and its sender learns that the connection broke.
-    Break(u8),
-    /// A message is lost, and nobody learns of it.
-    Swallow(u8),
-    /// A message arrives, and arrives again later.
-    Double(u8),
-    /// Time passes, in steps of 40 ms.
-    Pass(u8),
-    /// An instance ends and starts again under a new incarnation.
+    /// A message is lost, and its sender is told that the connection broke.
+    Disconnect(u8),
+    /// A message is lost without notice to its sender.
+    LoseSilently(u8),
+    /// A message arrives now and a second time later.
+    Duplicate(u8),
+    /// Time advances by this many steps of 40 ms.
+    Advance(u8),
+    /// An instance crashes and restarts with a new incarnation.
     Crash(u8),
-    /// An endpoint ends, with all that it knew, and starts again.
+    /// An endpoint restarts and loses its state.
     Restart(u8),
     /// A caller cancels a job at an instance.
     Cancel { job: u8, instance: u8 },
@@ -103,11 +104,11 @@
                 instance: b,
             },
             10..108 => Self::Deliver(a % 4),
-            108..111 => Self::Break(a),
-            111..114 => Self::Swallow(a),
-            114..117 => Self::Double(a),
-            117..124 => Self::Pass(a % 16),
-            124 => Self::Pass(a),
+            108..111 => Self::Disconnect(a),
+            111..114 => Self::LoseSilently(a),
+            114..117 => Self::Duplicate(a),
+            117..124 => Self::Advance(a % 16),
+            124 => Self::Advance(a),
             125 => Self::Crash(a),
             126 => Self::Restart(a),
             _ => Self::Cancel {
@@ -118,21 +119,21 @@
     }
 }
 
-/// Something on its way. The instance that sent it is named with its run, so that nothing reaches a later one.
+/// A message in flight. It names the process run of its sender, so that a later run of that instance gets no reply to it.
 #[derive(Debug, Clone)]
 enum Message {
     Start(Run, usize, Start),
-    /// A start that is heard once more by the same run of its endpoint.
-    Again(Run, usize, u128, Start),
+    /// The copy of a start, with the endpoint run that received the original; a later run doesn't receive it.
+    DuplicateStart(Run, usize, u128, Start),
     Look(Run, usize, Attempt, bool),
-    Operate(Run, Ticket, Command),
+    Command(Run, Ticket, Command),
     Call(Run, Instance, CallId, Call),
     Input(Run, Input),
-    /// A write whose answer nobody waits for any more.
-    Late(Group),
+    /// A commit that the table applies after its sender stopped waiting for the result.
+    LateCommit(Group),
 }
 
-/// One run of an instance.
+/// A process run of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Run {
     instance: usize,
@@ -142,61 +143,65 @@
 #[derive(Debug, Default)]
 struct Endpoint {
     run: u128,
-    started: BTreeMap<Attempt, Status>,
+    ended: BTreeMap<Attempt, Status>,
+    /// Attempts that this run refuses to start.
     barred: BTreeSet<Attempt>,
 }
 
-/// The world, and what was seen in it.
+/// The simulated cluster and the observations that the properties check.
 pub struct World {
     now: Time,
-    kept: Span,
+    retention: Span,
     cores: Vec<Core>,
+    /// The run number of each instance.
     runs: Vec<u64>,
     table: BTreeMap<String, Row>,
     workers: Vec<Endpoint>,
-    /// Attempts that any run of an endpoint has barred.
+    /// Attempts that any run of any endpoint has barred.
     barred: BTreeSet<Attempt>,
+    /// Messages in flight, the oldest first.
     messages: Vec<Message>,
-    /// Calls that peers wait for: who called, and the id of the call.
+    /// Open calls between instances: the caller and the id that it gave the call.
     calls: BTreeMap<u64, (Run, CallId)>,
-    serial: u64,
+    /// The last id given to a request or a call.
+    last_id: u64,
+    /// Open submissions: the instance that has them, and the job.
     requests: BTreeMap<u64, (Run, u8)>,
     cancels: BTreeSet<u64>,
-    /// Jobs of which a request went with its instance.
-    unanswerable: BTreeSet<u8>,
-    /// The key that the caller took for each job.
+    /// Jobs with a request that was lost in a crash of its instance.
+    lost_request_jobs: BTreeSet<u8>,
     keys: BTreeMap<u8, String>,
-    /// How often each task was started, by its name.
+    /// The number of starts of each task, by `job/task`.
     pub starts: BTreeMap<String, u32>,
-    /// What callers were told, by job.
+    /// The answers to submissions, with their job.
     pub answers: Vec<(u8, Answer)>,
-    /// Answers "not run" that came after a start.
-    pub lies: Vec<u8>,
-    /// Answers beyond the first to one request.
-    pub doubled: u32,
-    /// Instances that said that they had drained.
-    pub drained: u32,
-    /// Requests that were open at an instance when it said that it had drained.
-    pub cut_off: Vec<u64>,
-    /// Tasks that were started while an earlier attempt at them was neither ended nor barred.
-    pub repeats: Vec<Attempt>,
+    /// Jobs that were answered "not run" after one of their tasks had started.
+    pub false_refusals: Vec<u8>,
+    /// The number of answers to requests that already had one.
+    pub duplicate_answers: u32,
+    /// How often an instance reported that it had drained.
+    pub drains: u32,
+    /// Requests that were open at an instance when it reported that it had drained.
+    pub open_at_drain: Vec<u64>,
+    /// Attempts at tasks that aren't idempotent, sent although an earlier attempt was not barred.
+    pub unsafe_retries: Vec<Attempt>,
 }
 
-/// Returns the results that a complete answer to a job has.
+/// Returns the results of a complete answer to a job.
 pub fn results(job: u8) -> Vec<String> {
     (0..TASKS).map(|task| format!("\"{job}/{task}\"")).collect()
 }
 
-fn name<T: std::str::FromStr>(text: &str) -> T {
-    text.parse().ok().expect("the names of the tests are names")
+fn parse_name<T: std::str::FromStr>(text: &str) -> T {
+    text.parse().ok().expect("the tests use valid names")
 }
 
 impl World {
-    /// Makes a world whose instances have a configuration and know one another.
-    pub fn new(kept: Span) -> Self {
+    /// Creates a cluster whose instances are configured, listed and ready.
+    pub fn new(retention: Span) -> Self {
         let mut world = Self {
             now: Time(1),
-            kept,
+            retention,
             cores: Vec::new(),
             runs: vec![0; INSTANCES],
             table: BTreeMap::new(),
@@ -204,56 +209,59 @@
             barred: BTreeSet::new(),
             messages: Vec::new(),
             calls: BTreeMap::new(),
-            serial: 0,
+            last_id: 0,
             requests: BTreeMap::new(),
             cancels: BTreeSet::new(),
-            unanswerable: BTreeSet::new(),
+            lost_request_jobs: BTreeSet::new(),
             keys: BTreeMap::new(),
             starts: BTreeMap::new(),
             answers: Vec::new(),
-            lies: Vec::new(),
-            doubled: 0,
-            drained: 0,
-            cut_off: Vec::new(),
-            repeats: Vec::new(),
+            false_refusals: Vec::new(),
+            duplicate_answers: 0,
+            drains: 0,
+            open_at_drain: Vec::new(),
+            unsafe_retries: Vec::new(),
         };
         for instance in 0..INSTANCES {
-            world.cores.push(core(instance, 0, kept));
-            world.list(instance);
+            world.cores.push(new_core(instance, 0, retention));
+            world.send_list(instance);
         }
-        world.settle();
+        world.deliver_all();
         world.configure();
-        world.settle();
-        assert!(world.cores.iter().all(Core::is_ready), "all are ready");
+        world.deliver_all();
+        assert!(
+            world.cores.iter().all(Core::is_ready),
+            "not all cores are ready"
+        );
         world
     }
 
-    /// Lets one thing happen.
-    pub fn take(&mut self, step: Step) {
+    /// Applies one event.
+    pub fn apply(&mut self, step: Step) {
         match step {
             Step::Submit { job, instance } => self.submit(job, usize::from(instance) % INSTANCES),
             Step::Deliver(i) => {
-                if let Some(message) = self.pick(i) {
+                if let Some(message) = self.take_message(i) {
                     self.deliver(message);
                 }
             }
-            Step::Double(i) => {
-                if let Some(message) = self.pick(i) {
-                    self.messages.extend(self.copy(&message));
+            Step::Duplicate(i) => {
+                if let Some(message) = self.take_message(i) {
+                    self.messages.extend(self.duplicate(&message));
                     self.deliver(message);
                 }
             }
-            Step::Break(i) => {
-                if let Some(message) = self.pick(i) {
+            Step::Disconnect(i) => {
+                if let Some(message) = self.take_message(i) {
                     self.lose(message, true);
                 }
             }
-            Step::Swallow(i) => {
-                if let Some(message) = self.pick(i) {
+            Step::LoseSilently(i) => {
+                if let Some(message) = self.take_message(i) {
                     self.lose(message, false);
                 }
             }
-            Step::Pass(steps) => self.pass(Span::millis(40 * u64::from(steps))),
+            Step::Advance(steps) => self.advance(Span::millis(40 * u64::from(steps))),
             Step::Restart(i) => {
                 let worker = &mut self.workers[usize::from(i) % WORKERS];
                 *worker = Endpoint {
@@ -266,67 +274,73 @@
         }
     }
 
-    /// Returns what may be heard once more: the table and peers take a request once, and a start that is heard
-    /// again is heard on its connection, which ends with the run of its endpoint.
-    fn copy(&self, message: &Message) -> Option<Message> {
+    /// Returns the copy of a message that may arrive twice. The table and peers receive a request once. The copy of a start
+    /// arrives on the same connection, which ends with the endpoint's run.
+    fn duplicate(&self, message: &Message) -> Option<Message> {
         match message {
-            Message::Operate(..) | Message::Call(..) => None,
+            Message::Command(..) | Message::Call(..) => None,
             Message::Start(run, worker, start) => {
-                let heard = self.workers[*worker].run;
-                Some(Message::Again(*run, *worker, heard, start.clone()))
+                let endpoint_run = self.workers[*worker].run;
+                Some(Message::DuplicateStart(
+                    *run,
+                    *worker,
+                    endpoint_run,
+                    start.clone(),
+                ))
             }
             other => Some(other.clone()),
         }
     }
 
-    /// Tells every instance to end.
+    /// Has every instance drain.
     pub fn drain(&mut self) {
         for instance in 0..INSTANCES {
             self.step(self.run(instance), Input::Drain);
         }
     }
 
-    /// Lets every deadline pass and everything that is on its way arrive.
+    /// Advances past every deadline and delivers all messages.
     pub fn finish(&mut self) {
         for _ in 0..40 {
-            self.settle();
-            self.pass(Span::millis(400));
+            self.deliver_all();
+            self.advance(Span::millis(400));
         }
-        self.settle();
+        self.deliver_all();
     }
 
-    /// Returns the tasks that started more than once though they must not.
-    pub fn twice(&self) -> Vec<&String> {
-        let prefix = format!("{IDEMPOTENT}/");
+    /// Returns the tasks that started more than once and aren't idempotent.
+    pub fn tasks_started_twice(&self) -> Vec<&String> {
+        let prefix = format!("{IDEMPOTENT_JOB}/");
         let starts = self.starts.iter().filter(|(_, starts)| **starts > 1);
         let tasks = starts.map(|(task, _)| task);
         tasks.filter(|task| !task.starts_with(&prefix)).collect()
     }
 
-    /// Returns the requests at living instances that have no answer.
-    pub fn unanswered(&self) -> Vec<u64> {
-        let lives = |run: &Run| self.runs[run.instance] == run.number;
-        let open = self.requests.iter().filter(|(_, (run, _))| lives(run));
+    /// Returns the requests without an answer whose instance hasn't crashed.
+    pub fn unanswered_requests(&self) -> Vec<u64> {
+        let is_current = |run: &Run| self.runs[run.instance] == run.number;
+        let open = self.requests.iter().filter(|(_, (run, _))| is_current(run));
         open.map(|(request, _)| *request).collect()
     }
 
-    /// Returns the jobs that ran although every answer to them was "not run" and none is missing.
-    pub fn untold(&self) -> Vec<u8> {
-        let ran = |job: &u8| {
+    /// Returns the jobs that ran although all their requests were answered, each with "not run".
+    pub fn jobs_run_unreported(&self) -> Vec<u8> {
+        let has_run = |job: &u8| {
             let prefix = format!("{job}/");
             self.starts.keys().any(|task| task.starts_with(&prefix))
         };
-        let told = |job: u8| self.answers.iter().filter(move |(of, _)| *of == job);
+        let answers_to = |job: u8| self.answers.iter().filter(move |(of, _)| *of == job);
         (0..JOBS)
-            .filter(|job| *job != IDEMPOTENT)
+            .filter(|job| *job != IDEMPOTENT_JOB)
             .filter(|job| !self.requests.values().any(|(_, of)| of == job))
-            .filter(|job| !self.unanswerable.contains(job))
-            .filter(|job| told(*job).next().is_some())
-            .filter(|job| told(*job).all(|(_, answer)| answer.outcome == Outcome::NotRun))
-            .filter(ran)
+            .filter(|job| !self.lost_request_jobs.contains(job))
+            .filter(|job| answers_to(*job).next().is_some())
+            .filter(|job| answers_to(*job).all(|(_, answer)| answer.outcome == Outcome::NotRun))
+            .filter(has_run)
             .collect()
     }
 
+    /// Returns the current run of an instance.
     fn run(&self, instance: usize) -> Run {
         Run {
             instance,
@@ -334,7 +348,8 @@
         }
     }
 
-    fn pick(&mut self, i: u8) -> Option<Message> {
+    /// Removes a message in flight, by its index modulo their number.
+    fn take_message(&mut self, i: u8) -> Option<Message> {
         if self.messages.is_empty() {
             return None;
         }
@@ -342,36 +357,43 @@
         Some(self.messages.remove(i))
     }
 
-    fn settle(&mut self) {
+    /// Delivers messages, the oldest first, until none is left.
+    ///
+    /// # Panics
+    ///
+    /// Panics when 20,000 deliveries don't suffice, since the cores then send without end.
+    fn deliver_all(&mut self) {
         for _ in 0..20_000 {
-            match self.pick(0) {
+            match self.take_message(0) {
                 Some(message) => self.deliver(message),
                 None => return,
             }
         }
-        panic!("the messages never end");
+        panic!("messages are left after 20,000 deliveries");
     }
 
-    fn pass(&mut self, span: Span) {
+    /// Advances the clock and gives every instance a tick.
+    fn advance(&mut self, span: Span) {
         self.now = self.now + span;
         for instance in 0..INSTANCES {
             self.step(self.run(instance), Input::Tick);
         }
     }
 
-    fn list(&mut self, instance: usize) {
+    /// Gives an instance the platform's list of instances and endpoints.
+    fn send_list(&mut self, instance: usize) {
         let members = (0..INSTANCES).map(|i| Member {
-            name: name(&format!("entry-{i}")),
-            centre: name("a"),
+            name: parse_name(&format!("entry-{i}")),
+            centre: parse_name("a"),
             address: format!("10.0.0.{i}:1"),
             state: State::Live,
         });
         let workers = (0..WORKERS).map(|i| Worker {
-            name: name(&format!("worker-{i}")),
-            centre: name("a"),
+            name: parse_name(&format!("worker-{i}")),
+            centre: parse_name("a"),
             rack: "r".to_owned(),
             address: format!("10.0.1.{i}:1"),
-            pool: name("workers"),
+            pool: parse_name("workers"),
             slots: 4,
             connections: 64,
             has: Need {
@@ -389,7 +411,7 @@
         self.step(self.run(instance), Input::Tick);
     }
 
-    /// Puts the records in force through the first instance, as an operator would.
+    /// Submits a pool and a service through the first instance, as an operator does.
     fn configure(&mut self) {
         let texts = [
             r#"{"schema":1,"kind":"pool","name":"workers"}"#,
@@ -397,7 +419,7 @@
         ];
         for (i, text) in texts.into_iter().enumerate() {
             let edit = Edit {
-                operator: name("ada"),
+                operator: parse_name("ada"),
                 from: "test".to_owned(),
                 at_ms: 1,
                 operation: Operation(i as u128 + 1),
@@ -413,18 +435,18 @@
             };
             self.step(self.run(0), input);
             for _ in 0..4 {
-                self.settle();
-                self.pass(Span::millis(2_000));
+                self.deliver_all();
+                self.advance(Span::millis(2_000));
             }
         }
     }
 
     fn submit(&mut self, job: u8, instance: usize) {
-        self.serial += 1;
-        let request = self.serial;
+        self.last_id += 1;
+        let request = self.last_id;
         let range = self.cores[0].range();
         let key = self.keys.entry(job).or_insert_with(|| match job {
-            job if RANGED.contains(&job) => format!("{range}.{job}"),
+            job if RANGE_KEY_JOBS.contains(&job) => format!("{range}.{job}"),
             _ => format!("job-{job}"),
         });
         let task = |task: usize| Task {
@@ -436,13 +458,13 @@
         };
         let class = match job {
             1 => Class::NonIdempotent,
-            IDEMPOTENT => Class::Idempotent,
+            IDEMPOTENT_JOB => Class::Idempotent,
             _ => Class::Once,
         };
         let submission = Submission {
-            team: name("risk"),
-            service: name("notebook"),
-            key: Some(name(key)),
+            team: parse_name("risk"),
+            service: parse_name("notebook"),
+            key: Some(parse_name(key)),
             class: Some(class),
             deadline: Some(DEADLINE),
             tasks: (0..TASKS).map(task).collect(),
@@ -459,46 +481,51 @@
     }
 
     fn cancel(&mut self, job: u8, instance: usize) {
-        self.serial += 1;
-        self.cancels.insert(self.serial);
+        self.last_id += 1;
+        self.cancels.insert(self.last_id);
         let input = Input::Cancel {
-            request: Request(self.serial),
-            team: name("risk"),
-            key: name(self.keys.get(&job).map_or("none", String::as_str)),
+            request: Request(self.last_id),
+            team: parse_name("risk"),
+            key: parse_name(self.keys.get(&job).map_or("none", String::as_str)),
         };
         self.step(self.run(instance), input);
     }
 
+    /// Restarts an instance as its next run. Its starts and lookups in flight may still arrive, its commits are applied late,
+    /// and its other messages are lost.
     fn crash(&mut self, instance: usize) {
-        let old = self.run(instance);
+        let crashed = self.run(instance);
         self.runs[instance] += 1;
-        self.cores[instance] = core(instance, self.runs[instance], self.kept);
-        let lost = self.requests.extract_if(.., |_, (run, _)| *run == old);
-        self.unanswerable.extend(lost.map(|(_, (_, job))| job));
-        // Peers that wait for a call to it learn that the connection broke.
-        let calls: Vec<_> = self.messages.extract_if(.., |m| sent_by(m, old)).collect();
-        for message in calls {
+        self.cores[instance] = new_core(instance, self.runs[instance], self.retention);
+        let lost = self.requests.extract_if(.., |_, (run, _)| *run == crashed);
+        self.lost_request_jobs.extend(lost.map(|(_, (_, job))| job));
+        let sent: Vec<_> = self
+            .messages
+            .extract_if(.., |m| is_sent_by(m, crashed))
+            .collect();
+        for message in sent {
             match message {
-                // What has left may still arrive.
+                // These are on the network and may still arrive.
                 Message::Start(..) | Message::Look(..) => self.messages.push(message),
-                Message::Operate(_, _, Command::Commit(group) | Command::CommitLater(group)) => {
-                    self.messages.push(Message::Late(group));
+                Message::Command(_, _, Command::Commit(group) | Command::CommitLater(group)) => {
+                    self.messages.push(Message::LateCommit(group));
                 }
                 _ => {}
             }
         }
-        self.list(instance);
+        self.send_list(instance);
     }
 
-    fn lose(&mut self, message: Message, told: bool) {
+    /// Drops a message or its reply. The sender learns of it at once if `is_reported`; a table command always times out.
+    fn lose(&mut self, message: Message, is_reported: bool) {
         let input = match message {
             Message::Start(run, _, start) => (run, Input::Ended(start.attempt, End::Broken)),
             Message::Look(run, _, attempt, _) => (run, Input::Looked(attempt, None)),
-            Message::Operate(run, ticket, operate) => {
-                if let Command::Commit(group) | Command::CommitLater(group) = operate {
-                    self.messages.push(Message::Late(group));
+            Message::Command(run, ticket, command) => {
+                if let Command::Commit(group) | Command::CommitLater(group) = command {
+                    self.messages.push(Message::LateCommit(group));
                 }
-                // The time limit tells the instance, also where nothing else does.
+                // The command times out at the instance in any case.
                 self.messages.push(Message::Input(
                     run,
                     Input::Completed(ticket, Completion::Unknown),
@@ -520,44 +547,46 @@
             Message::Input(run, Input::Returned(id, _)) => (run, Input::Returned(id, Return::Lost)),
             other => return self.messages.push(other),
         };
-        if told {
+        if is_reported {
             self.messages.push(Message::Input(input.0, input.1));
         }
     }
 
+    /// Delivers a message to its recipient.
     fn deliver(&mut self, message: Message) {
         match message {
-            Message::Start(run, worker, start) => self.start(run, worker, &start),
-            Message::Again(run, worker, heard, start) => {
-                if self.workers[worker].run == heard {
-                    self.start(run, worker, &start);
+            Message::Start(run, worker, start) => self.on_start(run, worker, &start),
+            Message::DuplicateStart(run, worker, endpoint_run, start) => {
+                if self.workers[worker].run == endpoint_run {
+                    self.on_start(run, worker, &start);
                 }
             }
             Message::Look(run, worker, attempt, stop) => {
-                let status = self.look(worker, attempt, stop);
+                let status = self.on_look(worker, attempt, stop);
                 let input = Input::Looked(attempt, Some(status));
                 self.messages.push(Message::Input(run, input));
             }
-            Message::Operate(run, ticket, operate) => {
-                let result = self.operate(operate);
+            Message::Command(run, ticket, command) => {
+                let result = self.on_command(command);
                 let input = Input::Completed(ticket, result);
                 self.messages.push(Message::Input(run, input));
             }
-            Message::Late(group) => {
+            Message::LateCommit(group) => {
                 self.commit(&group);
             }
             Message::Call(run, to, id, call) => {
-                self.serial += 1;
-                self.calls.insert(self.serial, (run, id));
+                self.last_id += 1;
+                self.calls.insert(self.last_id, (run, id));
                 let to = (0..INSTANCES).find(|i| format!("entry-{i}") == to.as_str());
-                let input = Input::Called(IncomingCall(self.serial), call);
-                self.step(self.run(to.expect("a known peer")), input);
+                let input = Input::Called(IncomingCall(self.last_id), call);
+                self.step(self.run(to.expect("the peer exists")), input);
             }
             Message::Input(run, input) => self.step(run, input),
         }
     }
 
-    fn start(&mut self, run: Run, worker: usize, start: &Start) {
+    /// Runs a start at an endpoint and sends the reply, unless the attempt is barred there.
+    fn on_start(&mut self, run: Run, worker: usize, start: &Start) {
         let attempt = start.attempt;
         let endpoint = &mut self.workers[worker];
         let load = Load {
@@ -572,8 +601,8 @@
             }
         } else {
             let reply = match start.payload.get() {
-                FAILING => Reply::Failed {
-                    error: "as it is told to".to_owned(),
+                FAILING_PAYLOAD => Reply::Failed {
+                    error: "this task always fails".to_owned(),
                     load,
                 },
                 _ => Reply::Done {
@@ -584,7 +613,7 @@
             let ended = Status::Ended {
                 reply: reply.clone(),
             };
-            if endpoint.started.insert(attempt, ended).is_none() {
+            if endpoint.ended.insert(attempt, ended).is_none() {
                 let task = start.payload.get().trim_matches('"').to_owned();
                 *self.starts.entry(task).or_default() += 1;
             }
@@ -594,12 +623,13 @@
         self.messages.push(Message::Input(run, input));
     }
 
-    fn look(&mut self, worker: usize, attempt: Attempt, stop: bool) -> Status {
+    /// Returns what an endpoint knows of an attempt; `stop` has it bar one that it has not seen.
+    fn on_look(&mut self, worker: usize, attempt: Attempt, stop: bool) -> Status {
         let endpoint = &mut self.workers[worker];
         let barred = Status::Barred {
             incarnation: Some(Incarnation(endpoint.run)),
         };
-        match endpoint.started.get(&attempt) {
+        match endpoint.ended.get(&attempt) {
             Some(status) => status.clone(),
             None if stop => {
                 endpoint.barred.insert(attempt);
@@ -611,8 +641,8 @@
         }
     }
 
-    fn operate(&mut self, operate: Command) -> Completion {
-        match operate {
+    fn on_command(&mut self, command: Command) -> Completion {
+        match command {
             Command::Commit(group) | Command::CommitLater(group) => {
                 Completion::Verdict(self.commit(&group))
             }
@@ -634,6 +664,7 @@
         }
     }
 
+    /// Applies a group of writes if all its conditions hold, and returns the verdict.
     fn commit(&mut self, group: &Group) -> Verdict {
         let version = |key: &String| self.table.get(key).map_or(0, |row| row.version);
         let failed = |c: &&poplarknot::table::wire::Condition| version(&c.key) != c.version;
@@ -667,31 +698,33 @@
         }
     }
 
+    /// Gives an input to an instance and handles its outputs, unless that run has ended.
     fn step(&mut self, run: Run, input: Input) {
         if self.runs[run.instance] != run.number {
             return;
         }
         for output in self.cores[run.instance].step(self.now, input) {
-            self.heed(run, output);
+            self.on_output(run, output);
         }
     }
 
-    fn heed(&mut self, run: Run, output: Output) {
+    /// Sends or records an output of an instance.
+    fn on_output(&mut self, run: Run, output: Output) {
         let worker = |endpoint: &poplarknot::id::Endpoint| {
             let name = endpoint.as_str().trim_start_matches("worker-");
-            name.parse::<usize>().expect("a known endpoint")
+            name.parse::<usize>().expect("the endpoint exists")
         };
         match output {
-            Output::Answer(request, answer) => self.answer(request.0, answer),
+            Output::Answer(request, answer) => self.on_answer(request.0, answer),
             Output::Drained => {
-                self.drained += 1;
+                self.drains += 1;
                 let open = self.requests.iter().filter(|(_, (at, _))| *at == run);
-                self.cut_off.extend(open.map(|(request, _)| *request));
+                self.open_at_drain.extend(open.map(|(request, _)| *request));
             }
             Output::Start {
                 endpoint, start, ..
             } => {
-                self.check_repeat(&start);
+                self.check_retry(&start);
                 let message = Message::Start(run, worker(&endpoint), start);
                 self.messages.push(message);
             }
@@ -703,8 +736,8 @@
             } => self
                 .messages
                 .push(Message::Look(run, worker(&endpoint), attempt, stop)),
-            Output::Command(ticket, operate) => {
-                self.messages.push(Message::Operate(run, ticket, operate));
+            Output::Command(ticket, command) => {
+                self.messages.push(Message::Command(run, ticket, command));
             }
             Output::Call { to, id, call, .. } => {
                 self.messages.push(Message::Call(run, to, id, call));
@@ -719,61 +752,68 @@
         }
     }
 
-    fn answer(&mut self, request: u64, answer: Answer) {
+    /// Records an answer, and whether it is a duplicate or falsely says "not run".
+    fn on_answer(&mut self, request: u64, answer: Answer) {
         let Some((_, job)) = self.requests.remove(&request) else {
-            self.doubled += u32::from(!self.cancels.remove(&request));
+            self.duplicate_answers += u32::from(!self.cancels.remove(&request));
             return;
         };
         let prefix = format!("{job}/");
         let started = self.starts.keys().any(|task| task.starts_with(&prefix));
-        // Of an idempotent job it says only that this request ran nothing, and it doesn't cover another request
-        // that is on its way to the table at the same time.
-        let alone = !self.requests.values().any(|(_, of)| *of == job);
-        let alone = alone && !self.unanswerable.contains(&job) && job != IDEMPOTENT;
-        if answer.outcome == Outcome::NotRun && started && alone {
-            self.lies.push(job);
+        // The answer doesn't cover other open requests for the same job. For an idempotent job it only says that this
+        // request ran nothing.
+        let covers_job = !self.requests.values().any(|(_, of)| *of == job);
+        let covers_job =
+            covers_job && !self.lost_request_jobs.contains(&job) && job != IDEMPOTENT_JOB;
+        if answer.outcome == Outcome::NotRun && started && covers_job {
+            self.false_refusals.push(job);
         }
         self.answers.push((job, answer));
     }
 
-    /// Notes a start of a task whose earlier attempt was neither barred nor told as not started.
-    fn check_repeat(&mut self, start: &Start) {
+    /// Records a start as an unsafe retry if an earlier attempt at its task was not barred.
+    fn check_retry(&mut self, start: &Start) {
         let attempt = start.attempt;
-        if start.payload.get().starts_with(&format!("\"{IDEMPOTENT}/")) {
+        if start
+            .payload
+            .get()
+            .starts_with(&format!("\"{IDEMPOTENT_JOB}/"))
+        {
             return;
         }
         let earlier = (0..attempt.number).map(|number| Attempt { number, ..attempt });
         for earlier in earlier {
             if !self.barred.contains(&earlier) {
-                self.repeats.push(attempt);
+                self.unsafe_retries.push(attempt);
             }
         }
     }
 }
 
-fn sent_by(message: &Message, run: Run) -> bool {
+/// Returns whether a message is from this run of an instance, or a reply to it.
+fn is_sent_by(message: &Message, run: Run) -> bool {
     match message {
         Message::Start(from, ..)
-        | Message::Again(from, ..)
+        | Message::DuplicateStart(from, ..)
         | Message::Look(from, ..)
-        | Message::Operate(from, ..)
+        | Message::Command(from, ..)
         | Message::Call(from, ..)
         | Message::Input(from, _) => *from == run,
-        Message::Late(_) => false,
+        Message::LateCommit(_) => false,
     }
 }
 
-fn core(instance: usize, number: u64, kept: Span) -> Core {
+fn new_core(instance: usize, run: u64, retention: Span) -> Core {
     let timing = Timing {
-        kept,
+        kept: retention,
         ..Timing::default()
     };
     let identity = Identity {
-        name: name(&format!("entry-{instance}")),
-        centre: name("a"),
-        incarnation: Incarnation(u128::from(number) << 64 | instance as u128),
+        name: parse_name(&format!("entry-{instance}")),
+        centre: parse_name("a"),
+        incarnation: Incarnation(u128::from(run) << 64 | instance as u128),
         reach: Vec::new(),
     };
-    let seed = number * 100 + instance as u64;
+    let seed = run * 100 + instance as u64;
     Core::new(identity, Limits::default(), timing, seed)
 }
