--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,8 +1,8 @@
-//! What many instances tell each other: that they live, which endpoints and which configuration there are; what that costs each of
-//! them, and how soon it is known.
+//! Traffic between many instances: heartbeats, the roster of endpoints and the configuration. The tests bound what each
+//! instance sends and receives, and how long a change takes to reach all.
 
-#[path = "fleet/documents.rs"]
-mod documents;
+#[path = "fleet/configuration.rs"]
+mod configuration;
 #[path = "fleet/readers.rs"]
 mod readers;
 #[path = "fleet/watch.rs"]
--- a/tests/fleet/configuration.rs
+++ b/tests/fleet/configuration.rs
@@ -1,4 +1,4 @@
-//! How a large configuration reaches instances that the store turns away: what crosses the links, and how soon it is in force.
+//! Transfer of a large configuration from peers to instances that the store refuses.
 
 use poplarknot::{
     dispatch::{
@@ -17,14 +17,17 @@
     TICK, //
 };
 
-/// Routes of a large configuration.
-const ROUTES: usize = 1_500;
+/// Routes in the configuration.
+const ROUTE_COUNT: usize = 1_500;
 
-/// The most that one message may take: 20 ms of a link of 25 Mbit/s.
-const LARGEST: usize = 64 << 10;
+/// The largest message, in bytes: it occupies a link of 25 Mbit/s for about 20 ms.
+const MAX_MESSAGE_BYTES: usize = 64 << 10;
 
+/// Returns the version of an instance's configuration, 0 if it has none.
 fn version(fleet: &Fleet, i: usize) -> u64 {
-    fleet.hosts[i].configuration().map_or(0, |c| c.version)
+    fleet.dispatchers[i]
+        .configuration()
+        .map_or(0, |c| c.version)
 }
 
 fn configuration(version: u64) -> Configuration {
@@ -38,7 +41,7 @@
     };
     Configuration {
         version,
-        routes: (0..ROUTES).map(route).collect(),
+        routes: (0..ROUTE_COUNT).map(route).collect(),
         services: vec![Service {
             name: "cells".to_owned(),
             ..Service::default()
@@ -47,35 +50,38 @@
     }
 }
 
-fn size(configuration: &Configuration) -> usize {
+fn encoded_size(configuration: &Configuration) -> usize {
     postcard::to_stdvec(configuration).unwrap().len()
 }
 
-/// The configuration has grown by 1,500 routes, and the store turns four of 34 instances away. All 30 others found in the
-/// same moment that these four had an older one, and each sent it whole to each of them: 30 times its size on a link
-/// of 25 Mbit/s, on which nothing else came through, and what had not crossed after 250 ms was begun anew.
+/// When many peers find at once that an instance has an old configuration, they must not all send it the new one: that
+/// fills a slow link with copies. An instance receives less than one and a half copies, in bounded messages.
 #[test]
-fn a_large_configuration_crosses_once() {
+fn a_large_configuration_is_received_once() {
     let mut fleet = Fleet::new(34, 1);
-    let size = size(&configuration(7));
+    let size = encoded_size(&configuration(7));
     for i in 4..34 {
         fleet.feed(i, Input::Configured(Box::new(configuration(7))));
     }
-    fleet.clear();
+    fleet.reset_traffic();
     fleet.run(Span::seconds(2));
     for i in 0..4 {
-        assert_eq!(version(&fleet, i), 7, "instance {i} has it not in force");
+        assert_eq!(version(&fleet, i), 7, "instance {i} has another version");
         assert!(
             fleet.traffic[i].bytes < size * 3 / 2,
-            "instance {i} was sent {} bytes for {size}",
+            "instance {i} received {} bytes for a configuration of {size} bytes",
             fleet.traffic[i].bytes
         );
     }
-    assert!(fleet.largest <= LARGEST, "a message of {}", fleet.largest);
+    assert!(
+        fleet.largest_message <= MAX_MESSAGE_BYTES,
+        "a message of {} bytes",
+        fleet.largest_message
+    );
 }
 
-/// The peers that an instance asks first are silent: their heartbeats come, but nothing else. It goes on to others, and a
-/// newer configuration that replaces the one it is reading is read from its beginning; an older one never comes back.
+/// An instance that asks silent peers, whose heartbeats alone arrive, must go on to others. A newer configuration that
+/// replaces the one it is reading is read from the start, and its version never falls.
 #[test]
 fn silent_peers_are_passed_over() {
     let mut fleet = Fleet::new(12, 1);
@@ -90,7 +96,7 @@
     let mut last = 0;
     for _ in 0..400 {
         fleet.run(TICK);
-        assert!(version(&fleet, 0) >= last, "its configuration reverts");
+        assert!(version(&fleet, 0) >= last, "the version falls");
         last = version(&fleet, 0);
     }
     assert_eq!(last, 9);
--- a/tests/fleet/readers.rs
+++ b/tests/fleet/readers.rs
@@ -1,4 +1,4 @@
-//! Who reads the list of endpoints, and how what has changed reaches the others.
+//! Choice of the instances that read the roster of endpoints from the store, and distribution of its changes to the others.
 
 use poplarknot::{
     dispatch::{
@@ -15,24 +15,25 @@
 use super::world::Fleet;
 
 /// Data centres of the fleet.
-const CENTRES: usize = 3;
+const CENTRE_COUNT: usize = 3;
 
 /// Instances of the fleet.
-const COUNT: usize = 36;
+const INSTANCE_COUNT: usize = 36;
 
-/// Between reads of an instance that reads.
-const READS: Span = Span::millis(500);
+/// The interval between reads of the roster by an instance that reads it.
+const READ_INTERVAL: Span = Span::millis(500);
 
-/// Endpoints on the list.
-const ENDPOINTS: usize = 280;
+/// Endpoints on the roster.
+const ENDPOINT_COUNT: usize = 280;
 
+/// Creates a roster on which the first `leaving` endpoints are draining.
 fn roster(version: u64, leaving: usize) -> Roster {
     let listing = |i: usize| Listing {
         id: format!("w-{i}").parse().unwrap(),
         life: Life::default(),
         service: "cells".to_owned(),
         address: format!("10.9.0.{i}:80"),
-        centre: format!("centre-{}", i % CENTRES),
+        centre: format!("centre-{}", i % CENTRE_COUNT),
         rack: format!("r{}", i / 8),
         labels: Vec::new(),
         capacity: Default::default(),
@@ -40,43 +41,46 @@
     };
     Roster {
         version,
-        endpoints: (0..ENDPOINTS).map(listing).collect(),
+        endpoints: (0..ENDPOINT_COUNT).map(listing).collect(),
     }
 }
 
-/// Lets time pass in which each instance that is to read does, unless the store turns it away.
-fn read(fleet: &mut Fleet, roster: &Roster, span: Span, away: &[usize]) {
+/// Advances time while the readers read the roster. The store refuses the instances in `refused`.
+fn run_reads(fleet: &mut Fleet, roster: &Roster, span: Span, refused: &[usize]) {
     let end = fleet.now + span;
     while fleet.now < end {
         for i in readers(fleet) {
-            let reached = !away.contains(&i);
-            fleet.feed(i, Input::RosterRead(reached));
-            if reached && fleet.hosts[i].roster() != roster {
+            let is_read = !refused.contains(&i);
+            fleet.feed(i, Input::RosterRead(is_read));
+            if is_read && fleet.dispatchers[i].roster() != roster {
                 fleet.feed(i, Input::RosterListed(roster.clone()));
             }
         }
-        fleet.run(READS);
+        fleet.run(READ_INTERVAL);
     }
 }
 
+/// Returns the living instances that are to read the roster.
 fn readers(fleet: &Fleet) -> Vec<usize> {
-    let alive = (0..COUNT).filter(|i| !fleet.dead.contains(i));
-    alive.filter(|i| fleet.hosts[*i].reads_roster()).collect()
+    let alive = (0..INSTANCE_COUNT).filter(|i| !fleet.dead.contains(i));
+    alive
+        .filter(|i| fleet.dispatchers[*i].reads_roster())
+        .collect()
 }
 
-fn start() -> Fleet {
-    let mut fleet = Fleet::new(COUNT, CENTRES);
-    read(&mut fleet, &roster(1, 0), Span::seconds(3), &[]);
+/// Starts a fleet in which all instances have the roster of version 1.
+fn start_fleet() -> Fleet {
+    let mut fleet = Fleet::new(INSTANCE_COUNT, CENTRE_COUNT);
+    run_reads(&mut fleet, &roster(1, 0), Span::seconds(3), &[]);
     fleet
 }
 
-/// Each instance read the rows of all endpoints twice a second, which filled the links of the weak ones, and callers' jobs waited
-/// behind it. Two in each data centre do.
+/// Two instances of each data centre read the roster. If all did, reads would fill slow links and delay callers' jobs.
 #[test]
-fn two_of_a_data_centre_read() {
-    let fleet = start();
-    assert_eq!(readers(&fleet).len(), 2 * CENTRES);
-    for centre in 0..CENTRES {
+fn two_instances_of_a_data_centre_read() {
+    let fleet = start_fleet();
+    assert_eq!(readers(&fleet).len(), 2 * CENTRE_COUNT);
+    for centre in 0..CENTRE_COUNT {
         let of_centre: Vec<usize> = fleet.of_centre(centre).collect();
         let reading = readers(&fleet);
         let reading = reading.iter().filter(|i| of_centre.contains(i)).count();
@@ -84,52 +88,59 @@
     }
 }
 
-/// Endpoints say that they leave. All instances know half a second later, and what crosses the links is what has changed: the whole
-/// list to each of them would take a slow link for a tenth of a second each time.
+/// All instances learn within one read interval that endpoints are draining. They receive the changes alone: the whole
+/// roster would occupy a slow link each time.
 #[test]
-fn what_has_changed_reaches_all() {
-    let mut fleet = start();
-    fleet.clear();
+fn roster_changes_reach_all_instances() {
+    let mut fleet = start_fleet();
+    fleet.reset_traffic();
     let leaving = roster(2, 20);
-    read(&mut fleet, &leaving, READS, &[]);
-    for i in 0..COUNT {
-        let told = fleet.hosts[i].roster();
-        let count = told.endpoints.iter().filter(|l| l.draining).count();
+    run_reads(&mut fleet, &leaving, READ_INTERVAL, &[]);
+    for i in 0..INSTANCE_COUNT {
+        let received = fleet.dispatchers[i].roster();
+        let count = received.endpoints.iter().filter(|l| l.draining).count();
         assert_eq!(count, 20, "instance {i}");
     }
     let size = postcard::to_stdvec(&leaving).unwrap().len();
     for traffic in &fleet.traffic {
-        assert!(traffic.bytes < size / 2, "{} of {size}", traffic.bytes);
-        assert!(traffic.changes <= 2, "told {} times", traffic.changes);
+        assert!(
+            traffic.bytes < size / 2,
+            "{} bytes received of {size}",
+            traffic.bytes
+        );
+        assert!(traffic.changes <= 2, "{} changes received", traffic.changes);
     }
 }
 
-/// All instances that read are turned away by the store, or die. Others read instead, so that an endpoint that says a moment
-/// after that it leaves gets nothing new two seconds later.
+/// When all readers die or the store refuses them, others must take over within two seconds. Otherwise draining endpoints
+/// would go on getting new tasks.
 #[test]
 fn others_read_when_a_reader_fails() {
-    for dies in [false, true] {
-        let mut fleet = start();
+    for is_dead in [false, true] {
+        let mut fleet = start_fleet();
         let former = readers(&fleet);
-        if dies {
+        if is_dead {
             fleet.dead.extend(&former);
         }
-        read(&mut fleet, &roster(2, 20), Span::millis(2_000), &former);
-        for i in (0..COUNT).filter(|i| !former.contains(i)) {
-            let told = fleet.hosts[i].roster();
-            let count = told.endpoints.iter().filter(|l| l.draining).count();
-            assert_eq!(count, 20, "instance {i}, dead {dies}");
+        run_reads(&mut fleet, &roster(2, 20), Span::millis(2_000), &former);
+        for i in (0..INSTANCE_COUNT).filter(|i| !former.contains(i)) {
+            let received = fleet.dispatchers[i].roster();
+            let count = received.endpoints.iter().filter(|l| l.draining).count();
+            assert_eq!(count, 20, "instance {i}, dead {is_dead}");
         }
         let reading = readers(&fleet);
-        let left = reading.iter().filter(|i| !former.contains(i)).count();
-        assert!(left <= 3 * CENTRES, "{left} read, dead {dies}");
+        let new_readers = reading.iter().filter(|i| !former.contains(i)).count();
+        assert!(
+            new_readers <= 3 * CENTRE_COUNT,
+            "{new_readers} new readers, dead {is_dead}"
+        );
     }
 }
 
-/// A change that comes after another one which got lost says too little, and one that is older than what is known says what holds
-/// no more. Neither counts.
+/// A change applies only to a roster that is at least as new as its base and not newer than its result: otherwise a lost
+/// change leaves a gap, or an old change reverts the roster.
 #[test]
-fn changes_count_in_their_order() {
+fn changes_apply_in_order() {
     let versions: Vec<Roster> = (1..5).map(|v| roster(v, v as usize)).collect();
     let change = |from: usize, to: usize| versions[to].changes_since(&versions[from]);
     assert_eq!(
@@ -141,7 +152,7 @@
     );
     assert_eq!(versions[0].with_change(&change(1, 2)), None);
     assert_eq!(versions[3].with_change(&change(1, 2)), None);
-    let known = versions[1].with_change(&change(0, 3)).unwrap();
-    let leaving = known.endpoints.iter().filter(|l| l.draining).count();
-    assert_eq!((known.version, leaving), (4, 4));
+    let changed = versions[1].with_change(&change(0, 3)).unwrap();
+    let leaving = changed.endpoints.iter().filter(|l| l.draining).count();
+    assert_eq!((changed.version, leaving), (4, 4));
 }
--- a/tests/fleet/watch.rs
+++ b/tests/fleet/watch.rs
@@ -1,4 +1,4 @@
-//! How closely the instances of a large fleet watch each other: what it costs each of them, and how soon a death is found.
+//! Failure detection in a large fleet: the heartbeat traffic of each instance, and the time until a failure is detected.
 
 use poplarknot::{
     dispatch::{
@@ -18,42 +18,44 @@
     Traffic, //
 };
 
-/// Data centres of a large fleet.
-const CENTRES: usize = 5;
+/// Data centres of a fleet.
+const CENTRE_COUNT: usize = 5;
 
-/// Instances of a fleet in which not everyone watches everyone closely.
-const COUNT: usize = 75;
+/// Instances of a fleet in which most members send each other infrequent heartbeats.
+const INSTANCE_COUNT: usize = 75;
 
-/// Returns the heartbeats that an instance sends in a second, and their bytes, on the mean.
-fn cost(count: usize) -> (usize, usize) {
-    let mut fleet = Fleet::new(count, CENTRES);
+/// Returns the mean number of heartbeats that an instance sends in a second, and their size in bytes.
+fn heartbeat_rate(count: usize) -> (usize, usize) {
+    let mut fleet = Fleet::new(count, CENTRE_COUNT);
     fleet.run(Span::seconds(2));
-    fleet.clear();
+    fleet.reset_traffic();
     fleet.run(Span::seconds(3));
-    assert_eq!(fleet.lost, 0, "{count} instances: some was given up");
-    let all = |of: fn(&Traffic) -> usize| fleet.traffic.iter().map(of).sum::<usize>();
-    let each = |sum: usize| sum / count / 3;
+    assert_eq!(
+        fleet.members_lost, 0,
+        "{count} instances: a living one was declared lost"
+    );
+    let total = |of: fn(&Traffic) -> usize| fleet.traffic.iter().map(of).sum::<usize>();
+    let mean = |sum: usize| sum / count / 3;
     (
-        each(all(|t| t.heartbeats)),
-        each(all(|t| t.heartbeat_bytes)),
+        mean(total(|t| t.heartbeats)),
+        mean(total(|t| t.heartbeat_bytes)),
     )
 }
 
-/// Of 147 instances each told each other one ten times a second that it lives: half of a weak machine's processor share went
-/// to that, callers' jobs waited behind it, and with every further instance there was less left. Five times as many
-/// instances may cost each of them a third more.
+/// Heartbeats from every instance to every other at the full rate would use up the processor of a weak machine in a large
+/// fleet. At five times as many instances, each may send at most a third more.
 #[test]
 fn heartbeats_do_not_grow_with_the_fleet() {
-    let (small, small_bytes) = cost(30);
-    let (large, bytes) = cost(147);
+    let (small, small_bytes) = heartbeat_rate(30);
+    let (large, large_bytes) = heartbeat_rate(147);
     assert!(large * 3 <= small * 4, "{large} at 147, {small} at 30");
     assert!(
-        bytes * 3 <= small_bytes * 4,
-        "{bytes} at 147, {small_bytes} at 30"
+        large_bytes * 3 <= small_bytes * 4,
+        "{large_bytes} bytes at 147, {small_bytes} at 30"
     );
 }
 
-/// The same in a fleet of a thousand: no more than three and a half times what thirty instances cost each.
+/// In a fleet of a thousand, each instance sends at most three and a half times as many heartbeats as in one of thirty.
 #[test]
 fn a_thousand_instances_are_watched_at_a_bounded_rate() {
     let now = Time(10_000_000);
@@ -65,24 +67,25 @@
         members.on_heartbeat(&from.contact.name, Status::default(), now, now);
     }
     members.choose_neighbours(now);
-    let close = members
+    let frequent = members
         .all()
         .filter(|m| m.has_frequent_heartbeats(now))
         .count();
-    let distant = members.all().count() - close;
-    let each = watch::heartbeat_interval(distant);
-    let rate = close as u64 * 10 + distant as u64 * 1_000_000 / each.0;
-    assert!(close >= 24, "{close} are watched closely");
+    let infrequent = members.all().count() - frequent;
+    let interval = watch::heartbeat_interval(infrequent);
+    let rate = frequent as u64 * 10 + infrequent as u64 * 1_000_000 / interval.0;
+    assert!(frequent >= 24, "{frequent} members get frequent heartbeats");
     assert!(rate <= 290 * 7 / 2, "{rate} heartbeats a second");
 }
 
+/// Returns the sender of a message from another instance.
 fn sender(i: usize, sent: Time) -> Sender {
     Sender {
         contact: Contact {
             name: format!("instance-{i}").parse().unwrap(),
             address: format!("10.0.0.1:{i}"),
         },
-        centre: format!("centre-{}", i % CENTRES),
+        centre: format!("centre-{}", i % CENTRE_COUNT),
         incarnation: 1,
         receiver_incarnation: 0,
         session: 0,
@@ -90,61 +93,76 @@
     }
 }
 
-/// An instance dies. Those of its data centre, which take its racks over, find that within 0.7 s, as in a small fleet. All others
-/// know some seconds later, and nobody gives up one that lives.
+/// Members of a failed instance's data centre take over its racks, so they must detect the failure within 0.7 s. All others
+/// detect it some seconds later, and nobody declares a living instance lost.
 #[test]
-fn a_death_is_found_where_it_matters() {
-    let mut fleet = Fleet::new(COUNT, CENTRES);
+fn a_failure_is_detected_first_in_its_data_centre() {
+    let mut fleet = Fleet::new(INSTANCE_COUNT, CENTRE_COUNT);
     fleet.run(Span::seconds(4));
     fleet.dead.insert(7);
     fleet.run(Span::millis(710));
-    let near: Vec<usize> = fleet.of_centre(7 % CENTRES).filter(|i| *i != 7).collect();
+    let near: Vec<usize> = fleet
+        .of_centre(7 % CENTRE_COUNT)
+        .filter(|i| *i != 7)
+        .collect();
     for i in &near {
-        assert_eq!(fleet.peers(*i), COUNT - 2, "instance {i} doesn't know");
+        assert_eq!(
+            fleet.peer_count(*i),
+            INSTANCE_COUNT - 2,
+            "instance {i} hasn't detected it"
+        );
     }
     fleet.run(Span::seconds(5));
-    for i in (0..COUNT).filter(|i| *i != 7) {
-        assert_eq!(fleet.peers(i), COUNT - 2, "instance {i}");
+    for i in (0..INSTANCE_COUNT).filter(|i| *i != 7) {
+        assert_eq!(fleet.peer_count(i), INSTANCE_COUNT - 2, "instance {i}");
     }
     assert_eq!(
-        fleet.lost,
-        COUNT - 1,
-        "each gave the dead one up, and nobody else"
+        fleet.members_lost,
+        INSTANCE_COUNT - 1,
+        "instances other than the failed one were declared lost"
     );
 }
 
-/// A data centre is cut off for six seconds. Each side goes on with its own: nobody is given up on either of them. Some seconds
-/// after the cut all hear each other again.
+/// While a data centre is partitioned from the others, members of the same side must not declare each other lost. All are
+/// members again within three seconds of its end.
 #[test]
-fn a_cut_parts_two_sides_and_no_more() {
-    let mut fleet = Fleet::new(COUNT, CENTRES);
+fn a_partition_loses_only_members_across_it() {
+    let mut fleet = Fleet::new(INSTANCE_COUNT, CENTRE_COUNT);
     fleet.run(Span::seconds(4));
-    fleet.cut = fleet.of_centre(2).collect();
-    let inside = fleet.cut.len();
+    fleet.partition = fleet.of_centre(2).collect();
+    let inside = fleet.partition.len();
     fleet.run(Span::seconds(6));
-    for i in 0..COUNT {
-        let side = if i % CENTRES == 2 {
+    for i in 0..INSTANCE_COUNT {
+        let side = if i % CENTRE_COUNT == 2 {
             inside
         } else {
-            COUNT - inside
+            INSTANCE_COUNT - inside
         };
-        assert_eq!(fleet.peers(i), side - 1, "instance {i} in the cut");
+        assert_eq!(
+            fleet.peer_count(i),
+            side - 1,
+            "instance {i} during the partition"
+        );
     }
-    fleet.cut.clear();
+    fleet.partition.clear();
     fleet.run(Span::seconds(3));
-    for i in 0..COUNT {
-        assert_eq!(fleet.peers(i), COUNT - 1, "instance {i} after the cut");
+    for i in 0..INSTANCE_COUNT {
+        assert_eq!(
+            fleet.peer_count(i),
+            INSTANCE_COUNT - 1,
+            "instance {i} after the partition"
+        );
     }
 }
 
-/// Heartbeats to all members left in one burst, which takes 16 ms of a slow link each time and holds up what else is on it.
-/// Those to members that aren't watched closely leave one after the other.
+/// Heartbeats to all members in one burst would hold up other traffic on a slow link. Infrequent heartbeats are spread over
+/// their interval.
 #[test]
 fn heartbeats_to_distant_members_are_spread_out() {
-    let mut fleet = Fleet::new(147, CENTRES);
+    let mut fleet = Fleet::new(147, CENTRE_COUNT);
     fleet.run(Span::seconds(4));
-    fleet.clear();
+    fleet.reset_traffic();
     fleet.run(Span::seconds(3));
-    let most = fleet.traffic.iter().map(|t| t.burst).max();
-    assert!(most <= Some(40), "{most:?} in one tick");
+    let most = fleet.traffic.iter().map(|t| t.max_burst).max();
+    assert!(most <= Some(40), "{most:?} heartbeats in one tick");
 }
--- a/tests/fleet/world.rs
+++ b/tests/fleet/world.rs
@@ -1,4 +1,4 @@
-//! Instances that exchange all that they send, without endpoints or callers: what crosses their links, and who hears whom.
+//! A simulated fleet whose instances exchange messages, without endpoints or callers. It counts the traffic of each.
 
 use std::collections::{
     BTreeSet,
@@ -22,63 +22,64 @@
     prelude::*,
 };
 
-/// Between ticks, in which all that was sent arrives.
+/// The interval between ticks. A message arrives at the tick after it was sent.
 pub(crate) const TICK: Span = Span::millis(10);
 
-/// What an instance was sent, and has sent.
+/// The traffic of an instance.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Traffic {
-    /// Messages that it was sent.
+    /// Messages to it, without heartbeats.
     pub messages: usize,
-    /// Their size in bytes.
+    /// The size of these messages, in bytes.
     pub bytes: usize,
-    /// Of these, those that tell what has changed on the list of endpoints.
+    /// Messages to it with a change of the roster.
     pub changes: usize,
-    /// Heartbeats that it has sent.
+    /// Heartbeats that it sent.
     pub heartbeats: usize,
-    /// Their size in bytes.
+    /// The size of its heartbeats, in bytes.
     pub heartbeat_bytes: usize,
-    /// The most heartbeats that it has sent in one tick.
-    pub burst: usize,
+    /// The most heartbeats that it sent in one tick.
+    pub max_burst: usize,
 }
 
-/// The instances.
+/// The simulated fleet.
 pub(crate) struct Fleet {
     pub now: Time,
-    pub hosts: Vec<Dispatcher>,
+    pub dispatchers: Vec<Dispatcher>,
     pub traffic: Vec<Traffic>,
     /// The largest message, in bytes.
-    pub largest: usize,
-    /// Instances whose messages to others get lost, while their heartbeats arrive.
+    pub largest_message: usize,
+    /// Instances whose messages are lost, apart from heartbeats.
     pub mute: Vec<usize>,
-    /// Instances that have died.
+    /// Instances that have crashed.
     pub dead: BTreeSet<usize>,
-    /// Instances that reach each other and nobody else.
-    pub cut: BTreeSet<usize>,
-    /// How often an instance has given another one up.
-    pub lost: usize,
-    names: Vec<Contact>,
-    centres: usize,
-    /// The life and session of each peer, as each instance speaks to it.
-    lines: HashMap<(usize, Instance), (u64, u32)>,
+    /// Instances that are partitioned from all others.
+    pub partition: BTreeSet<usize>,
+    /// How often an instance declared another one lost.
+    pub members_lost: usize,
+    contacts: Vec<Contact>,
+    centre_count: usize,
+    /// The incarnation and session of the peer, by sending instance and peer.
+    sessions: HashMap<(usize, Instance), (u64, u32)>,
+    /// Inputs that arrive at the next tick, with their instance.
     pending: Vec<(usize, Input)>,
-    /// What each has sent in this tick.
-    sent: Vec<usize>,
+    /// Heartbeats that each instance sent in this tick.
+    heartbeats_in_tick: Vec<usize>,
 }
 
 impl Fleet {
-    /// Lets instances start in some data centres, which take them in turn, and hear each other.
-    pub(crate) fn new(count: usize, centres: usize) -> Self {
+    /// Starts `count` instances, which are spread over the data centres in turn, and runs them for a second.
+    pub(crate) fn new(count: usize, centre_count: usize) -> Self {
         let now = Time(1_000_000);
         let contact = |i: usize| Contact {
             name: format!("instance-{i}").parse().unwrap(),
-            address: format!("10.{}.0.{i}:7720", i % centres),
+            address: format!("10.{}.0.{i}:7720", i % centre_count),
         };
-        let names: Vec<Contact> = (0..count).map(contact).collect();
-        let host = |(i, contact): (usize, &Contact)| {
+        let contacts: Vec<Contact> = (0..count).map(contact).collect();
+        let dispatcher = |(i, contact): (usize, &Contact)| {
             let identity = Identity {
                 contact: contact.clone(),
-                centre: centre(i, centres),
+                centre: centre_name(i, centre_count),
                 incarnation: 1,
                 share: 250,
                 epoch: Epoch(1),
@@ -87,21 +88,21 @@
         };
         let mut fleet = Self {
             now,
-            hosts: names.iter().enumerate().map(host).collect(),
+            dispatchers: contacts.iter().enumerate().map(dispatcher).collect(),
             traffic: vec![Traffic::default(); count],
-            largest: 0,
+            largest_message: 0,
             mute: Vec::new(),
             dead: BTreeSet::new(),
-            cut: BTreeSet::new(),
-            lost: 0,
-            names,
-            centres,
-            lines: HashMap::new(),
+            partition: BTreeSet::new(),
+            members_lost: 0,
+            contacts,
+            centre_count,
+            sessions: HashMap::new(),
             pending: Vec::new(),
-            sent: vec![0; count],
+            heartbeats_in_tick: vec![0; count],
         };
         for i in 0..count {
-            let found = Input::MembersFound(fleet.names.clone());
+            let found = Input::MembersFound(fleet.contacts.clone());
             fleet.feed(i, found);
         }
         fleet.run(Span::seconds(1));
@@ -110,24 +111,26 @@
 
     /// Returns the instances of a data centre.
     pub(crate) fn of_centre(&self, centre: usize) -> impl Iterator<Item = usize> {
-        (centre..self.hosts.len()).step_by(self.centres)
+        (centre..self.dispatchers.len()).step_by(self.centre_count)
     }
 
-    /// Forgets what was sent so far.
-    pub(crate) fn clear(&mut self) {
+    /// Resets the traffic counts.
+    pub(crate) fn reset_traffic(&mut self) {
         self.traffic.fill(Traffic::default());
     }
 
+    /// Returns the index of an instance.
     fn index(&self, name: &Instance) -> usize {
-        self.names.iter().position(|c| c.name == *name).unwrap()
+        self.contacts.iter().position(|c| c.name == *name).unwrap()
     }
 
+    /// Returns the sender of a message from instance `i` to a peer.
     fn sender(&self, i: usize, to: &Instance) -> Sender {
-        let line = self.lines.get(&(i, to.clone()));
-        let (incarnation, session) = line.copied().unwrap_or_default();
+        let session = self.sessions.get(&(i, to.clone()));
+        let (incarnation, session) = session.copied().unwrap_or_default();
         Sender {
-            contact: self.names[i].clone(),
-            centre: centre(i, self.centres),
+            contact: self.contacts[i].clone(),
+            centre: centre_name(i, self.centre_count),
             incarnation: 1,
             receiver_incarnation: incarnation,
             session,
@@ -135,22 +138,22 @@
         }
     }
 
-    /// Lets something happen at an instance.
+    /// Gives an input to an instance and carries out its outputs; a crashed instance ignores it.
     pub(crate) fn feed(&mut self, i: usize, input: Input) {
         if self.dead.contains(&i) {
             return;
         }
-        for output in self.hosts[i].step(self.now, input) {
-            self.carry_out(i, output);
+        for output in self.dispatchers[i].step(self.now, input) {
+            self.on_output(i, output);
         }
     }
 
-    fn carry_out(&mut self, i: usize, output: Output) {
+    fn on_output(&mut self, i: usize, output: Output) {
         match output {
             Output::Send(to, message) => self.send(i, &to, message),
             Output::Heartbeat(to, heartbeat) => {
                 for to in to {
-                    self.beat(i, &to, heartbeat.clone());
+                    self.send_heartbeat(i, &to, heartbeat.clone());
                 }
             }
             Output::BeginSession {
@@ -158,9 +161,9 @@
                 incarnation,
                 session,
             } => {
-                self.lines.insert((i, to.name), (incarnation, session));
+                self.sessions.insert((i, to.name), (incarnation, session));
             }
-            Output::Log(record) => self.lost += usize::from(record.event == "member_lost"),
+            Output::Log(record) => self.members_lost += usize::from(record.event == "member_lost"),
             _ => {}
         }
     }
@@ -171,32 +174,33 @@
         self.traffic[at].messages += 1;
         self.traffic[at].bytes += size;
         self.traffic[at].changes += usize::from(matches!(message, Message::RosterChange(_)));
-        self.largest = self.largest.max(size);
+        self.largest_message = self.largest_message.max(size);
         if self.mute.contains(&i) {
             return;
         }
         let from = self.sender(i, &to.name);
         let messages = vec![message];
-        self.post(i, at, Input::Received { from, messages });
+        self.deliver_later(i, at, Input::Received { from, messages });
     }
 
-    fn beat(&mut self, i: usize, to: &Contact, heartbeat: Heartbeat) {
+    fn send_heartbeat(&mut self, i: usize, to: &Contact, heartbeat: Heartbeat) {
         let at = self.index(&to.name);
         let from = self.sender(i, &to.name);
         let size = postcard::to_stdvec(&(&from, &heartbeat)).unwrap().len();
         self.traffic[i].heartbeats += 1;
         self.traffic[i].heartbeat_bytes += size;
-        self.sent[i] += 1;
-        self.post(i, at, Input::Heartbeats(vec![(from, heartbeat)]));
+        self.heartbeats_in_tick[i] += 1;
+        self.deliver_later(i, at, Input::Heartbeats(vec![(from, heartbeat)]));
     }
 
-    fn post(&mut self, i: usize, to: usize, input: Input) {
-        if self.cut.contains(&i) == self.cut.contains(&to) {
+    /// Queues an input for the next tick, unless the partition separates the two instances.
+    fn deliver_later(&mut self, i: usize, to: usize, input: Input) {
+        if self.partition.contains(&i) == self.partition.contains(&to) {
             self.pending.push((to, input));
         }
     }
 
-    /// Lets time pass.
+    /// Advances time by ticks, in which pending inputs arrive and each instance gets a tick.
     pub(crate) fn run(&mut self, span: Span) {
         let end = self.now + span;
         while self.now < end {
@@ -204,20 +208,20 @@
             for (at, input) in std::mem::take(&mut self.pending) {
                 self.feed(at, input);
             }
-            for i in 0..self.hosts.len() {
+            for i in 0..self.dispatchers.len() {
                 self.feed(i, Input::Tick);
-                let sent = std::mem::take(&mut self.sent[i]);
-                self.traffic[i].burst = self.traffic[i].burst.max(sent);
+                let sent = std::mem::take(&mut self.heartbeats_in_tick[i]);
+                self.traffic[i].max_burst = self.traffic[i].max_burst.max(sent);
             }
         }
     }
 
-    /// Counts the peers that an instance takes for alive.
-    pub(crate) fn peers(&self, i: usize) -> usize {
-        self.hosts[i].stats().peers
+    /// Returns the number of peers that an instance considers alive.
+    pub(crate) fn peer_count(&self, i: usize) -> usize {
+        self.dispatchers[i].stats().peers
     }
 }
 
-fn centre(i: usize, centres: usize) -> String {
-    format!("centre-{}", i % centres)
+fn centre_name(i: usize, centre_count: usize) -> String {
+    format!("centre-{}", i % centre_count)
 }
