--- a/tests/proofs.rs
+++ b/tests/proofs.rs
@@ -1,7 +1,7 @@
-//! What must always hold, proved with real instances while their surroundings fail.
+//! Tests of the guarantees with real instances, under faults of workers, peers, the platform and connections.
 //!
-//! Workers count the starts of every task; callers hold every answer against these counts. No verdict
-//! depends on how fast anything is, but for one generous bound on how long an answer may take.
+//! Workers count the starts of every task, and each answer is checked against these counts. The only check that depends
+//! on speed is a generous bound on the time until an answer.
 
 mod support;
 
@@ -9,6 +9,8 @@
 mod answers;
 #[path = "proofs/callers.rs"]
 mod callers;
+#[path = "proofs/fault_pairs.rs"]
+mod fault_pairs;
 #[path = "proofs/leaving.rs"]
 mod leaving;
 #[path = "proofs/ranges.rs"]
@@ -19,8 +21,6 @@
 mod resubmission;
 #[path = "proofs/store.rs"]
 mod store;
-#[path = "proofs/together.rs"]
-mod together;
 #[path = "proofs/workers.rs"]
 mod workers;
 
@@ -69,14 +69,14 @@
     },
 };
 
-/// How long any answer may take: far below the deadline of the jobs, which is 30 s.
-const PROMPT: Duration = Duration::from_secs(10);
+/// The longest time until an answer, far below the jobs' deadline of 30 s.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// By this header a caller says that it never sent the key before.
-const FIRST: Headers<'static> = &[("poplarknot-first", "true")];
+/// The header by which a caller states that it never submitted the key before.
+const FIRST_SUBMISSION: Headers<'static> = &[("poplarknot-first", "true")];
 
-/// Begins a cluster whose waits are short, with a fault proxy in front of every part.
-fn cluster() -> Builder {
+/// Returns a builder of clusters with short timeouts and a fault proxy in front of every component.
+fn cluster_builder() -> Builder {
     Builder::new(env!("CARGO_BIN_EXE_poplarknot"))
         .proxied()
         .workers(2)
@@ -87,19 +87,19 @@
         .set("timing", "look", "100ms")
 }
 
-/// Starts a cluster and waits until every instance can hand keys to every other.
+/// Starts a cluster and waits until every instance can forward submissions to every other one.
 ///
-/// Until its first heartbeat an instance doesn't know the others' incarnations, and says "unknown".
+/// Until the first heartbeats have arrived, an instance doesn't know the other incarnations and answers "unknown".
 async fn launch(builder: Builder) -> Result<Cluster> {
     let cluster = builder.start().await?;
-    let nowhere = with(job("nowhere", [1]), "service", "nowhere");
+    let nowhere = with_field(job("nowhere", [1]), "service", "nowhere");
     for owner in &cluster.instances {
-        let range = range(owner).await?;
-        let job = with(nowhere.clone(), "key", format!("{range}.known"));
+        let range = fetch_range(owner).await?;
+        let job = with_field(nowhere.clone(), "key", format!("{range}.known"));
         for other in &cluster.instances {
-            until("the instances know each other", || async {
-                let told = ask(other.callers, &job, &[]).await.ok()?;
-                (told.answer.reason == Reason::NoService).then_some(())
+            until("the instances can forward submissions", || async {
+                let response = post_job(other.callers, &job, &[]).await.ok()?;
+                (response.answer.reason == Reason::NoService).then_some(())
             })
             .await?;
         }
@@ -107,50 +107,58 @@
     Ok(cluster)
 }
 
-/// Asks an instance for the range that keys can be taken from.
-async fn range(instance: &Instance) -> Result<String> {
-    let answer: Value = client::get(instance.callers, "/v1/range").await?.json()?;
-    Ok(answer["range"].as_str().ok_or("no range")?.to_owned())
+/// Returns the range from which an instance has callers take keys.
+async fn fetch_range(instance: &Instance) -> Result<String> {
+    let body: Value = client::get(instance.callers, "/v1/range").await?.json()?;
+    Ok(body["range"].as_str().ok_or("no range")?.to_owned())
 }
 
-/// An answer as the caller sees it.
+/// A response to a submission.
 #[derive(Debug)]
-struct Told {
+struct Response {
     status: u16,
     answer: Answer,
     range: String,
 }
 
-impl Told {
-    /// Checks the outcome, the reason and the status.
-    fn is(&self, outcome: Outcome, reason: Reason, status: u16) {
+impl Response {
+    /// Checks the outcome, the reason and the status, and that only a complete answer has results.
+    ///
+    /// # Panics
+    ///
+    /// Panics when one of them differs.
+    fn assert_is(&self, outcome: Outcome, reason: Reason, status: u16) {
         let answer = &self.answer;
-        let told = (answer.outcome, answer.reason, self.status);
-        assert_eq!(told, (outcome, reason, status), "{}", answer.detail);
+        let received = (answer.outcome, answer.reason, self.status);
+        assert_eq!(received, (outcome, reason, status), "{}", answer.detail);
         assert!(answer.results.is_empty() || outcome == Outcome::Complete);
     }
 
-    /// Checks that the answer is complete, and that its results are those of the job's own tasks.
-    fn completes(&self, job: &Value) {
-        self.is(Outcome::Complete, Reason::Done, 200);
+    /// Checks that the answer is complete, and that its results are those of the job's own tasks in their order.
+    ///
+    /// # Panics
+    ///
+    /// Panics when it isn't, or a result belongs to another task.
+    fn assert_complete(&self, job: &Value) {
+        self.assert_is(Outcome::Complete, Reason::Done, 200);
         let output = |result: &std::sync::Arc<serde_json::value::RawValue>| {
             serde_json::from_str::<Output>(result.get()).map(|output| output.id)
         };
         let results: std::result::Result<Vec<_>, _> =
             self.answer.results.iter().map(output).collect();
-        assert_eq!(results.expect("results of workers"), ids(job));
+        assert_eq!(results.expect("results of workers"), task_ids(job));
     }
 }
 
-/// Returns the names of a job's tasks.
-fn ids(job: &Value) -> Vec<String> {
+/// Returns the ids of a job's tasks.
+fn task_ids(job: &Value) -> Vec<String> {
     let tasks = job["tasks"].as_array().expect("tasks");
     let id = |task: &Value| task["payload"]["id"].as_str().expect("an id").to_owned();
     tasks.iter().map(id).collect()
 }
 
-/// Changes a field of a job; null takes it out.
-fn with(mut job: Value, field: &str, value: impl Into<Value>) -> Value {
+/// Sets a field of a job; null removes it.
+fn with_field(mut job: Value, field: &str, value: impl Into<Value>) -> Value {
     let fields = job.as_object_mut().expect("a job");
     match value.into() {
         Value::Null => fields.remove(field),
@@ -159,11 +167,20 @@
     job
 }
 
-/// Submits a job and waits for its answer, for as long as an answer may take.
-async fn ask(callers: SocketAddr, job: &Value, headers: Headers<'_>) -> Result<Told> {
-    let response = timeout(PROMPT, client::post(callers, "/v1/jobs", headers, job)).await;
-    let response = response.map_err(|_| format!("no answer within {PROMPT:?} to {job}"))??;
-    Ok(Told {
+/// Submits a job and waits for the answer.
+///
+/// # Errors
+///
+/// Fails when the connection breaks or no answer comes within [`ANSWER_TIMEOUT`].
+async fn post_job(callers: SocketAddr, job: &Value, headers: Headers<'_>) -> Result<Response> {
+    let response = timeout(
+        ANSWER_TIMEOUT,
+        client::post(callers, "/v1/jobs", headers, job),
+    )
+    .await;
+    let response =
+        response.map_err(|_| format!("no answer within {ANSWER_TIMEOUT:?} to {job}"))??;
+    Ok(Response {
         status: response.status,
         answer: response.answer()?,
         range: response
@@ -174,43 +191,47 @@
 }
 
 /// Submits a job at an instance and waits for the answer.
-async fn submit(cluster: &Cluster, instance: usize, job: &Value) -> Result<Told> {
-    ask(cluster.instances[instance].callers, job, &[]).await
+async fn submit(cluster: &Cluster, instance: usize, job: &Value) -> Result<Response> {
+    post_job(cluster.instances[instance].callers, job, &[]).await
 }
 
-/// Submits a job at an instance, and leaves the answer to be waited for.
-fn send(cluster: &Cluster, instance: usize, job: &Value) -> JoinHandle<Result<Told>> {
+/// Submits a job at an instance in a task of its own, which returns the answer.
+fn spawn_submit(cluster: &Cluster, instance: usize, job: &Value) -> JoinHandle<Result<Response>> {
     let (callers, job) = (cluster.instances[instance].callers, job.clone());
-    tokio::spawn(async move { ask(callers, &job, &[]).await })
+    tokio::spawn(async move { post_job(callers, &job, &[]).await })
 }
 
-/// Submits a job until it is complete.
-async fn complete(cluster: &Cluster, instance: usize, job: &Value) -> Result {
+/// Submits a job at an instance repeatedly until the answer is complete, and checks it.
+async fn submit_until_complete(cluster: &Cluster, instance: usize, job: &Value) -> Result {
     until("the job is complete", || async {
-        let told = submit(cluster, instance, job).await.ok()?;
-        (told.answer.outcome == Outcome::Complete).then(|| told.completes(job))
+        let response = submit(cluster, instance, job).await.ok()?;
+        (response.answer.outcome == Outcome::Complete).then(|| response.assert_complete(job))
     })
     .await
 }
 
-/// Waits until a worker has started the first task of a job, and returns which.
-async fn started(cluster: &Cluster, job: &Value) -> Result<usize> {
-    let id = &ids(job)[0];
+/// Waits until a worker has started the first task of a job, and returns the worker's index.
+async fn wait_for_start(cluster: &Cluster, job: &Value) -> Result<usize> {
+    let id = &task_ids(job)[0];
     until("the task has started", || async {
-        let has = |worker: &Worker| worker.started().iter().any(|s| s.id == *id);
-        cluster.workers.iter().position(has)
+        let has_started = |worker: &Worker| worker.started().iter().any(|s| s.id == *id);
+        cluster.workers.iter().position(has_started)
     })
     .await
 }
 
-/// Returns how often each task of a job has started.
-fn counts(cluster: &Cluster, job: &Value) -> Vec<usize> {
+/// Returns the number of starts of each task of a job.
+fn start_counts(cluster: &Cluster, job: &Value) -> Vec<usize> {
     let starts = cluster.starts();
     let count = |id: &String| starts.get(id).copied().unwrap_or(0);
-    ids(job).iter().map(count).collect()
+    task_ids(job).iter().map(count).collect()
 }
 
-/// Checks that every task of a job has started so often.
-fn started_each(cluster: &Cluster, job: &Value, times: usize) {
-    assert_eq!(counts(cluster, job), vec![times; ids(job).len()], "{job}");
+/// Checks that every task of a job has started `times` times.
+fn assert_start_counts(cluster: &Cluster, job: &Value, times: usize) {
+    assert_eq!(
+        start_counts(cluster, job),
+        vec![times; task_ids(job).len()],
+        "{job}"
+    );
 }
--- a/tests/proofs/answers.rs
+++ b/tests/proofs/answers.rs
@@ -1,4 +1,4 @@
-//! Answers that come late, twice and out of order, from workers and between instances.
+//! Answers from workers and between instances that arrive late, twice and out of order.
 
 use rand::{
     rngs::SmallRng,
@@ -8,29 +8,27 @@
 
 use super::*;
 
-/// Delays every path by its own time, so that answers overtake each other.
-fn delay(cluster: &Cluster, random: &mut SmallRng) {
+/// Delays each connection to workers and peers by its own random time, so that answers overtake each other.
+fn set_random_delays(cluster: &Cluster, random: &mut SmallRng) {
     let proxies = &cluster.proxies;
     for proxy in proxies.workers.iter().chain(&proxies.peers) {
-        let mut draw = || Duration::from_millis(random.random_range(0..150));
+        let mut random_delay = || Duration::from_millis(random.random_range(0..150));
         proxy.set(Mode::Delay {
-            up: draw(),
-            down: draw(),
+            up: random_delay(),
+            down: random_delay(),
         });
     }
 }
 
-/// Every caller sees the whole answer to its own request, in the order of its tasks. Answers of workers are late
-/// enough to be looked up as well, so that most ends are reported twice, in either order; answers between instances
-/// overtake each other on delayed connections. Each end is taken once, by the attempt that it names, and each
-/// return by the id of its call.
+/// Late and reordered replies must not reach the wrong caller or count twice: each caller gets the results of its own job in
+/// the order of the tasks. Most task ends are reported twice, by the worker's reply and by a status lookup.
 #[tokio::test]
 async fn each_caller_gets_its_own_answer() -> Result {
-    let cluster = launch(cluster().instances(3).workers(4)).await?;
+    let cluster = launch(cluster_builder().instances(3).workers(4)).await?;
     let random = &mut SmallRng::seed_from_u64(5);
     let first = job("first", [10]);
     let range = submit(&cluster, 0, &first).await?.range;
-    delay(&cluster, random);
+    set_random_delays(&cluster, random);
     let jobs: Vec<_> = (0..60)
         .map(|i| {
             let sleeps: Vec<_> = (0..3).map(|_| random.random_range(1..120)).collect();
@@ -41,22 +39,22 @@
                 format!("{range}.{i}")
             };
             let class = ["once", "non-idempotent", "idempotent"][i % 3];
-            with(with(job(&name, sleeps), "key", key), "class", class)
+            with_field(with_field(job(&name, sleeps), "key", key), "class", class)
         })
         .collect();
     let cluster = &cluster;
-    let everywhere = jobs.iter().enumerate().flat_map(|(i, job)| {
-        let twice = if i % 3 == 2 { 1 } else { 2 };
-        (0..twice).map(move |again| (job, (i + again) % 3))
+    let submissions = jobs.iter().enumerate().flat_map(|(i, job)| {
+        let times = if i % 3 == 2 { 1 } else { 2 };
+        (0..times).map(move |offset| (job, (i + offset) % 3))
     });
-    let calls = everywhere.map(|(job, instance)| async move {
+    let calls = submissions.map(|(job, instance)| async move {
         Result::Ok((job, submit(cluster, instance, job).await?))
     });
-    for (job, told) in try_join_all(calls).await? {
-        told.completes(job);
+    for (job, response) in try_join_all(calls).await? {
+        response.assert_complete(job);
     }
     for job in jobs.iter().filter(|job| job["class"] != "idempotent") {
-        started_each(cluster, job, 1);
+        assert_start_counts(cluster, job, 1);
     }
     let looks: u64 = cluster
         .workers
--- a/tests/proofs/callers.rs
+++ b/tests/proofs/callers.rs
@@ -1,23 +1,23 @@
-//! Callers that cancel, hang up, ask for the impossible or break the bounds, and instances that oversleep.
+//! Callers that cancel, disconnect, send invalid or unsatisfiable requests or exceed limits, and a paused instance.
 
 use hyper::Method;
 
 use super::*;
 
 /// Waits until a job is in progress at an instance.
-async fn in_progress(cluster: &Cluster, instance: usize, key: &str) -> Result {
+async fn wait_until_in_progress(cluster: &Cluster, instance: usize, key: &str) -> Result {
     let path = format!("/v1/jobs/risk/{key}");
     until("the job is in progress", || async {
-        let told = client::get(cluster.instances[instance].callers, &path)
+        let response = client::get(cluster.instances[instance].callers, &path)
             .await
             .ok()?;
-        (told.status == 202).then_some(())
+        (response.status == 202).then_some(())
     })
     .await
 }
 
-/// Waits until no worker has anything left, so that nothing more can start.
-async fn quiet(cluster: &Cluster) -> Result {
+/// Waits until no worker has running or queued tasks.
+async fn wait_until_idle(cluster: &Cluster) -> Result {
     until("the workers are idle", || async {
         let mut loads = cluster.workers.iter().map(|worker| worker.load());
         loads
@@ -27,10 +27,11 @@
     .await
 }
 
-/// Waits until an instance may run all jobs that it was sent: each of their tasks has been started, or waits for an endpoint.
+/// Waits until an instance has admitted all its jobs: each of the `tasks` tasks has started or waits for an endpoint.
 ///
-/// A job whose key isn't claimed yet is in progress too, and can't be told "not run" when it is cancelled: the key may be another's.
-async fn admitted(cluster: &Cluster, instance: usize, tasks: usize) -> Result {
+/// A job whose key isn't claimed yet is in progress too. When cancelled it can't be answered "not run", since another
+/// instance may have claimed the key.
+async fn wait_until_admitted(cluster: &Cluster, instance: usize, tasks: usize) -> Result {
     until("all tasks are admitted", || async {
         let callers = cluster.instances[instance].callers;
         let metrics = client::get(callers, "/metrics").await.ok()?;
@@ -45,29 +46,37 @@
     .await
 }
 
-/// Every caller sees its answer soon when all jobs are cancelled at once. Jobs none of whose tasks had left are
-/// "not run" and stay so; of the others nobody waits for the end, so they are "unknown" and told to stop.
+/// Cancelled jobs must be answered soon. "not run" is only true of jobs whose tasks were never sent to a worker; the others
+/// are "unknown", and their tasks are stopped.
 #[tokio::test]
-async fn a_wave_of_cancellations_is_answered() -> Result {
-    let few = |worker: &mut poplarknot::table::wire::Worker| worker.slots = 2;
-    let cluster = launch(cluster().worker(few).set("limits", "outstanding", 2)).await?;
-    let wave = |i| {
-        let mut job = job(&format!("wave-{i}"), [90_000, 1]);
+async fn many_cancellations_at_once_are_answered() -> Result {
+    let two_slots = |worker: &mut poplarknot::table::wire::Worker| worker.slots = 2;
+    let cluster = launch(
+        cluster_builder()
+            .worker(two_slots)
+            .set("limits", "outstanding", 2),
+    )
+    .await?;
+    let cancelled_job = |i| {
+        let mut job = job(&format!("cancelled-{i}"), [90_000, 1]);
         job["tasks"][0]["expected_ms"] = json!(1);
         job
     };
-    let jobs: Vec<_> = (0..30).map(wave).collect();
-    let callers: Vec<_> = jobs.iter().map(|job| send(&cluster, 0, job)).collect();
+    let jobs: Vec<_> = (0..30).map(cancelled_job).collect();
+    let callers: Vec<_> = jobs
+        .iter()
+        .map(|job| spawn_submit(&cluster, 0, job))
+        .collect();
     for i in 0..jobs.len() {
-        in_progress(&cluster, 0, &format!("wave-{i}")).await?;
+        wait_until_in_progress(&cluster, 0, &format!("cancelled-{i}")).await?;
     }
-    admitted(&cluster, 0, 2 * jobs.len()).await?;
+    wait_until_admitted(&cluster, 0, 2 * jobs.len()).await?;
     let cancels = (0..jobs.len()).map(|i| {
-        let path = format!("/v1/jobs/risk/wave-{i}");
+        let path = format!("/v1/jobs/risk/cancelled-{i}");
         let callers = cluster.instances[0].callers;
         async move { client::delete(callers, &path, &[]).await?.answer() }
     });
-    let cancelled = timeout(PROMPT, try_join_all(cancels)).await??;
+    let cancelled = timeout(ANSWER_TIMEOUT, try_join_all(cancels)).await??;
     let mut outcomes = Vec::new();
     for (caller, cancelled) in callers.into_iter().zip(cancelled) {
         let answer = caller.await??.answer;
@@ -77,78 +86,86 @@
         );
         outcomes.push(answer.outcome);
     }
-    quiet(&cluster).await?;
+    wait_until_idle(&cluster).await?;
     let last = job("last", [1; 8]);
-    submit(&cluster, 0, &last).await?.completes(&last);
+    submit(&cluster, 0, &last).await?.assert_complete(&last);
     for (job, outcome) in jobs.iter().zip(&outcomes) {
         match outcome {
-            Outcome::NotRun => started_each(&cluster, job, 0),
-            _ => assert!(counts(&cluster, job).iter().all(|starts| *starts <= 1)),
+            Outcome::NotRun => assert_start_counts(&cluster, job, 0),
+            _ => assert!(start_counts(&cluster, job)
+                .iter()
+                .all(|starts| *starts <= 1)),
         }
     }
     assert!(outcomes.contains(&Outcome::NotRun) && outcomes.contains(&Outcome::Unknown));
     Ok(())
 }
 
-/// The caller that hung up sees its whole answer when it asks again, at any instance. Its job went on without it,
-/// since a lost connection says nothing about whether the result is wanted.
+/// A job must go on when its caller disconnects, which may only be a network fault. A resubmission at any instance gets the
+/// complete answer.
 #[tokio::test]
 async fn an_answer_outlives_its_caller() -> Result {
-    let cluster = launch(cluster()).await?;
+    let cluster = launch(cluster_builder()).await?;
     let (early, late) = (job("early", [300]), job("late", [300]));
-    let caller = send(&cluster, 0, &late);
-    started(&cluster, &late).await?;
+    let caller = spawn_submit(&cluster, 0, &late);
+    wait_for_start(&cluster, &late).await?;
     caller.abort();
-    let caller = send(&cluster, 0, &early);
+    let caller = spawn_submit(&cluster, 0, &early);
     tokio::task::yield_now().await;
     caller.abort();
     for job in [&early, &late] {
-        complete(&cluster, 1, job).await?;
-        complete(&cluster, 0, job).await?;
-        started_each(&cluster, job, 1);
+        submit_until_complete(&cluster, 1, job).await?;
+        submit_until_complete(&cluster, 0, job).await?;
+        assert_start_counts(&cluster, job, 1);
     }
     Ok(())
 }
 
-/// The caller sees at once that its job can never run: a task needs more than any worker has, or the service is
-/// not there. No task of the job starts, not even those that could.
+/// A job with a task that no worker has the resources for, or for a service that doesn't exist, must be refused at once
+/// instead of waiting for its deadline. None of its tasks starts.
 #[tokio::test]
 async fn what_can_never_run_is_refused_at_once() -> Result {
-    let cluster = launch(cluster()).await?;
+    let cluster = launch(cluster_builder()).await?;
     let mut large = job("large", [10, 10]);
     large["tasks"][1]["need"]["cores"] = json!(1_000);
-    let nowhere = with(job("nowhere", [10]), "service", "nowhere");
+    let nowhere = with_field(job("nowhere", [10]), "service", "nowhere");
     for instance in [0, 1] {
-        let told = submit(&cluster, instance, &large).await?;
-        told.is(Outcome::NotRun, Reason::Impossible, 422);
-        assert!(told.answer.detail.starts_with("tasks[1].need"), "{told:?}");
-        let told = submit(&cluster, instance, &nowhere).await?;
-        told.is(Outcome::NotRun, Reason::NoService, 404);
+        let response = submit(&cluster, instance, &large).await?;
+        response.assert_is(Outcome::NotRun, Reason::Impossible, 422);
+        assert!(
+            response.answer.detail.starts_with("tasks[1].need"),
+            "{response:?}"
+        );
+        let response = submit(&cluster, instance, &nowhere).await?;
+        response.assert_is(Outcome::NotRun, Reason::NoService, 404);
     }
-    // Without the table it can't be told whether an earlier copy ran, unless the key is new.
+    // Without the table the instance can't tell whether an earlier submission ran, unless the key is new.
     cluster.platform.down().await;
-    let told = ask(cluster.instances[0].callers, &large, FIRST).await?;
-    told.is(Outcome::NotRun, Reason::Impossible, 422);
-    let told = submit(&cluster, 0, &large).await?;
-    told.is(Outcome::Unknown, Reason::Impossible, 422);
-    started_each(&cluster, &large, 0);
+    let response = post_job(cluster.instances[0].callers, &large, FIRST_SUBMISSION).await?;
+    response.assert_is(Outcome::NotRun, Reason::Impossible, 422);
+    let response = submit(&cluster, 0, &large).await?;
+    response.assert_is(Outcome::Unknown, Reason::Impossible, 422);
+    assert_start_counts(&cluster, &large, 0);
     Ok(())
 }
 
-/// The caller of a job that waited sees "not run" when its instance wakes after the deadline. The instance stood
-/// still while a slot became free and while the deadline passed; on waking it looks at its clock before that
-/// slot. What arrives with a deadline to come is served.
+/// An instance that was paused past the deadline of waiting jobs must not start them in a slot that became free meanwhile.
+/// It checks deadlines before it fills the slot.
 #[tokio::test]
-async fn an_instance_that_overslept_starts_nothing_late() -> Result {
-    let one = |worker: &mut poplarknot::table::wire::Worker| worker.slots = 1;
-    let builder = cluster().workers(1).instances(1).worker(one);
+async fn a_paused_instance_starts_nothing_after_the_deadline() -> Result {
+    let one_slot = |worker: &mut poplarknot::table::wire::Worker| worker.slots = 1;
+    let builder = cluster_builder().workers(1).instances(1).worker(one_slot);
     let cluster = launch(builder.set("limits", "outstanding", 1)).await?;
     let busy = job("busy", [600]);
-    let first = send(&cluster, 0, &busy);
-    started(&cluster, &busy).await?;
-    let waiting = (0..5).map(|i| with(job(&format!("waiting-{i}"), [1]), "deadline_ms", 1_000));
+    let first = spawn_submit(&cluster, 0, &busy);
+    wait_for_start(&cluster, &busy).await?;
+    let waiting =
+        (0..5).map(|i| with_field(job(&format!("waiting-{i}"), [1]), "deadline_ms", 1_000));
     let waiting: Vec<_> = waiting.collect();
-    let callers: Vec<_> = waiting.iter().map(|job| send(&cluster, 0, job)).collect();
+    let callers: Vec<_> = waiting
+        .iter()
+        .map(|job| spawn_submit(&cluster, 0, job))
+        .collect();
     until("five tasks wait for the slot", || async {
         let metrics = client::get(cluster.instances[0].callers, "/metrics")
             .await
@@ -158,65 +175,79 @@
     })
     .await?;
     cluster.instances[0].freeze()?;
-    quiet(&cluster).await?;
+    wait_until_idle(&cluster).await?;
     sleep(Duration::from_millis(1_100)).await;
     let later = job("later", [1]);
-    let last = send(&cluster, 0, &later);
+    let last = spawn_submit(&cluster, 0, &later);
     cluster.instances[0].thaw()?;
-    first.await??.completes(&busy);
-    last.await??.completes(&later);
+    first.await??.assert_complete(&busy);
+    last.await??.assert_complete(&later);
     for caller in callers {
-        caller.await??.is(Outcome::NotRun, Reason::Deadline, 504);
+        caller
+            .await??
+            .assert_is(Outcome::NotRun, Reason::Deadline, 504);
     }
-    quiet(&cluster).await?;
+    wait_until_idle(&cluster).await?;
     waiting
         .iter()
-        .for_each(|job| started_each(&cluster, job, 0));
+        .for_each(|job| assert_start_counts(&cluster, job, 0));
     Ok(())
 }
 
-/// The caller of a malformed request sees a status, an outcome and a sentence that names the field.
+/// The answer to a malformed request must have a status and an outcome, and name the faulty field.
 #[tokio::test]
 async fn a_malformed_request_is_told_what_is_wrong() -> Result {
-    let cluster = launch(cluster().set("limits", "body", "4KiB")).await?;
+    let cluster = launch(cluster_builder().set("limits", "body", "4KiB")).await?;
     let mut empty = job("empty", [10]);
     empty["tasks"] = json!([]);
     let mut long = job("long", [10]);
     long["tasks"][0]["payload"]["id"] = json!("x".repeat(5_000));
     let cases = [
-        (with(job("a", [10]), "colour", "red"), 400, "colour"),
-        (with(job("a", [10]), "tasks", json!(null)), 400, "tasks"),
-        (with(job("a", [10]), "key", "no spaces"), 400, "holds ' '"),
-        (with(job("a", [10]), "class", "twice"), 400, "twice"),
-        (with(job("a", [10]), "deadline_ms", 0), 400, "deadline_ms"),
+        (with_field(job("a", [10]), "colour", "red"), 400, "colour"),
+        (
+            with_field(job("a", [10]), "tasks", json!(null)),
+            400,
+            "tasks",
+        ),
+        (
+            with_field(job("a", [10]), "key", "no spaces"),
+            400,
+            "holds ' '",
+        ),
+        (with_field(job("a", [10]), "class", "twice"), 400, "twice"),
+        (
+            with_field(job("a", [10]), "deadline_ms", 0),
+            400,
+            "deadline_ms",
+        ),
         (empty, 400, "tasks"),
         (long, 413, "body"),
     ];
     for (job, status, field) in cases {
-        let told = submit(&cluster, 0, &job).await?;
+        let response = submit(&cluster, 0, &job).await?;
         assert_eq!(
-            (told.answer.outcome, told.status),
+            (response.answer.outcome, response.status),
             (Outcome::NotRun, status)
         );
-        assert!(told.answer.detail.contains(field), "{told:?}");
+        assert!(response.answer.detail.contains(field), "{response:?}");
     }
     let mut client = Client::connect(cluster.instances[0].callers).await?;
-    let told = client
+    let response = client
         .send(Method::POST, "/v1/jobs", &[], "{\"team\":")
         .await?;
     assert_eq!(
-        (told.status, told.answer()?.outcome),
+        (response.status, response.answer()?.outcome),
         (400, Outcome::NotRun)
     );
     assert!(cluster.starts().is_empty());
     Ok(())
 }
 
-/// The caller that doesn't finish its request in time sees that, and holds nothing for longer. It is told "not
-/// run" only where it called its key new: the key is in the body that never came, and may have run before.
+/// A caller that sends its body too slowly must not occupy a connection for longer than the timeout. The answer is "not
+/// run" only if the header declares the key new: the key is in the missing body, and a job under it may have run.
 #[tokio::test]
 async fn a_slow_sender_is_told_so() -> Result {
-    let cluster = launch(cluster().set("timing", "receive", "300ms")).await?;
+    let cluster = launch(cluster_builder().set("timing", "receive", "300ms")).await?;
     for (first, outcome) in [("true", "not-run"), ("false", "unknown")] {
         let mut stream = TcpStream::connect(cluster.instances[0].callers).await?;
         let head = format!(
@@ -225,7 +256,7 @@
         );
         stream.write_all(head.as_bytes()).await?;
         let mut answer = String::new();
-        timeout(PROMPT, stream.read_to_string(&mut answer)).await??;
+        timeout(ANSWER_TIMEOUT, stream.read_to_string(&mut answer)).await??;
         assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
         assert!(
             answer.contains(&format!("poplarknot-outcome: {outcome}")),
@@ -235,12 +266,11 @@
     Ok(())
 }
 
-/// The caller beyond the bound on connections is told at once, and its request is not read, so nothing of it can run.
-/// The answer says "unknown", since an earlier request with the key that was not read may have run. The callers
-/// within the bound are served, and a place that becomes free can be taken.
+/// Connections beyond the limit are refused at once, without reading the request. The answer is "unknown", since a job
+/// under the unread key may have run. Connections within the limit are served, and a closed one makes room.
 #[tokio::test]
 async fn connections_beyond_the_bound_are_turned_away() -> Result {
-    let cluster = launch(cluster().set("limits", "connections", 3)).await?;
+    let cluster = launch(cluster_builder().set("limits", "connections", 3)).await?;
     let callers = cluster.instances[0].callers;
     let mut held = Vec::new();
     until("three connections are held", || async {
@@ -255,78 +285,78 @@
         held.push(client);
     }
     let bound = job("bound", [10]);
-    let told = submit(&cluster, 0, &bound).await?;
-    told.is(Outcome::Unknown, Reason::Busy, 503);
-    started_each(&cluster, &bound, 0);
+    let response = submit(&cluster, 0, &bound).await?;
+    response.assert_is(Outcome::Unknown, Reason::Busy, 503);
+    assert_start_counts(&cluster, &bound, 0);
     for client in &mut held {
         assert_eq!(client.get("/healthz").await?.status, 200);
     }
     held.pop();
-    complete(&cluster, 0, &bound).await?;
-    started_each(&cluster, &bound, 1);
+    submit_until_complete(&cluster, 0, &bound).await?;
+    assert_start_counts(&cluster, &bound, 1);
     Ok(())
 }
 
-/// The caller sees "not run" and when to come back for a job that an instance has no room for, and the job is
-/// refused whole: no task of it starts. One that could never be taken is refused in the same way. A team fills no
-/// more than half of the room, so another team's job is taken all the same.
+/// An instance at its limits must refuse a job as a whole, with a retry delay, instead of running a part of it. One team
+/// gets at most half of the limits, so another team's job is still accepted.
 #[tokio::test]
 async fn a_full_instance_takes_no_part_of_a_job() -> Result {
-    let cluster = cluster()
+    let cluster = cluster_builder()
         .set("limits", "jobs", 4)
         .set("limits", "waiting", 40);
     let cluster = launch(cluster).await?;
     let running = ["one", "two"].map(|key| job(key, [1_500, 1_500]));
-    let callers = running.each_ref().map(|job| send(&cluster, 0, job));
+    let callers = running.each_ref().map(|job| spawn_submit(&cluster, 0, job));
     for job in &running {
-        started(&cluster, job).await?;
+        wait_for_start(&cluster, job).await?;
     }
     let (refused, huge) = (job("refused", [1, 1]), job("huge", [1; 41]));
     for job in [&refused, &huge] {
-        let told = submit(&cluster, 0, job).await?;
-        assert_eq!(told.answer.outcome, Outcome::NotRun, "{told:?}");
-        started_each(&cluster, job, 0);
+        let response = submit(&cluster, 0, job).await?;
+        assert_eq!(response.answer.outcome, Outcome::NotRun, "{response:?}");
+        assert_start_counts(&cluster, job, 0);
     }
-    let told = submit(&cluster, 0, &refused).await?;
-    told.is(Outcome::NotRun, Reason::Busy, 429);
-    assert!(told.answer.retry.is_some(), "{told:?}");
-    let other = with(job("other", [1]), "team", "treasury");
-    submit(&cluster, 0, &other).await?.completes(&other);
+    let response = submit(&cluster, 0, &refused).await?;
+    response.assert_is(Outcome::NotRun, Reason::Busy, 429);
+    assert!(response.answer.retry.is_some(), "{response:?}");
+    let other = with_field(job("other", [1]), "team", "treasury");
+    submit(&cluster, 0, &other).await?.assert_complete(&other);
     for (job, caller) in running.iter().zip(callers) {
-        caller.await??.completes(job);
+        caller.await??.assert_complete(job);
     }
-    complete(&cluster, 0, &refused).await?;
-    started_each(&cluster, &refused, 1);
+    submit_until_complete(&cluster, 0, &refused).await?;
+    assert_start_counts(&cluster, &refused, 1);
     Ok(())
 }
 
-/// Hundreds of callers come at once to an instance whose rings between threads have the fewest places allowed. Each
-/// sees a whole answer or a refusal. A full ring is told to the sending thread as "not sent", so what is refused as
-/// "not run" never starts, what is complete ran once, and what was refused runs later under the same key.
+/// A full ring buffer between threads must not lose a submission or an answer. With the smallest rings, each caller gets a
+/// complete answer or a refusal, and a refused job runs once when it is resubmitted.
 #[tokio::test]
 async fn full_rings_lose_nothing() -> Result {
-    let cluster = launch(cluster().set("limits", "ring", 16)).await?;
-    let range = range(&cluster.instances[0]).await?;
-    let flood = |i: usize| {
+    let cluster = launch(cluster_builder().set("limits", "ring", 16)).await?;
+    let range = fetch_range(&cluster.instances[0]).await?;
+    let flood_job = |i: usize| {
         let job = job(&format!("flood-{i}"), [5, 5, 5, 5]);
-        with(job, "key", format!("{range}.{i}"))
+        with_field(job, "key", format!("{range}.{i}"))
     };
-    let jobs: Vec<_> = (0..400).map(flood).collect();
+    let jobs: Vec<_> = (0..400).map(flood_job).collect();
     let callers = cluster.instances[0].callers;
-    let calls = jobs.iter().map(|job| ask(callers, job, FIRST));
+    let calls = jobs
+        .iter()
+        .map(|job| post_job(callers, job, FIRST_SUBMISSION));
     let answers = try_join_all(calls).await?;
-    for (job, told) in jobs.iter().zip(&answers) {
-        match told.answer.outcome {
-            Outcome::Complete => told.completes(job),
-            Outcome::NotRun => started_each(&cluster, job, 0),
-            _ => panic!("{told:?}"),
+    for (job, response) in jobs.iter().zip(&answers) {
+        match response.answer.outcome {
+            Outcome::Complete => response.assert_complete(job),
+            Outcome::NotRun => assert_start_counts(&cluster, job, 0),
+            _ => panic!("{response:?}"),
         }
     }
-    for (job, told) in jobs.iter().zip(&answers) {
-        if told.answer.outcome == Outcome::NotRun {
-            complete(&cluster, 0, job).await?;
+    for (job, response) in jobs.iter().zip(&answers) {
+        if response.answer.outcome == Outcome::NotRun {
+            submit_until_complete(&cluster, 0, job).await?;
         }
-        started_each(&cluster, job, 1);
+        assert_start_counts(&cluster, job, 1);
     }
     Ok(())
 }
--- a/tests/proofs/together.rs
+++ b/tests/proofs/fault_pairs.rs
@@ -1,4 +1,4 @@
-//! Two faults at once, drawn by a seeded generator: answers at the callers against starts at the workers.
+//! Two overlapping faults, chosen by a seeded generator. Answers to callers are checked against starts at workers.
 
 use std::{
     collections::BTreeMap,
@@ -20,12 +20,12 @@
 use super::*;
 
 /// Rounds, each with a seed and a cluster of its own.
-const ROUNDS: u64 = 8;
+const ROUND_COUNT: u64 = 8;
 
 /// Jobs in a round.
-const JOBS: usize = 60;
+const JOB_COUNT: usize = 60;
 
-/// Something that goes wrong for a while.
+/// A fault, which begins and, unless it is a kill, ends during a round.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Fault {
     FreezeInstance,
@@ -68,11 +68,11 @@
 ];
 
 impl Fault {
-    /// Makes it happen. Whoever is hit by name is the first of its kind.
+    /// Injects the fault. One that affects a single instance or worker affects the first.
     async fn begin(self, cluster: &mut Cluster) -> Result {
         let (first, proxies) = (&cluster.instances[0], &mut cluster.proxies);
         match self {
-            // It may be dead already.
+            // The other fault may have killed it.
             Self::FreezeInstance => first.freeze().unwrap_or_default(),
             Self::KillInstance => cluster.instances[0].kill().await?,
             Self::DrainInstance => first.stop().unwrap_or_default(),
@@ -100,7 +100,7 @@
             }
             Self::HangPlatform => cluster.platform.fault(|f| f.hang = true),
             Self::CancelJobs => {
-                for i in (0..JOBS).step_by(3) {
+                for i in (0..JOB_COUNT).step_by(3) {
                     let path = format!("/v1/jobs/risk/job-{i}");
                     let callers = cluster.instances[i % 3].callers;
                     tokio::spawn(async move { client::delete(callers, &path, &[]).await.ok() });
@@ -110,7 +110,7 @@
         Ok(())
     }
 
-    /// Lets it pass. What was killed stays dead.
+    /// Removes the fault. Killed processes stay dead.
     async fn end(self, cluster: &mut Cluster) -> Result {
         let proxies = &mut cluster.proxies;
         match self {
@@ -128,94 +128,98 @@
     }
 }
 
-/// A job, and every answer that its callers got.
-struct Entry {
+/// A job and all answers to it.
+struct JobRecord {
     job: Value,
-    answers: Vec<Told>,
+    answers: Vec<Response>,
 }
 
-/// Makes the job of this number: any class, with a key of its own choice, a range key or none.
-fn draw(ranges: &[String], i: usize, random: &mut SmallRng) -> Value {
+/// Returns a job of random class, with a chosen key, a range key or none.
+fn random_job(ranges: &[String], i: usize, random: &mut SmallRng) -> Value {
     let tasks = random.random_range(1..4);
     let sleeps: Vec<_> = (0..tasks).map(|_| random.random_range(1..250)).collect();
     let class = ["once", "non-idempotent", "idempotent"][random.random_range(0..3)];
-    let job = with(job(&format!("job-{i}"), sleeps), "class", class);
+    let job = with_field(job(&format!("job-{i}"), sleeps), "class", class);
     match random.random_range(0..4) {
-        0 => with(job, "key", Value::Null),
+        0 => with_field(job, "key", Value::Null),
         1 => {
             let range = &ranges[random.random_range(0..ranges.len())];
-            with(job, "key", format!("{range}.{i}"))
+            with_field(job, "key", format!("{range}.{i}"))
         }
         _ => job,
     }
 }
 
-/// Submits a job at an instance and, unless it was not run, again at the other two.
-async fn submit_again(callers: [std::net::SocketAddr; 3], entry: Arc<Mutex<Entry>>) {
+/// Submits a job at one instance after another until one answers "not run", and records the answers.
+async fn submit_in_turn(callers: [std::net::SocketAddr; 3], entry: Arc<Mutex<JobRecord>>) {
     let mut entry = entry.lock().await;
     let keyless = entry.job["key"].is_null();
     for (i, callers) in callers.into_iter().enumerate() {
-        let headers = if i == 0 { FIRST } else { &[] };
-        let told = ask(callers, &entry.job, headers).await;
-        // A dead instance answers nothing; a keyless job can't be asked for again.
-        let Ok(told) = told else {
+        let headers = if i == 0 { FIRST_SUBMISSION } else { &[] };
+        let response = post_job(callers, &entry.job, headers).await;
+        // A dead instance doesn't answer. A job without a key can't be resubmitted.
+        let Ok(response) = response else {
             if keyless {
                 return;
             }
             continue;
         };
-        let over = told.answer.outcome == Outcome::NotRun || keyless;
-        entry.answers.push(told);
-        if over {
+        let is_last = response.answer.outcome == Outcome::NotRun || keyless;
+        entry.answers.push(response);
+        if is_last {
             return;
         }
     }
 }
 
 /// Checks the answers to a job against the starts of its tasks.
-fn check(cluster: &Cluster, entry: &Entry, faults: &[Fault]) {
-    let Entry { job, answers } = entry;
-    let starts = counts(cluster, job);
-    let all = |starts_allowed: fn(usize) -> bool| starts.iter().all(|n| starts_allowed(*n));
+fn check_answers(cluster: &Cluster, entry: &JobRecord, faults: &[Fault]) {
+    let JobRecord { job, answers } = entry;
+    let starts = start_counts(cluster, job);
+    let all = |is_allowed: fn(usize) -> bool| starts.iter().all(|n| is_allowed(*n));
     let context = format!("{faults:?}\n{job}\nstarts {starts:?}\nanswers {answers:?}");
-    let once = job["class"] != "idempotent";
-    let killed = faults.contains(&Fault::KillInstance);
-    assert!(!once || all(|n| n <= 1), "started twice: {context}");
-    // A keyless job can't be asked for again. Its instance may have refused the connection, but only a kill may
-    // have cut it off once it ran.
-    let unanswered = answers.is_empty();
-    assert!(!unanswered || job["key"].is_null(), "no answer: {context}");
+    let starts_once = job["class"] != "idempotent";
+    let has_kill = faults.contains(&Fault::KillInstance);
+    assert!(!starts_once || all(|n| n <= 1), "started twice: {context}");
+    // A job without a key can't be resubmitted. Its instance may have refused the connection, but only a kill may break
+    // the connection of a job that ran.
+    let is_unanswered = answers.is_empty();
     assert!(
-        !unanswered || killed || all(|n| n == 0),
+        !is_unanswered || job["key"].is_null(),
+        "no answer: {context}"
+    );
+    assert!(
+        !is_unanswered || has_kill || all(|n| n == 0),
         "cut off: {context}"
     );
-    for told in answers {
-        match told.answer.outcome {
+    for response in answers {
+        match response.answer.outcome {
             Outcome::Complete => {
-                told.completes(job);
+                response.assert_complete(job);
                 assert!(all(|n| n >= 1), "not complete: {context}");
             }
             // An idempotent job may run again elsewhere before or after a refusal.
-            Outcome::NotRun => assert!(!once || all(|n| n == 0), "it ran: {context}"),
-            Outcome::Failed | Outcome::Unknown => assert!(told.answer.results.is_empty()),
+            Outcome::NotRun => assert!(!starts_once || all(|n| n == 0), "it ran: {context}"),
+            Outcome::Failed | Outcome::Unknown => assert!(response.answer.results.is_empty()),
         }
     }
 }
 
-async fn round(seed: u64) -> Result {
+/// Runs jobs through a new cluster while the two faults that the seed selects overlap, and checks all answers.
+async fn run_round(seed: u64) -> Result {
     let random = &mut SmallRng::seed_from_u64(seed);
-    let mut cluster = launch(cluster().instances(3).workers(3)).await?;
-    let ranges = try_join_all(cluster.instances.iter().map(range)).await?;
+    let mut cluster = launch(cluster_builder().instances(3).workers(3)).await?;
+    let ranges = try_join_all(cluster.instances.iter().map(fetch_range)).await?;
     let faults: Vec<Fault> = FAULTS.choose_multiple(random, 2).copied().collect();
     let (mut entries, mut calls) = (Vec::new(), Vec::new());
-    for i in 0..JOBS {
-        let job = draw(&ranges, i, random);
+    for i in 0..JOB_COUNT {
+        let job = random_job(&ranges, i, random);
         let answers = Vec::new();
-        let entry = Arc::new(Mutex::new(Entry { job, answers }));
+        let entry = Arc::new(Mutex::new(JobRecord { job, answers }));
         let start = random.random_range(0..3);
         let order = [start, (start + 1) % 3, (start + 2) % 3];
         let callers = order.map(|i| cluster.instances[i].callers);
-        calls.push(tokio::spawn(submit_again(callers, entry.clone())));
+        calls.push(tokio::spawn(submit_in_turn(callers, entry.clone())));
         entries.push(entry);
         match i {
             20 => faults[0].begin(&mut cluster).await?,
@@ -233,23 +237,22 @@
     let mut outcomes = BTreeMap::<_, usize>::new();
     for entry in entries {
         let entry = entry.lock().await;
-        check(&cluster, &entry, &faults);
+        check_answers(&cluster, &entry, &faults);
         let answers = entry.answers.iter();
-        answers.for_each(|told| *outcomes.entry(told.answer.outcome).or_default() += 1);
+        answers.for_each(|response| *outcomes.entry(response.answer.outcome).or_default() += 1);
     }
     println!("seed {seed}: {faults:?}: {outcomes:?}");
     Ok(())
 }
 
-/// Every caller sees an answer that the workers bear out, whichever two faults meet: complete means that every task
-/// ran, once unless it is idempotent, and that these are its results; not run means that none started, to the end
-/// of the round; what may not start twice never does, though every job is submitted at all instances in turn.
+/// No pair of faults may make an answer false or start a start-once task twice. A complete answer has the results of tasks
+/// that ran, and after "not run" no task has started by the end of the round.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn two_faults_at_once() -> Result {
     let seeds = std::env::var("SEEDS")
         .ok()
         .and_then(|text| text.parse().ok());
-    let rounds = (1..=seeds.unwrap_or(ROUNDS)).map(|seed| Ok(round(seed)));
-    let rounds = stream::iter(rounds).try_buffer_unordered(ROUNDS as usize);
+    let rounds = (1..=seeds.unwrap_or(ROUND_COUNT)).map(|seed| Ok(run_round(seed)));
+    let rounds = stream::iter(rounds).try_buffer_unordered(ROUND_COUNT as usize);
     rounds.try_collect().await
 }
--- a/tests/proofs/ranges.rs
+++ b/tests/proofs/ranges.rs
@@ -1,111 +1,119 @@
-//! Keys from an instance's own range, which it admits without the table.
+//! Keys from an instance's own range, which it admits without a claim in the table.
 
 use super::*;
 
-/// Makes a job under a key of a range.
-fn keyed(range: &str, name: &str) -> Value {
-    with(job(name, [10]), "key", format!("{range}.{name}"))
+/// Returns a job under a key of a range.
+fn range_job(range: &str, name: &str) -> Value {
+    with_field(job(name, [10]), "key", format!("{range}.{name}"))
 }
 
-/// The caller sees complete answers to range keys while the table is down, also through another instance, which
-/// hands them to the owner. While the two are cut off from each other the other one says "unknown" and starts
-/// nothing, since only the owner knows the key; the owner goes on serving it.
+/// Jobs under range keys must complete during a table outage, also when another instance forwards them to the owner. While
+/// the owner is unreachable the other instance must answer "unknown" and start nothing: only the owner knows the key.
 #[tokio::test]
 async fn a_range_is_served_through_an_outage_and_a_cut() -> Result {
-    let mut cluster = launch(cluster()).await?;
-    let range = range(&cluster.instances[0]).await?;
+    let mut cluster = launch(cluster_builder()).await?;
+    let range = fetch_range(&cluster.instances[0]).await?;
     cluster.platform.down().await;
-    let (here, there, cut) = (keyed(&range, "a"), keyed(&range, "b"), keyed(&range, "c"));
+    let (here, there, cut) = (
+        range_job(&range, "a"),
+        range_job(&range, "b"),
+        range_job(&range, "c"),
+    );
     for job in [&here, &there] {
-        submit(&cluster, 1, job).await?.completes(job);
-        submit(&cluster, 0, job).await?.completes(job);
+        submit(&cluster, 1, job).await?.assert_complete(job);
+        submit(&cluster, 0, job).await?.assert_complete(job);
     }
     for proxy in &mut cluster.proxies.peers {
         proxy.cut().await;
     }
-    let told = submit(&cluster, 1, &cut).await?;
-    told.is(Outcome::Unknown, Reason::OwnerGone, 504);
-    started_each(&cluster, &cut, 0);
-    submit(&cluster, 0, &cut).await?.completes(&cut);
+    let response = submit(&cluster, 1, &cut).await?;
+    response.assert_is(Outcome::Unknown, Reason::OwnerGone, 504);
+    assert_start_counts(&cluster, &cut, 0);
+    submit(&cluster, 0, &cut).await?.assert_complete(&cut);
     for proxy in &mut cluster.proxies.peers {
         proxy.restore()?;
     }
-    complete(&cluster, 1, &cut).await?;
+    submit_until_complete(&cluster, 1, &cut).await?;
     for job in [&here, &there, &cut] {
-        started_each(&cluster, job, 1);
+        assert_start_counts(&cluster, job, 1);
     }
     Ok(())
 }
 
-/// The caller sees "unknown" for a key whose owner was killed, at a survivor and at the owner's next run, which
-/// is another incarnation and knows nothing of the key. Neither of them starts the job.
+/// No other incarnation may start a job under a range key whose owner was killed: its tasks may have run. The answer is
+/// "unknown" at the surviving instance and at the restarted one.
 #[tokio::test]
 async fn a_range_ends_with_its_owner() -> Result {
-    let mut cluster = launch(cluster()).await?;
-    let range = range(&cluster.instances[0]).await?;
-    let (ended, running, new) = (keyed(&range, "a"), keyed(&range, "b"), keyed(&range, "c"));
-    submit(&cluster, 0, &ended).await?.completes(&ended);
+    let mut cluster = launch(cluster_builder()).await?;
+    let range = fetch_range(&cluster.instances[0]).await?;
+    let (ended, running, new) = (
+        range_job(&range, "a"),
+        range_job(&range, "b"),
+        range_job(&range, "c"),
+    );
+    submit(&cluster, 0, &ended).await?.assert_complete(&ended);
     let mut slow = running;
     slow["tasks"][0]["payload"]["sleep_ms"] = json!(700);
-    let caller = crate::send(&cluster, 1, &slow);
-    started(&cluster, &slow).await?;
+    let caller = crate::spawn_submit(&cluster, 1, &slow);
+    wait_for_start(&cluster, &slow).await?;
     cluster.instances[0].kill().await?;
-    // The forwarded submission is answered for as soon as its connection is gone.
-    caller.await??.is(Outcome::Unknown, Reason::OwnerGone, 504);
+    // The broken connection ends the forwarded submission at once.
+    caller
+        .await??
+        .assert_is(Outcome::Unknown, Reason::OwnerGone, 504);
     cluster.restart(0).await?;
     cluster.instances[0].ready().await?;
     for instance in [0, 1] {
         for job in [&ended, &slow, &new] {
-            let told = submit(&cluster, instance, job).await?;
-            told.is(Outcome::Unknown, Reason::OwnerGone, 504);
+            let response = submit(&cluster, instance, job).await?;
+            response.assert_is(Outcome::Unknown, Reason::OwnerGone, 504);
         }
     }
-    started_each(&cluster, &ended, 1);
-    started_each(&cluster, &slow, 1);
-    started_each(&cluster, &new, 0);
+    assert_start_counts(&cluster, &ended, 1);
+    assert_start_counts(&cluster, &slow, 1);
+    assert_start_counts(&cluster, &new, 0);
     Ok(())
 }
 
-/// The caller sees "not run" for a key of a range that was never issued. Kept answers fill their bound then, so
-/// that ranges close and are dropped. A key that was never used is refused, a used one gets its kept answer or
-/// "unknown", and neither ever runs: what is dropped is dropped with its whole range, after the range closed.
+/// A key must not run a second time after its answer was dropped to limit memory. Answers are dropped with their whole
+/// range, which is closed before; keys of a closed range or of one that was never issued start nothing.
 #[tokio::test]
 async fn a_closed_range_admits_nothing() -> Result {
-    let cluster = launch(cluster().set("limits", "kept", "64KiB")).await?;
-    let first = range(&cluster.instances[0]).await?;
+    let cluster = launch(cluster_builder().set("limits", "kept", "64KiB")).await?;
+    let first = fetch_range(&cluster.instances[0]).await?;
     let (prefix, _) = first.rsplit_once('.').ok_or("no epoch")?;
-    let unissued = keyed(&format!("{prefix}.99"), "unissued");
-    let told = submit(&cluster, 0, &unissued).await?;
-    told.is(Outcome::NotRun, Reason::RangeClosed, 410);
-    let (mut used, mut told_of_first) = (Vec::new(), Vec::new());
+    let unissued = range_job(&format!("{prefix}.99"), "unissued");
+    let response = submit(&cluster, 0, &unissued).await?;
+    response.assert_is(Outcome::NotRun, Reason::RangeClosed, 410);
+    let (mut completed, mut first_range_reasons) = (Vec::new(), Vec::new());
     let mut current = first.clone();
-    while told_of_first.last() != Some(&Reason::Forgotten) {
-        let i = used.len() + told_of_first.len();
-        let new = keyed(&first, &format!("new-{i}"));
-        let told = submit(&cluster, 0, &new).await?;
-        let runs = usize::from(told.answer.reason == Reason::Done);
-        started_each(&cluster, &new, runs);
-        told_of_first.push(told.answer.reason);
-        // The range that is shown may be a moment old, and closed by now.
-        let mut job = keyed(&current, &format!("used-{i}"));
+    while first_range_reasons.last() != Some(&Reason::Forgotten) {
+        let i = completed.len() + first_range_reasons.len();
+        let new = range_job(&first, &format!("new-{i}"));
+        let response = submit(&cluster, 0, &new).await?;
+        let runs = usize::from(response.answer.reason == Reason::Done);
+        assert_start_counts(&cluster, &new, runs);
+        first_range_reasons.push(response.answer.reason);
+        // The range in the last response may have closed since.
+        let mut job = range_job(&current, &format!("used-{i}"));
         job["tasks"][0]["payload"]["bytes"] = json!(8_000);
-        let told = submit(&cluster, 0, &job).await?;
-        current.clone_from(&told.range);
-        match told.answer.outcome {
-            Outcome::Complete => used.push(job),
-            _ => told.is(Outcome::NotRun, Reason::RangeClosed, 410),
+        let response = submit(&cluster, 0, &job).await?;
+        current.clone_from(&response.range);
+        match response.answer.outcome {
+            Outcome::Complete => completed.push(job),
+            _ => response.assert_is(Outcome::NotRun, Reason::RangeClosed, 410),
         }
     }
-    told_of_first.dedup();
+    first_range_reasons.dedup();
     let order = [Reason::Done, Reason::RangeClosed, Reason::Forgotten];
-    assert_eq!(told_of_first, order);
-    for job in &used {
-        let told = submit(&cluster, 1, job).await?;
-        match told.answer.outcome {
-            Outcome::Complete => told.completes(job),
-            _ => told.is(Outcome::Unknown, Reason::Forgotten, 410),
+    assert_eq!(first_range_reasons, order);
+    for job in &completed {
+        let response = submit(&cluster, 1, job).await?;
+        match response.answer.outcome {
+            Outcome::Complete => response.assert_complete(job),
+            _ => response.assert_is(Outcome::Unknown, Reason::Forgotten, 410),
         }
-        started_each(&cluster, job, 1);
+        assert_start_counts(&cluster, job, 1);
     }
     Ok(())
 }
--- a/tests/proofs/restart.rs
+++ b/tests/proofs/restart.rs
@@ -1,4 +1,4 @@
-//! All instances restarted one after another under load.
+//! A rolling restart of all instances under load.
 
 use std::sync::{
     atomic::{
@@ -11,78 +11,86 @@
 
 use super::*;
 
-/// What the callers share: where the instances listen, and whether to go on.
+/// State that the callers share.
 #[derive(Default)]
 struct Load {
+    /// The addresses at which the instances serve callers.
     callers: Mutex<Vec<SocketAddr>>,
-    ended: AtomicBool,
-    next: AtomicUsize,
+    is_stopped: AtomicBool,
+    next_job: AtomicUsize,
 }
 
 impl Load {
-    /// Submits a job at one instance after the other until it is complete, always under the same key, which the
-    /// caller calls new until an answer is lost.
-    async fn complete(&self, job: &Value, mut at: usize) -> Result {
-        let lost = AtomicBool::new(false);
-        let lost = &lost;
+    /// Submits a job at the instances in turn until it is complete, always under the same key. The header declares the key
+    /// new until an answer is lost.
+    async fn submit_in_turn(&self, job: &Value, mut turn: usize) -> Result {
+        let has_lost_answer = AtomicBool::new(false);
+        let has_lost_answer = &has_lost_answer;
         until("the job is complete", || {
-            at += 1;
+            turn += 1;
             let callers = self.callers.lock().expect("no caller panics").clone();
-            let callers = callers[at % callers.len()];
+            let callers = callers[turn % callers.len()];
             async move {
-                let headers = if lost.load(Ordering::Acquire) {
+                let headers = if has_lost_answer.load(Ordering::Acquire) {
                     &[]
                 } else {
-                    FIRST
+                    FIRST_SUBMISSION
                 };
-                let Ok(told) = ask(callers, job, headers).await else {
-                    lost.store(true, Ordering::Release);
+                let Ok(response) = post_job(callers, job, headers).await else {
+                    has_lost_answer.store(true, Ordering::Release);
                     return None;
                 };
-                assert_ne!(told.answer.outcome, Outcome::Unknown, "{:?}", told.answer);
-                (told.answer.outcome == Outcome::Complete).then(|| told.completes(job))
+                assert_ne!(
+                    response.answer.outcome,
+                    Outcome::Unknown,
+                    "{:?}",
+                    response.answer
+                );
+                (response.answer.outcome == Outcome::Complete)
+                    .then(|| response.assert_complete(job))
             }
         })
         .await
     }
 
-    /// Submits job after job, and returns them.
-    async fn call(self: Arc<Self>) -> Result<Vec<Value>> {
+    /// Submits one job after another until the load is stopped, and returns them.
+    async fn submit_jobs(self: Arc<Self>) -> Result<Vec<Value>> {
         let mut jobs = Vec::new();
-        while !self.ended.load(Ordering::Acquire) {
-            let number = self.next.fetch_add(1, Ordering::AcqRel);
+        while !self.is_stopped.load(Ordering::Acquire) {
+            let number = self.next_job.fetch_add(1, Ordering::AcqRel);
             let job = job(&format!("restart-{number}"), [20, 40]);
-            self.complete(&job, number).await?;
+            self.submit_in_turn(&job, number).await?;
             jobs.push(job);
         }
         Ok(jobs)
     }
 }
 
-/// Callers keep submitting while every instance in turn is told to end and is started again. What is in progress is
-/// answered by the instance that ends; what it refuses is proved not run and goes elsewhere under the same key. No
-/// caller is left without its complete answer, none is told "unknown", and no task runs twice.
+/// A rolling restart must not cost a job: a draining instance completes its jobs and refuses others as "not run", so that
+/// callers resubmit them elsewhere. No answer is "unknown", and no task starts twice.
 #[tokio::test]
 async fn a_restart_of_all_instances_in_turn_loses_nothing() -> Result {
-    let mut cluster = launch(cluster().instances(3)).await?;
+    let mut cluster = launch(cluster_builder().instances(3)).await?;
     let load = Arc::new(Load::default());
-    let show = |cluster: &Cluster| {
+    let publish_addresses = |cluster: &Cluster| {
         let callers = cluster.instances.iter().map(|i| i.callers).collect();
         *load.callers.lock().expect("no caller panics") = callers;
     };
-    show(&cluster);
-    let calls: Vec<_> = (0..8).map(|_| tokio::spawn(load.clone().call())).collect();
+    publish_addresses(&cluster);
+    let calls: Vec<_> = (0..8)
+        .map(|_| tokio::spawn(load.clone().submit_jobs()))
+        .collect();
     for i in 0..cluster.instances.len() {
         cluster.instances[i].stop()?;
         assert_eq!(cluster.instances[i].exit().await?.code(), Some(0));
         cluster.restart(i).await?;
         cluster.instances[i].ready().await?;
-        show(&cluster);
+        publish_addresses(&cluster);
     }
-    load.ended.store(true, Ordering::Release);
+    load.is_stopped.store(true, Ordering::Release);
     for call in calls {
         for job in call.await?? {
-            started_each(&cluster, &job, 1);
+            assert_start_counts(&cluster, &job, 1);
         }
     }
     Ok(())
--- a/tests/proofs/resubmission.rs
+++ b/tests/proofs/resubmission.rs
@@ -1,140 +1,141 @@
-//! A job that its caller believes lost is submitted again, at the same instance or at another.
+//! Resubmission of a job under the same key, at the same instance or at another one.
 
 use super::*;
 
-/// The caller sees the same complete answer wherever and whenever it asks again. The first submission claims
-/// the key in the table; later ones find the claim and ask its owner, which joins them to the running job or
-/// gives the kept answer. So no task starts again.
+/// A resubmission at any instance must not start a task twice. It finds the claim in the table, and the claim's owner has it
+/// wait for the running job or returns the stored answer.
 #[tokio::test]
 async fn a_resubmission_joins_the_job_or_gets_its_answer() -> Result {
-    let cluster = launch(cluster().instances(3)).await?;
+    let cluster = launch(cluster_builder().instances(3)).await?;
     let job = job("join", [400, 600]);
-    let first = send(&cluster, 0, &job);
-    started(&cluster, &job).await?;
-    let again: Vec<_> = (0..3).map(|i| send(&cluster, i, &job)).collect();
-    for told in again.into_iter().chain([first]) {
-        told.await??.completes(&job);
+    let first = spawn_submit(&cluster, 0, &job);
+    wait_for_start(&cluster, &job).await?;
+    let resubmissions: Vec<_> = (0..3).map(|i| spawn_submit(&cluster, i, &job)).collect();
+    for response in resubmissions.into_iter().chain([first]) {
+        response.await??.assert_complete(&job);
     }
     for instance in 0..3 {
-        submit(&cluster, instance, &job).await?.completes(&job);
+        submit(&cluster, instance, &job)
+            .await?
+            .assert_complete(&job);
     }
-    started_each(&cluster, &job, 1);
+    assert_start_counts(&cluster, &job, 1);
     Ok(())
 }
 
-/// The caller sees a refusal for a body that differs from the one that its key was used with. The digest of the
-/// body is part of the claim, so that the owner and every other instance can tell. The second body never runs.
+/// A different body under a key that was used must be refused at every instance, instead of running or getting the answer
+/// to another job. The claim has the digest of the body.
 #[tokio::test]
 async fn the_same_key_with_another_body_is_refused() -> Result {
-    let cluster = launch(cluster()).await?;
+    let cluster = launch(cluster_builder()).await?;
     let kept = job("digest", [10]);
-    submit(&cluster, 0, &kept).await?.completes(&kept);
-    let other = with(job("other", [10]), "key", "digest");
+    submit(&cluster, 0, &kept).await?.assert_complete(&kept);
+    let other = with_field(job("other", [10]), "key", "digest");
     for instance in [0, 1] {
-        let told = submit(&cluster, instance, &other).await?;
-        told.is(Outcome::NotRun, Reason::Conflict, 409);
+        let response = submit(&cluster, instance, &other).await?;
+        response.assert_is(Outcome::NotRun, Reason::Conflict, 409);
     }
-    started_each(&cluster, &kept, 1);
-    started_each(&cluster, &other, 0);
+    assert_start_counts(&cluster, &kept, 1);
+    assert_start_counts(&cluster, &other, 0);
     Ok(())
 }
 
-/// The caller sees "unknown" soon while the owner of its key stands still, and the whole answer once it is awake.
-/// The other instance stops waiting for the owner when its heartbeats stay out, finds no recorded outcome, and
-/// must not run the job itself: the owner may wake at any moment and go on.
+/// An instance must not run a job whose owner is paused, since the owner may resume it. It answers "unknown" once the
+/// owner's heartbeats are missing.
 #[tokio::test]
 async fn a_stopped_owner_is_answered_for_and_never_replaced() -> Result {
-    let cluster = launch(cluster()).await?;
+    let cluster = launch(cluster_builder()).await?;
     let job = job("stopped", [700, 20]);
-    let first = send(&cluster, 0, &job);
-    started(&cluster, &job).await?;
+    let first = spawn_submit(&cluster, 0, &job);
+    wait_for_start(&cluster, &job).await?;
     cluster.instances[0].freeze()?;
-    let told = submit(&cluster, 1, &job).await;
+    let response = submit(&cluster, 1, &job).await;
     cluster.instances[0].thaw()?;
-    told?.is(Outcome::Unknown, Reason::OwnerGone, 504);
-    first.await??.completes(&job);
-    complete(&cluster, 1, &job).await?;
-    started_each(&cluster, &job, 1);
+    response?.assert_is(Outcome::Unknown, Reason::OwnerGone, 504);
+    first.await??.assert_complete(&job);
+    submit_until_complete(&cluster, 1, &job).await?;
+    assert_start_counts(&cluster, &job, 1);
     Ok(())
 }
 
-/// The caller sees the recorded answer of a job that had ended, short or long, and "unknown" for one that was
-/// running, when it asks after the owner was killed. The claim stands in the table for good and names a run of
-/// the owner that is over, so neither the survivor nor the owner's next run starts the job.
+/// After a crash of its owner, a job that had ended keeps its recorded answer, and one that was running is "unknown". No
+/// instance starts it again: the claim names the former incarnation.
 #[tokio::test]
 async fn a_killed_owner_leaves_its_claims_and_outcomes() -> Result {
-    let mut cluster = launch(cluster()).await?;
+    let mut cluster = launch(cluster_builder()).await?;
     let (short, mut long, lost) = (job("short", [10]), job("long", [10]), job("lost", [700]));
     long["tasks"][0]["payload"]["bytes"] = json!(40_000);
     for job in [&short, &long] {
-        submit(&cluster, 0, job).await?.completes(job);
+        submit(&cluster, 0, job).await?.assert_complete(job);
     }
     until("the outcomes are recorded", || async {
         (cluster.platform.rows("outcome/").len() == 2).then_some(())
     })
     .await?;
-    let caller = send(&cluster, 0, &lost);
-    started(&cluster, &lost).await?;
+    let caller = spawn_submit(&cluster, 0, &lost);
+    wait_for_start(&cluster, &lost).await?;
     cluster.instances[0].kill().await?;
     assert!(caller.await?.is_err());
-    submit(&cluster, 1, &short).await?.completes(&short);
-    submit(&cluster, 1, &long).await?.completes(&long);
-    let told = submit(&cluster, 1, &lost).await?;
-    told.is(Outcome::Unknown, Reason::OwnerGone, 504);
+    submit(&cluster, 1, &short).await?.assert_complete(&short);
+    submit(&cluster, 1, &long).await?.assert_complete(&long);
+    let response = submit(&cluster, 1, &lost).await?;
+    response.assert_is(Outcome::Unknown, Reason::OwnerGone, 504);
     cluster.restart(0).await?;
     for instance in &cluster.instances {
         instance.ready().await?;
     }
     for instance in [0, 1] {
-        let told = submit(&cluster, instance, &lost).await?;
-        told.is(Outcome::Unknown, Reason::OwnerGone, 504);
-        submit(&cluster, instance, &short).await?.completes(&short);
+        let response = submit(&cluster, instance, &lost).await?;
+        response.assert_is(Outcome::Unknown, Reason::OwnerGone, 504);
+        submit(&cluster, instance, &short)
+            .await?
+            .assert_complete(&short);
     }
     for job in [&short, &long, &lost] {
-        started_each(&cluster, job, 1);
+        assert_start_counts(&cluster, job, 1);
     }
     Ok(())
 }
 
-/// The caller sees the same complete answer from two instances that it asks at the same moment. Both insert a
-/// claim on the condition that there is none; the table lets one of them in, and the other finds its owner.
+/// Simultaneous submissions at two instances must run the job once. Both insert a claim on condition that there is none, so
+/// the table accepts only one.
 #[tokio::test]
 async fn two_instances_at_the_same_moment_run_it_once() -> Result {
-    let cluster = launch(cluster()).await?;
+    let cluster = launch(cluster_builder()).await?;
     let jobs: Vec<_> = (0..40).map(|i| job(&format!("same-{i}"), [20])).collect();
     let cluster = &cluster;
     let both = jobs.iter().flat_map(|job| [(job, 0), (job, 1)]);
     let calls = both.map(|(job, instance)| async move {
         Result::Ok((job, submit(cluster, instance, job).await?))
     });
-    for (job, told) in try_join_all(calls).await? {
-        told.completes(job);
+    for (job, response) in try_join_all(calls).await? {
+        response.assert_complete(job);
     }
-    jobs.iter().for_each(|job| started_each(cluster, job, 1));
+    jobs.iter()
+        .for_each(|job| assert_start_counts(cluster, job, 1));
     Ok(())
 }
 
-/// The caller sees the recorded answer of a job that its owner has dropped from memory, at the owner as elsewhere.
-/// The owner inserts a claim again and finds one of its own incarnation. Its nonce is another, so that claim
-/// belongs to an earlier job, which may have run: the outcome is read from the table and nothing is started.
+/// An owner that dropped a key from memory must not run its job a second time. The claim in the table has its incarnation
+/// but another nonce, so it returns the recorded outcome.
 #[tokio::test]
 async fn a_key_dropped_from_memory_stays_claimed() -> Result {
-    let cluster = launch(cluster().set("limits", "kept", "64KiB")).await?;
+    let cluster = launch(cluster_builder().set("limits", "kept", "64KiB")).await?;
     let first = job("dropped", [10]);
-    submit(&cluster, 0, &first).await?.completes(&first);
+    submit(&cluster, 0, &first).await?.assert_complete(&first);
     let path = "/v1/jobs/risk/dropped";
     for i in 0.. {
         let mut filler = job(&format!("filler-{i}"), [1]);
         filler["tasks"][0]["payload"]["bytes"] = json!(15_000);
-        submit(&cluster, 0, &filler).await?.completes(&filler);
-        let known = client::get(cluster.instances[0].callers, path).await?;
-        if known.status == 410 {
+        submit(&cluster, 0, &filler).await?.assert_complete(&filler);
+        let response = client::get(cluster.instances[0].callers, path).await?;
+        if response.status == 410 {
             break;
         }
     }
     for instance in [0, 1] {
-        complete(&cluster, instance, &first).await?;
+        submit_until_complete(&cluster, instance, &first).await?;
     }
-    started_each(&cluster, &first, 1);
+    assert_start_counts(&cluster, &first, 1);
     Ok(())
 }
--- a/tests/proofs/store.rs
+++ b/tests/proofs/store.rs
@@ -1,164 +1,167 @@
-//! The platform's table loses answers, writes late, is slow, is down or hangs.
+//! Faults of the platform's table: lost answers, late writes, delays, outages and hangs.
 
 use super::*;
 
-/// Checks that a refusal tells when to come back.
-fn refused(told: &Told, outcome: Outcome) {
-    told.is(outcome, Reason::Store, 503);
-    assert!(told.answer.retry.is_some(), "{told:?}");
+/// Checks that a job was refused for the table's fault, with a retry delay.
+fn assert_retryable(response: &Response, outcome: Outcome) {
+    response.assert_is(outcome, Reason::Store, 503);
+    assert!(response.answer.retry.is_some(), "{response:?}");
 }
 
-/// The caller sees a complete answer although the answer to the claim never came. The claim took effect before
-/// its answer was lost. The instance reads the row back and knows its own claim by the nonce, so it neither
-/// refuses the job nor runs it under a second claim.
+/// When the answer to a claim that took effect is lost, the instance must neither refuse the job nor run it under a second
+/// claim. It reads the row and recognizes its own claim by the nonce.
 #[tokio::test]
 async fn a_lost_answer_to_a_claim_is_read_back() -> Result {
-    let cluster = launch(cluster()).await?;
+    let cluster = launch(cluster_builder()).await?;
     for i in 0..4 {
         let job = job(&format!("lost-{i}"), [10]);
         cluster.platform.fault(|f| f.swallow = 1);
-        submit(&cluster, 0, &job).await?.completes(&job);
-        submit(&cluster, 1, &job).await?.completes(&job);
-        started_each(&cluster, &job, 1);
+        submit(&cluster, 0, &job).await?.assert_complete(&job);
+        submit(&cluster, 1, &job).await?.assert_complete(&job);
+        assert_start_counts(&cluster, &job, 1);
     }
     assert!(
         cluster.instances[0].log().contains("E010"),
-        "no claim was unsettled"
+        "no answer to a claim was lost"
     );
     Ok(())
 }
 
-/// The caller sees a complete answer although its claim is written long after the instance gave up on it. The
-/// instance finds no row and inserts the same claim again, and the late write then fails on its condition.
+/// A claim that is written after its timeout must not take effect twice. The instance inserts the same claim again, so the
+/// late write fails on its condition.
 #[tokio::test]
 async fn a_claim_that_lands_late_changes_nothing() -> Result {
-    let cluster = launch(cluster()).await?;
+    let cluster = launch(cluster_builder()).await?;
     let job = job("late", [10]);
     let lateness = Duration::from_millis(900);
     cluster
         .platform
         .fault(|f| (f.late, f.lateness) = (1, lateness));
-    submit(&cluster, 0, &job).await?.completes(&job);
+    submit(&cluster, 0, &job).await?.assert_complete(&job);
     sleep(lateness).await;
     for instance in [0, 1] {
-        submit(&cluster, instance, &job).await?.completes(&job);
+        submit(&cluster, instance, &job)
+            .await?
+            .assert_complete(&job);
     }
-    started_each(&cluster, &job, 1);
+    assert_start_counts(&cluster, &job, 1);
     Ok(())
 }
 
-/// The caller sees "not run" when its deadline passes before the claim is settled, and then the write lands
-/// after all. The claim now stands in the table without a job. It has started nothing by itself, and a
-/// resubmission at another instance leads to the owner, which knows the nonce and runs the job once.
+/// A claim that is written after its job was refused at the deadline must start nothing, and must not block the key. A
+/// resubmission at another instance is forwarded to the owner, which runs the job once.
 #[tokio::test]
 async fn a_claim_that_lands_after_the_refusal_starts_nothing() -> Result {
-    let cluster = launch(cluster()).await?;
-    let job = with(job("after", [10]), "deadline_ms", 500);
+    let cluster = launch(cluster_builder()).await?;
+    let job = with_field(job("after", [10]), "deadline_ms", 500);
     let late = Duration::from_millis(1_500);
     cluster.platform.fault(|f| (f.late, f.lateness) = (9, late));
-    let told = ask(cluster.instances[0].callers, &job, FIRST).await?;
-    refused(&told, Outcome::NotRun);
+    let response = post_job(cluster.instances[0].callers, &job, FIRST_SUBMISSION).await?;
+    assert_retryable(&response, Outcome::NotRun);
     cluster.platform.fault(|f| f.late = 0);
-    until("the claim lands", || async {
+    until("the claim is written", || async {
         cluster.platform.row("claim/risk/after")
     })
     .await?;
-    started_each(&cluster, &job, 0);
-    complete(&cluster, 1, &job).await?;
-    started_each(&cluster, &job, 1);
+    assert_start_counts(&cluster, &job, 0);
+    submit_until_complete(&cluster, 1, &job).await?;
+    assert_start_counts(&cluster, &job, 1);
     Ok(())
 }
 
-/// Jobs that need no claim, each under its name: idempotent, with a key of the instance's range, without a key.
-fn unclaimed(name: &str, range: &str) -> [Value; 3] {
+/// Returns jobs that need no claim: an idempotent one, one with a range key, and one without a key.
+fn jobs_without_claim(name: &str, range: &str) -> [Value; 3] {
     [
-        with(
+        with_field(
             job(&format!("{name}-idempotent"), [10]),
             "class",
             "idempotent",
         ),
-        with(
+        with_field(
             job(&format!("{name}-range"), [10]),
             "key",
             format!("{range}.{name}"),
         ),
-        with(job(&format!("{name}-keyless"), [10]), "key", Value::Null),
+        with_field(job(&format!("{name}-keyless"), [10]), "key", Value::Null),
     ]
 }
 
-/// Checks what is served and what is refused while the table doesn't answer, and that nothing refused ran.
-async fn survive(cluster: &Cluster, name: &str) -> Result<[Value; 2]> {
+/// Checks that jobs without a claim complete and others are refused while the table doesn't answer, and returns the latter.
+async fn check_during_outage(cluster: &Cluster, name: &str) -> Result<[Value; 2]> {
     let callers = cluster.instances[0].callers;
     let (new, old) = (
         job(&format!("{name}-new"), [10]),
         job(&format!("{name}-old"), [10]),
     );
-    refused(&ask(callers, &new, FIRST).await?, Outcome::NotRun);
-    let told = submit(cluster, 0, &old).await?;
-    refused(&told, Outcome::Unknown);
-    for job in unclaimed(name, &told.range) {
-        submit(cluster, 0, &job).await?.completes(&job);
-        started_each(cluster, &job, 1);
+    assert_retryable(
+        &post_job(callers, &new, FIRST_SUBMISSION).await?,
+        Outcome::NotRun,
+    );
+    let response = submit(cluster, 0, &old).await?;
+    assert_retryable(&response, Outcome::Unknown);
+    for job in jobs_without_claim(name, &response.range) {
+        submit(cluster, 0, &job).await?.assert_complete(&job);
+        assert_start_counts(cluster, &job, 1);
     }
     for job in [&new, &old] {
-        started_each(cluster, job, 0);
+        assert_start_counts(cluster, job, 0);
     }
     Ok([new, old])
 }
 
-/// Checks that the refused jobs run once, submitted again at both instances when the table is back.
-async fn recover(cluster: &Cluster, refused: &[Value]) -> Result {
+/// Checks that refused jobs run once when they are resubmitted at both instances after the outage.
+async fn check_after_outage(cluster: &Cluster, refused: &[Value]) -> Result {
     for job in refused {
-        complete(cluster, 1, job).await?;
-        complete(cluster, 0, job).await?;
-        started_each(cluster, job, 1);
+        submit_until_complete(cluster, 1, job).await?;
+        submit_until_complete(cluster, 0, job).await?;
+        assert_start_counts(cluster, job, 1);
     }
     Ok(())
 }
 
-/// The caller sees a refusal at once for a key of its own choice: "not run" where it called the key new, and
-/// "unknown" where it did not, since an earlier copy may have run elsewhere. Everything that needs no claim is
-/// served as ever. After the outage the same keys run once.
+/// An outage of the table must refuse only jobs that need a claim: with "not run" if the header declares the key new, else
+/// with "unknown", since an earlier submission may have run. All other jobs complete.
 #[tokio::test]
 async fn an_outage_refuses_only_what_needs_a_claim() -> Result {
-    let cluster = launch(cluster()).await?;
+    let cluster = launch(cluster_builder()).await?;
     cluster.platform.down().await;
-    let down = survive(&cluster, "down").await?;
+    let down = check_during_outage(&cluster, "down").await?;
     cluster.platform.up()?;
-    recover(&cluster, &down).await?;
+    check_after_outage(&cluster, &down).await?;
     cluster.platform.fault(|f| f.unavailable = true);
-    let unavailable = survive(&cluster, "unavailable").await?;
+    let unavailable = check_during_outage(&cluster, "unavailable").await?;
     cluster.platform.fault(|f| f.unavailable = false);
-    recover(&cluster, &unavailable).await
+    check_after_outage(&cluster, &unavailable).await
 }
 
-/// The caller sees the same refusals soon from a table that takes requests and answers none, or answers far too
-/// late. The first claims time out; that they may have landed keeps the instance from running them under
-/// another claim, but must not hold their callers until the deadline.
+/// A table that hangs, or answers after the timeout, must not delay refusals until the deadline. The timed-out claims may
+/// have been written, so their jobs don't run under other claims.
 #[tokio::test]
 async fn a_table_that_hangs_refuses_soon() -> Result {
-    let cluster = launch(cluster()).await?;
+    let cluster = launch(cluster_builder()).await?;
     cluster.platform.fault(|f| f.hang = true);
-    let hung = survive(&cluster, "hung").await?;
+    let hung = check_during_outage(&cluster, "hung").await?;
     cluster.platform.fault(|f| f.hang = false);
-    recover(&cluster, &hung).await?;
+    check_after_outage(&cluster, &hung).await?;
     cluster.platform.fault(|f| f.slow = Duration::from_secs(2));
-    let slow = survive(&cluster, "slow").await?;
+    let slow = check_during_outage(&cluster, "slow").await?;
     cluster.platform.fault(|f| f.slow = Duration::ZERO);
-    recover(&cluster, &slow).await
+    check_after_outage(&cluster, &slow).await
 }
 
-/// The caller sees complete answers while the table is slow within its timeout.
+/// Jobs must complete while the table is slow but answers within its timeout.
 #[tokio::test]
 async fn a_slow_table_costs_only_time() -> Result {
-    let cluster = launch(cluster()).await?;
+    let cluster = launch(cluster_builder()).await?;
     cluster
         .platform
         .fault(|f| f.slow = Duration::from_millis(150));
     let job = job("slow", [10, 10]);
     for instance in [0, 1] {
-        submit(&cluster, instance, &job).await?.completes(&job);
+        submit(&cluster, instance, &job)
+            .await?
+            .assert_complete(&job);
     }
-    started_each(&cluster, &job, 1);
+    assert_start_counts(&cluster, &job, 1);
     Ok(())
 }
