--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,15 +1,14 @@
-//! A randomized soak: real instances as processes on stand-ins of the platform, with faults from outside in series that
-//! overlap, and callers that come again after a broken connection.
+//! A randomized soak test: real instances as processes on simulated platform components, overlapping faults, and callers
+//! that retry after a broken connection.
 //!
-//! Instances reach endpoints and the store through proxies that delay, reset, swallow one way and silence. Half of the
-//! callers keep their connections open until these end, and some go before their answer.
+//! Instances reach endpoints and the store through proxies that delay, drop one direction or stop forwarding. Half of the
+//! callers keep their connections open, and some disconnect before their answer. A third of the callers submit stored jobs,
+//! which are queried at the end.
 //!
-//! A third of the callers hand in jobs that are stored, and ask for them at the end.
-//!
-//! While it runs it checks what callers and endpoints see: no task runs twice at a time; "completed" means that every task
-//! was done; "not run" means that none was; and an instance that was only asked to end cuts nobody off. One seed is one
-//! order of faults. `SOAK_SEEDS=FROM-TO cargo test --test soak` plays others than the kept ones.
-#![allow(dead_code)] // The other tests use more of the stand-ins.
+//! The test checks that no task runs twice at a time, that "completed" means that every task was done, that "not run" means
+//! that no task started, and that an instance cuts no caller off without a kill or a pause. Each seed gives one sequence of
+//! faults. `SOAK_SEEDS=FROM-TO cargo test --test soak` runs other seeds than the default ones.
+#![allow(dead_code)] // Other tests use more of these modules.
 
 #[path = "platform/fleet.rs"]
 mod fleet;
@@ -68,65 +67,68 @@
     Instant, //
 };
 
-/// Seeds that are played always. A seed that ever failed stays here, with a line on the cause.
-const KEPT: [u64; 2] = [
-    1, // An instance whose drain had no time left cut its callers off.
-    3, // An instance that was asked to end closed a connection that it had just accepted.
+/// Seeds that run by default, with the failure that each guards against. A seed that finds a fault is added.
+const DEFAULT_SEEDS: [u64; 2] = [
+    1, // An instance without time left to drain cuts its callers off.
+    3, // A draining instance closes a connection that it has just accepted.
 ];
-const NODES: usize = 4;
-const RUNNERS: usize = 6;
-const CALLERS: u64 = 6;
-/// `SOAK_SIZE=large` plays with so many instances, endpoints and callers.
-const LARGE: (usize, usize, u64) = (24, 60, 48);
-/// Tells the random numbers of the links from those of the processes.
-const LINKS: u64 = 0x5eed;
-/// One caller in so many goes before its answer.
-const LEAVES: u32 = 12;
-const TASKS: u32 = 3;
-/// How long faults come.
-const SPAN: Duration = Duration::from_secs(8);
-/// After which a caller comes again.
-const RETRY: Duration = Duration::from_millis(1_300);
-/// How long after a kill or a pause broken connections are its effect.
-const SHADOW: Duration = Duration::from_secs(8);
+const INSTANCE_COUNT: usize = 4;
+const ENDPOINT_COUNT: usize = 6;
+const CALLER_COUNT: u64 = 6;
+/// The numbers of instances, endpoints and callers with `SOAK_SIZE=large`.
+const LARGE_SIZE: (usize, usize, u64) = (24, 60, 48);
+/// XORed with a seed to seed the link faults, which are drawn independently of the process faults.
+const LINK_SEED_MASK: u64 = 0x5eed;
+/// One submission in this many is aborted before its answer.
+const ABORT_RATIO: u32 = 12;
+/// Tasks in each job.
+const TASK_COUNT: u32 = 3;
+/// The time for which faults are injected.
+const FAULT_SPAN: Duration = Duration::from_secs(8);
+/// The delay before a caller retries.
+const RETRY_DELAY: Duration = Duration::from_millis(1_300);
+/// The time after a kill or a pause in which a broken connection is attributed to it.
+const DISRUPTION_SPAN: Duration = Duration::from_secs(8);
 
-/// What the soak knows of an instance.
+/// The state of an instance across its processes.
 struct Slot {
     node: Mutex<Arc<Node>>,
-    /// When it was killed or paused last.
-    hurt: Mutex<Option<Instant>>,
-    /// What its former processes logged.
+    /// The time of the last kill, or of the start or end of the last pause.
+    disrupted_at: Mutex<Option<Instant>>,
+    /// The logs of its former processes.
     log: Mutex<String>,
 }
 
 impl Slot {
-    /// Tells whether a connection that breaks may be the effect of a kill or a pause.
-    fn harmed(&self) -> bool {
-        let hurt = *self.hurt.lock().unwrap();
-        hurt.is_some_and(|at| at.elapsed() < SHADOW)
+    /// Returns whether a broken connection may be the effect of a kill or a pause.
+    fn is_disrupted(&self) -> bool {
+        let disrupted_at = *self.disrupted_at.lock().unwrap();
+        disrupted_at.is_some_and(|at| at.elapsed() < DISRUPTION_SPAN)
     }
 }
 
+/// The answers that callers got, and violations of the guarantees.
 #[derive(Default)]
 struct Ledger {
     completed: HashSet<u64>,
-    /// Jobs of which every answer said that nothing was run.
+    /// Whether every submission of a job was refused, by job.
     refused: HashMap<u64, bool>,
-    faults: Vec<String>,
-    /// Jobs whose kept connection ended without an answer, with the instance and the time: no harm if nothing of it had
-    /// begun by then.
-    ended: Vec<(u64, String, Instant)>,
-    answered: usize,
+    violations: Vec<String>,
+    /// Jobs whose reused connection closed without an answer, with the instance and the time. That is allowed if no task
+    /// had started by then.
+    closed: Vec<(u64, String, Instant)>,
+    answer_count: usize,
     /// Stored jobs that were accepted.
     accepted: HashSet<u64>,
 }
 
 type Slots = Arc<Vec<Slot>>;
 
-fn size() -> (usize, usize, u64) {
+/// Returns the numbers of instances, endpoints and callers.
+fn fleet_size() -> (usize, usize, u64) {
     match std::env::var("SOAK_SIZE").as_deref() {
-        Ok("large") => LARGE,
-        _ => (NODES, RUNNERS, CALLERS),
+        Ok("large") => LARGE_SIZE,
+        _ => (INSTANCE_COUNT, ENDPOINT_COUNT, CALLER_COUNT),
     }
 }
 
@@ -134,73 +136,83 @@
     Path::new(env!("CARGO_BIN_EXE_poplarknot"))
 }
 
+/// Returns the seeds to run.
 fn seeds() -> Vec<u64> {
     let Ok(range) = std::env::var("SOAK_SEEDS") else {
-        return KEPT.to_vec();
+        return DEFAULT_SEEDS.to_vec();
     };
-    let (from, to) = range.split_once('-').expect("SOAK_SEEDS is FROM-TO");
+    let (from, to) = range
+        .split_once('-')
+        .expect("SOAK_SEEDS has the form FROM-TO");
     (from.parse().unwrap()..=to.parse().unwrap()).collect()
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn promises_hold_under_faults() -> Result {
-    let mut faults = Vec::new();
+    let mut violations = Vec::new();
     for seed in seeds() {
         println!("seed {seed}");
-        let found = soak(seed).await?;
-        let named = found
+        let found = run_soak(seed).await?;
+        let with_seed = found
             .into_iter()
-            .map(|fault| format!("seed {seed}: {fault}"));
-        faults.extend(named);
+            .map(|violation| format!("seed {seed}: {violation}"));
+        violations.extend(with_seed);
     }
-    assert!(faults.is_empty(), "{faults:#?}");
+    assert!(violations.is_empty(), "{violations:#?}");
     Ok(())
 }
 
-/// Plays one order of faults; returns what was wrong.
-async fn soak(seed: u64) -> Result<Vec<String>> {
+/// Runs a fleet with the faults of one seed, and returns the violations.
+async fn run_soak(seed: u64) -> Result<Vec<String>> {
     let mut random = SmallRng::seed_from_u64(seed);
-    let takes = Duration::from_millis([60, 200, 700][random.random_range(0..3)]);
-    let (instances, endpoints, callers) = size();
-    let mut fleet = Fleet::behind_proxies(program(), instances, endpoints, takes).await?;
+    let task_duration = Duration::from_millis([60, 200, 700][random.random_range(0..3)]);
+    let (instances, endpoints, callers) = fleet_size();
+    let mut fleet = Fleet::behind_proxies(program(), instances, endpoints, task_duration).await?;
     let nodes = std::mem::take(&mut fleet.nodes);
     let slot = |node| Slot {
         node: Mutex::new(Arc::new(node)),
-        hurt: Mutex::default(),
+        disrupted_at: Mutex::default(),
         log: Mutex::default(),
     };
     let slots: Slots = Arc::new(nodes.into_iter().map(slot).collect());
     let ledger: Arc<Mutex<Ledger>> = Arc::default();
-    let end = Instant::now() + SPAN;
+    let end = Instant::now() + FAULT_SPAN;
     let callers: Vec<_> = (0..callers)
         .map(|caller| {
             let random = SmallRng::seed_from_u64(seed * 1_000 + caller);
-            let call = call(caller, random, slots.clone(), ledger.clone(), takes, end);
+            let call = submit_jobs(
+                caller,
+                random,
+                slots.clone(),
+                ledger.clone(),
+                task_duration,
+                end,
+            );
             tokio::spawn(call)
         })
         .collect();
-    let links = SmallRng::seed_from_u64(seed ^ LINKS);
-    let (hurt, ()) = tokio::join!(
-        harm(&mut random, &fleet, &slots, end),
-        harm_links(links, &fleet, end),
+    let link_random = SmallRng::seed_from_u64(seed ^ LINK_SEED_MASK);
+    let (result, ()) = tokio::join!(
+        inject_faults(&mut random, &fleet, &slots, end),
+        inject_link_faults(link_random, &fleet, end),
     );
-    hurt?;
+    result?;
     for caller in callers {
         caller.await?;
     }
-    ask_for_accepted(&slots, &ledger).await?;
-    // Callers that broke off may have left runs, which are stopped or lapse.
+    wait_for_stored_jobs(&slots, &ledger).await?;
+    // Aborted submissions may have left running tasks, which are stopped or lose their lease.
     sleep(Duration::from_millis(1_500)).await;
     fleet.judge();
-    let faults = settle(&fleet, &ledger);
-    if !faults.is_empty() {
-        keep_logs(seed, &slots)?;
+    let violations = find_violations(&fleet, &ledger);
+    if !violations.is_empty() {
+        write_logs(seed, &slots)?;
     }
-    Ok(faults)
+    Ok(violations)
 }
 
-/// Writes the logs of all instances to files that outlive the test.
-fn keep_logs(seed: u64, slots: &Slots) -> Result {
+/// Writes the logs of all instances to files that remain after the test.
+fn write_logs(seed: u64, slots: &Slots) -> Result {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("soak-{seed}"));
     std::fs::create_dir_all(&folder)?;
     for slot in slots.iter() {
@@ -212,8 +224,8 @@
     Ok(())
 }
 
-/// Asks for every stored job that was accepted until it is complete, at all instances in turn.
-async fn ask_for_accepted(slots: &Slots, ledger: &Mutex<Ledger>) -> Result {
+/// Queries every accepted stored job, at all instances in turn, until it is complete.
+async fn wait_for_stored_jobs(slots: &Slots, ledger: &Mutex<Ledger>) -> Result {
     let accepted: Vec<u64> = ledger.lock().unwrap().accepted.iter().copied().collect();
     for id in accepted {
         let mut turn = 0;
@@ -230,7 +242,7 @@
             Ok(()) => ledger.lock().unwrap(),
             Err(error) => {
                 let mut ledger = ledger.lock().unwrap();
-                ledger.faults.push(format!("{id:016x}: {error}"));
+                ledger.violations.push(format!("{id:016x}: {error}"));
                 ledger
             }
         };
@@ -239,111 +251,113 @@
     Ok(())
 }
 
-/// Checks answers against what endpoints ran.
-fn settle(fleet: &Fleet, ledger: &Mutex<Ledger>) -> Vec<String> {
+/// Returns the violations, among them answers that contradict what endpoints ran.
+fn find_violations(fleet: &Fleet, ledger: &Mutex<Ledger>) -> Vec<String> {
     let mut ledger = ledger.lock().unwrap();
     let mut done: HashMap<String, HashSet<String>> = HashMap::new();
-    let mut begun: HashMap<String, Instant> = HashMap::new();
+    let mut started_at: HashMap<String, Instant> = HashMap::new();
     for past in fleet.runners.iter().flat_map(|runner| runner.history()) {
         let job = past.task.split('.').next().unwrap_or_default().to_owned();
-        let first = begun.entry(job.clone()).or_insert(past.from);
+        let first = started_at.entry(job.clone()).or_insert(past.from);
         *first = past.from.min(*first);
         if past.how == "done" {
             done.entry(job).or_default().insert(past.task);
         }
     }
-    let mut faults = std::mem::take(&mut ledger.faults);
+    let mut violations = std::mem::take(&mut ledger.violations);
     for id in &ledger.completed {
-        let ended = done.get(&format!("{id:016x}")).map_or(0, HashSet::len);
-        if ended < TASKS as usize {
-            faults.push(format!("{id:016x} was completed with {ended} tasks done"));
+        let done_count = done.get(&format!("{id:016x}")).map_or(0, HashSet::len);
+        if done_count < TASK_COUNT as usize {
+            violations.push(format!(
+                "{id:016x} was completed with {done_count} tasks done"
+            ));
         }
     }
     for (id, refused) in &ledger.refused {
-        if *refused && begun.contains_key(&format!("{id:016x}")) {
-            faults.push(format!("{id:016x} was told not run, and ran"));
+        if *refused && started_at.contains_key(&format!("{id:016x}")) {
+            violations.push(format!("{id:016x} was answered not run, and ran"));
         }
     }
-    for (id, name, at) in &ledger.ended {
-        let first = begun.get(&format!("{id:016x}"));
+    for (id, name, at) in &ledger.closed {
+        let first = started_at.get(&format!("{id:016x}"));
         if first.is_some_and(|first| first < at) {
-            faults.push(format!(
-                "{id:016x} was cut off by {name} after it had begun"
+            violations.push(format!(
+                "{id:016x} was cut off by {name} after it had started"
             ));
         }
     }
     println!(
         "  {} answers, {} complete",
-        ledger.answered,
+        ledger.answer_count,
         ledger.completed.len()
     );
     if ledger.completed.is_empty() {
-        faults.push("nothing was complete".to_owned());
+        violations.push("no job was completed".to_owned());
     }
-    faults
+    violations
 }
 
-/// Hands jobs in one after the other, and comes again elsewhere after a broken connection or a 504.
-async fn call(
+/// Submits one job after another, and retries at a random instance after a broken connection or a 504.
+async fn submit_jobs(
     caller: u64,
     mut random: SmallRng,
     slots: Slots,
     ledger: Arc<Mutex<Ledger>>,
-    takes: Duration,
+    task_duration: Duration,
     end: Instant,
 ) {
     let mut job = 0;
-    let keeps = caller % 2 == 1;
-    let stores = caller % 3 == 2;
-    let mut kept: HashMap<String, Client> = HashMap::new();
+    let is_keep_alive = caller % 2 == 1;
+    let is_stored = caller % 3 == 2;
+    let mut connections: HashMap<String, Client> = HashMap::new();
     while Instant::now() < end {
         job += 1;
         let id = caller << 32 | job;
         for attempt in 0..3 {
             let slot = &slots[random.random_range(0..slots.len())];
             let node = slot.node.lock().unwrap().clone();
-            let leaves = random.random_ratio(1, LEAVES);
-            let patience = match leaves {
+            let is_aborted = random.random_ratio(1, ABORT_RATIO);
+            let wait = match is_aborted {
                 true => Duration::from_millis(random.random_range(1..200)),
                 false => Duration::from_secs(60),
             };
-            let estimate = takes.as_millis() as u64;
-            let body = job_body(TASKS, estimate, !stores);
-            let reused = kept.contains_key(&node.ip);
+            let estimate = task_duration.as_millis() as u64;
+            let body = job_body(TASK_COUNT, estimate, !is_stored);
+            let is_reused = connections.contains_key(&node.ip);
             let submit = async {
-                let mut client = match kept.remove(&node.ip) {
+                let mut client = match connections.remove(&node.ip) {
                     Some(client) => client,
                     None => Client::connect(node.front()).await?,
                 };
                 let answer = node.submit_over(&mut client, id, &body).await?;
-                if keeps && answer.header("connection") != Some("close") {
-                    kept.insert(node.ip.clone(), client);
+                if is_keep_alive && answer.header("connection") != Some("close") {
+                    connections.insert(node.ip.clone(), client);
                 }
                 Ok(answer)
             };
-            let Ok(answer) = timeout(patience, submit).await else {
-                // It has gone, and doesn't know what became of its job.
+            let Ok(answer) = timeout(wait, submit).await else {
+                // The submission was aborted, so the job may have run.
                 ledger.lock().unwrap().refused.insert(id, false);
                 break;
             };
-            if reused && answer.is_err() {
+            if is_reused && answer.is_err() {
                 let mut ledger = ledger.lock().unwrap();
                 ledger.refused.insert(id, false);
-                // An earlier attempt may have begun elsewhere.
-                if attempt == 0 && !slot.harmed() {
-                    ledger.ended.push((id, node.name.clone(), Instant::now()));
+                // After a retry, an earlier submission may have started tasks.
+                if attempt == 0 && !slot.is_disrupted() {
+                    ledger.closed.push((id, node.name.clone(), Instant::now()));
                 }
-            } else if note(&ledger, id, slot, &node.name, &answer) {
+            } else if record_answer(&ledger, id, slot, &node.name, &answer) {
                 break;
             }
-            sleep(RETRY).await;
+            sleep(RETRY_DELAY).await;
         }
         sleep(Duration::from_millis(random.random_range(5..60))).await;
     }
 }
 
-/// Takes note of an answer or its absence; returns whether the caller is through with the job.
-fn note(
+/// Records an answer or a failed submission. Returns whether the caller is done with the job.
+fn record_answer(
     ledger: &Mutex<Ledger>,
     id: u64,
     slot: &Slot,
@@ -353,10 +367,10 @@
     let mut ledger = ledger.lock().unwrap();
     let status = answer.as_ref().map_or(0, |answer| answer.status);
     *ledger.refused.entry(id).or_insert(true) &= status == 503;
-    let hurt = slot.harmed();
+    let is_disrupted = slot.is_disrupted();
     match answer {
         Ok(answer) => {
-            ledger.answered += 1;
+            ledger.answer_count += 1;
             let text = String::from_utf8_lossy(&answer.body);
             if status == 200 && text.contains("queued") {
                 ledger.accepted.insert(id);
@@ -367,37 +381,42 @@
             status != 504
         }
         Err(error) => {
-            if !hurt && !refused_connection(error.as_ref()) {
-                let fault = format!("{id:016x} was cut off by {name}: {error}");
-                ledger.faults.push(fault);
+            if !is_disrupted && !is_connection_error(error.as_ref()) {
+                let violation = format!("{id:016x} was cut off by {name}: {error}");
+                ledger.violations.push(violation);
             }
             false
         }
     }
 }
 
-/// Tells whether nothing was sent: an instance that has ended refuses connections.
-fn refused_connection(error: &(dyn std::error::Error + 'static)) -> bool {
+/// Returns whether connecting failed, so that nothing was sent: an instance that has ended refuses connections.
+fn is_connection_error(error: &(dyn std::error::Error + 'static)) -> bool {
     error.downcast_ref::<std::io::Error>().is_some()
 }
 
-/// Does one thing after the other to the fleet, without waiting for the last to heal.
-async fn harm(random: &mut SmallRng, fleet: &Fleet, slots: &Slots, end: Instant) -> Result {
+/// Injects one fault after another into processes and the store, without waiting for the previous one to end.
+async fn inject_faults(
+    random: &mut SmallRng,
+    fleet: &Fleet,
+    slots: &Slots,
+    end: Instant,
+) -> Result {
     let mut version = 7;
-    let mut healing = Vec::new();
+    let mut recoveries = Vec::new();
     while Instant::now() < end {
         sleep(Duration::from_millis(random.random_range(200..900))).await;
         let i = random.random_range(0..slots.len());
         let down = Duration::from_millis(random.random_range(200..1_500));
         let slots = slots.clone();
         match random.random_range(0..9) {
-            0 | 1 => healing.push(tokio::spawn(restart(slots, i, Signal::SIGKILL, down))),
-            2 => healing.push(tokio::spawn(restart(slots, i, Signal::SIGTERM, down))),
-            3 | 4 => healing.push(tokio::spawn(pause(slots, i, down * 2))),
+            0 | 1 => recoveries.push(tokio::spawn(restart(slots, i, Signal::SIGKILL, down))),
+            2 => recoveries.push(tokio::spawn(restart(slots, i, Signal::SIGTERM, down))),
+            3 | 4 => recoveries.push(tokio::spawn(pause(slots, i, down * 2))),
             5 => {
                 fleet.store.mood([Mood::Busy, Mood::Silent][i % 2]);
                 let store = fleet.store.clone();
-                healing.push(tokio::spawn(async move {
+                recoveries.push(tokio::spawn(async move {
                     sleep(down).await;
                     store.mood(Mood::Well);
                     Ok(())
@@ -411,15 +430,15 @@
             }
         }
     }
-    for heal in healing {
-        heal.await??;
+    for recovery in recoveries {
+        recovery.await??;
     }
     fleet.store.mood(Mood::Well);
     Ok(())
 }
 
-/// Harms the links to endpoints and to the store, one after the other and overlapping.
-async fn harm_links(mut random: SmallRng, fleet: &Fleet, end: Instant) {
+/// Injects one fault after another into links to endpoints and to the store. Faults may overlap.
+async fn inject_link_faults(mut random: SmallRng, fleet: &Fleet, end: Instant) {
     let proxies = &fleet.proxies;
     let modes = [
         Mode::Delay {
@@ -440,11 +459,11 @@
         },
         Mode::SWALLOW,
     ];
-    let mut healing = FuturesUnordered::new();
+    let mut recoveries = FuturesUnordered::new();
     while Instant::now() < end {
         let pause = Duration::from_millis(random.random_range(150..700));
-        let healed = async { while healing.next().await.is_some() {} };
-        tokio::join!(sleep(pause), timeout(pause, healed)).1.ok();
+        let recover = async { while recoveries.next().await.is_some() {} };
+        tokio::join!(sleep(pause), timeout(pause, recover)).1.ok();
         let links = match random.random_range(0..3) {
             0 => &proxies.stores,
             _ => &proxies.endpoints,
@@ -456,23 +475,23 @@
         }
         link.set(modes[random.random_range(0..modes.len())]);
         let span = Duration::from_millis(random.random_range(100..2_500));
-        healing.push(async move {
+        recoveries.push(async move {
             sleep(span).await;
             link.set(Mode::Pass);
         });
     }
-    while healing.next().await.is_some() {}
+    while recoveries.next().await.is_some() {}
 }
 
-/// Ends an instance by a signal and starts it again.
+/// Ends an instance with a signal and restarts it after `down`.
 async fn restart(slots: Slots, i: usize, signal: Signal, down: Duration) -> Result {
     let slot = &slots[i];
     let node = slot.node.lock().unwrap().clone();
     if signal == Signal::SIGKILL {
-        *slot.hurt.lock().unwrap() = Some(Instant::now());
+        *slot.disrupted_at.lock().unwrap() = Some(Instant::now());
     }
     if node.signal(signal).is_err() {
-        // It has been ended by another fault, which starts it again.
+        // Another fault has ended the instance and restarts it.
         return Ok(());
     }
     while node.alive() {
@@ -480,23 +499,23 @@
     }
     slot.log.lock().unwrap().push_str(&node.log());
     sleep(down).await;
-    let again = node.restart(program()).await?;
+    let restarted = node.restart(program()).await?;
     let mut current = slot.node.lock().unwrap();
     if Arc::ptr_eq(&current, &node) {
-        *current = Arc::new(again);
+        *current = Arc::new(restarted);
     }
     Ok(())
 }
 
-/// Pauses an instance.
+/// Pauses an instance for a span.
 async fn pause(slots: Slots, i: usize, span: Duration) -> Result {
     let slot = &slots[i];
     let node = slot.node.lock().unwrap().clone();
-    *slot.hurt.lock().unwrap() = Some(Instant::now());
+    *slot.disrupted_at.lock().unwrap() = Some(Instant::now());
     if node.signal(Signal::SIGSTOP).is_ok() {
         sleep(span).await;
-        *slot.hurt.lock().unwrap() = Some(Instant::now());
-        // It may have been killed meanwhile.
+        *slot.disrupted_at.lock().unwrap() = Some(Instant::now());
+        // Another fault may have killed the instance.
         node.signal(Signal::SIGCONT).ok();
     }
     Ok(())
