--- a/examples/measure.rs
+++ b/examples/measure.rs
@@ -1,7 +1,7 @@
 //! Measures poplarknot over real processes on loopback, and prints tables.
 //!
 //! `cargo run --release --example measure [--long] [CASE]...` runs the named cases, or all of them in short
-//! form. This program starts itself again as the platform, as workers and as instances.
+//! form. This program starts itself again as the platform, as workers and as instances, each in a process of its own.
 
 #[path = "../tests/support.rs"]
 mod support;
@@ -41,17 +41,17 @@
 
 use support::Result;
 
-/// How much is measured.
+/// How many repetitions a case makes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Effort {
-    /// So that all cases together take minutes.
+    /// Few: all cases together take minutes.
     Short,
-    /// So that tails can be trusted.
+    /// Enough for stable p99 values.
     Long,
 }
 
 impl Effort {
-    /// Picks the number that goes with it.
+    /// Returns `short` or `long`, whichever belongs to this effort.
     pub(crate) fn pick<T>(self, short: T, long: T) -> T {
         match self {
             Self::Short => short,
@@ -60,7 +60,7 @@
     }
 }
 
-/// The cases, in the order in which they run.
+/// Names of the cases, in the order in which they run.
 const CASES: [&str; 9] = [
     "response",
     "messages",
@@ -74,13 +74,13 @@
 ];
 
 fn main() -> ExitCode {
-    let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let words: Vec<&str> = arguments.iter().map(String::as_str).collect();
-    let result = match words.as_slice() {
-        ["platform"] => wait(2, role::play_platform()),
-        ["workers", entries] => wait(2, role::play_workers(entries)),
-        ["instance", ..] => return poplarknot::cli::run(arguments[1..].iter().cloned()),
-        words => wait(4, measure(words)),
+    let owned: Vec<String> = std::env::args().skip(1).collect();
+    let arguments: Vec<&str> = owned.iter().map(String::as_str).collect();
+    let result = match arguments.as_slice() {
+        ["platform"] => block_on(2, role::run_platform()),
+        ["workers", entries] => block_on(2, role::run_workers(entries)),
+        ["instance", ..] => return poplarknot::cli::run(owned[1..].iter().cloned()),
+        arguments => block_on(4, measure(arguments)),
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -91,7 +91,8 @@
     }
 }
 
-fn wait(threads: usize, work: impl std::future::Future<Output = Result>) -> Result {
+/// Runs a future to its end on a new runtime of `threads` threads.
+fn block_on(threads: usize, work: impl std::future::Future<Output = Result>) -> Result {
     let mut runtime = tokio::runtime::Builder::new_multi_thread();
     runtime
         .worker_threads(threads)
@@ -100,30 +101,36 @@
         .block_on(work)
 }
 
-async fn measure(words: &[&str]) -> Result {
-    let effort = match words.contains(&"--long") {
+/// Runs the cases that the arguments name, or all if they name none.
+async fn measure(arguments: &[&str]) -> Result {
+    let effort = match arguments.contains(&"--long") {
         true => Effort::Long,
         false => Effort::Short,
     };
-    let named: Vec<&str> = words.iter().copied().filter(|w| *w != "--long").collect();
-    if let Some(unknown) = named.iter().find(|name| !CASES.contains(name)) {
+    let selected: Vec<&str> = arguments
+        .iter()
+        .copied()
+        .filter(|a| *a != "--long")
+        .collect();
+    if let Some(unknown) = selected.iter().find(|name| !CASES.contains(name)) {
         return Err(format!("{unknown} is no case; there are {}", CASES.join(", ")).into());
     }
     for case in CASES {
-        if named.is_empty() || named.contains(&case) {
-            run(case, effort).await?;
+        if selected.is_empty() || selected.contains(&case) {
+            run_case(case, effort).await?;
         }
     }
     Ok(())
 }
 
-async fn run(case: &str, effort: Effort) -> Result {
+/// Runs one of [`CASES`].
+async fn run_case(case: &str, effort: Effort) -> Result {
     match case {
         "response" => response::run(effort).await,
         "messages" => messages::run(effort).await,
         "throughput" => throughput::run(effort).await,
         "control" => control::run(effort).await,
-        "stock" => control::stock(effort).await,
+        "stock" => control::measure_record_counts(effort).await,
         "outage" => outage::run(effort).await,
         "records" => records::run(effort).await,
         "placement" => placement::run(effort).await,
--- a/examples/measure/control.rs
+++ b/examples/measure/control.rs
@@ -1,4 +1,4 @@
-//! What an instance spends without work, and what a change of the configuration costs.
+//! CPU time, memory and traffic of instances without work, and the cost of a configuration change.
 
 use std::time::{
     Duration,
@@ -13,75 +13,80 @@
     },
     records::{
         self,
-        in_force,
+        wait_until_in_force,
         Operator, //
     },
     report::{
-        line,
-        two,
+        fit_line,
+        two_decimals,
         Table, //
     },
     support::Result,
     Effort,
 };
 
-/// Kinds of messages that are counted without work.
-const KINDS: [&str; 4] = ["peer-call", "table-read", "table-commit", "list-read"];
+/// Kinds of messages that an instance sends without work.
+const IDLE_KINDS: [&str; 4] = ["peer-call", "table-read", "table-commit", "list-read"];
 
-/// The places of the platform's bytes and of the list reads in what [`Reading::since`] gives.
-const PLATFORM: usize = 2;
-const LISTS: usize = 6;
+/// Index of the bytes to and from the platform in what [`Reading::since`] returns.
+const PLATFORM_BYTES: usize = 2;
 
-/// What all instances together have used or sent.
+/// Index of the list reads there.
+const LIST_READS: usize = 6;
+
+/// Counters of all instances together, since they started.
 struct Reading {
     at: Instant,
-    processor: f64,
-    memory: f64,
-    peers: f64,
-    platform: f64,
+    cpu_us: f64,
+    memory_bytes: f64,
+    peer_bytes: f64,
+    platform_bytes: f64,
     messages: Metrics,
 }
 
 impl Reading {
-    async fn take(fleet: &Fleet) -> Result<Self> {
-        let (mut processor, mut memory) = (0.0, 0.0);
+    /// Reads the counters of all instances and of the network between them.
+    async fn read(fleet: &Fleet) -> Result<Self> {
+        let (mut cpu_us, mut memory_bytes) = (0.0, 0.0);
         for instance in &fleet.instances {
             let usage = Usage::read(instance.id().ok_or("an instance has ended")?)?;
-            processor += usage.total();
-            memory += usage.memory;
+            cpu_us += usage.total_cpu_us();
+            memory_bytes += usage.memory_bytes;
         }
         let network = fleet.network.as_ref().ok_or("no network")?;
-        let (peers, platform) = network.bytes();
+        let (peer_bytes, platform_bytes) = network.bytes();
         Ok(Self {
             at: Instant::now(),
-            processor,
-            memory,
-            peers,
-            platform,
-            messages: Metrics::read(&fleet.callers()).await?,
+            cpu_us,
+            memory_bytes,
+            peer_bytes,
+            platform_bytes,
+            messages: Metrics::read(&fleet.caller_addresses()).await?,
         })
     }
 
-    /// Returns what came since `earlier`: processor time in microseconds, bytes, messages by kind.
+    /// Returns the increase since `earlier`: CPU time in microseconds, bytes between instances, bytes to and from the
+    /// platform, and messages by [`IDLE_KINDS`].
     ///
-    /// A byte between two instances counts at both of them.
+    /// A byte between two instances counts twice, once for each.
     fn since(&self, earlier: &Self) -> [f64; 7] {
         let messages = self.messages.since(&earlier.messages);
-        let [calls, reads, commits, lists] = KINDS.map(|kind| messages.messages(kind));
+        let [peer_calls, table_reads, commits, list_reads] =
+            IDLE_KINDS.map(|kind| messages.messages(kind));
         [
-            self.processor - earlier.processor,
-            2.0 * (self.peers - earlier.peers),
-            self.platform - earlier.platform,
-            calls,
-            reads,
+            self.cpu_us - earlier.cpu_us,
+            2.0 * (self.peer_bytes - earlier.peer_bytes),
+            self.platform_bytes - earlier.platform_bytes,
+            peer_calls,
+            table_reads,
             commits,
-            lists,
+            list_reads,
         ]
     }
 }
 
-/// Takes idle times and changes at several numbers of records in force.
-pub(crate) async fn stock(effort: Effort) -> Result {
+/// Measures idle costs and the cost of a change at several numbers of records in force, and prints a table.
+pub(crate) async fn measure_record_counts(effort: Effort) -> Result {
     let columns = [
         "records in force",
         "idle CPU us/s",
@@ -97,49 +102,58 @@
     let mut table = Table::new(&columns);
     let mut points: Vec<Vec<(f64, f64)>> = vec![Vec::new(); columns.len() - 1];
     for n in [10, 100, 400, 1_000] {
-        let fleet = records::start(7, 48).await?;
+        let fleet = records::start_fleet(7, 48).await?;
         let mut operator = Operator::default();
         for _ in 0..n {
-            operator.change(fleet.callers()[0]).await?;
+            operator.submit_record(fleet.caller_addresses()[0]).await?;
         }
-        let (rates, reading) = idle(&fleet, effort).await?;
-        let each = rates.map(|rate| rate / 7.0);
-        let memory = reading.memory / 7.0 / 1_048_576.0;
-        let cost = change(&fleet, &mut operator, effort.pick(10, 50), rates).await?;
+        let (rates, reading) = measure_idle(&fleet, effort).await?;
+        let per_instance = rates.map(|rate| rate / 7.0);
+        let memory = reading.memory_bytes / 7.0 / 1_048_576.0;
+        let cost = measure_changes(&fleet, &mut operator, effort.pick(10, 50), rates).await?;
         let values = [
-            each[0], each[1], each[2], each[4], memory, cost[0], cost[1], cost[2], cost[5],
+            per_instance[0],
+            per_instance[1],
+            per_instance[2],
+            per_instance[4],
+            memory,
+            cost[0],
+            cost[1],
+            cost[2],
+            cost[5],
         ];
         for (points, value) in points.iter_mut().zip(values) {
             points.push((n as f64, value));
         }
-        table.row([n as f64].into_iter().chain(values).map(two));
-        fleet.end().await?;
+        table.add_row([n as f64].into_iter().chain(values).map(two_decimals));
+        fleet.stop().await?;
     }
-    slopes(&mut table, &points);
+    add_fitted_rows(&mut table, &points);
     table.print(
         "Records in force: idle for each of 7 instances, and a change for all of them together",
     );
     Ok(())
 }
 
-/// Measures and prints.
+/// Measures idle costs and the cost of a change at several numbers of instances and endpoints, and prints tables.
 pub(crate) async fn run(effort: Effort) -> Result {
-    instances(effort).await?;
-    endpoints(effort).await
+    measure_instance_counts(effort).await?;
+    measure_endpoint_counts(effort).await
 }
 
-async fn idle(fleet: &Fleet, effort: Effort) -> Result<([f64; 7], Reading)> {
-    // What starting up costs is not to be counted.
+/// Returns the increase of each counter per second without work, and the last reading.
+async fn measure_idle(fleet: &Fleet, effort: Effort) -> Result<([f64; 7], Reading)> {
+    // Lets the work of the start-up end, which must not count.
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let before = Reading::take(fleet).await?;
+    let before = Reading::read(fleet).await?;
     tokio::time::sleep(Duration::from_secs(effort.pick(2, 15))).await;
-    let after = Reading::take(fleet).await?;
+    let after = Reading::read(fleet).await?;
     let seconds = (after.at - before.at).as_secs_f64();
     Ok((after.since(&before).map(|v| v / seconds), after))
 }
 
-/// Takes idle times and changes at several numbers of instances.
-async fn instances(effort: Effort) -> Result {
+/// Measures idle costs and the cost of a change at several numbers of instances.
+async fn measure_instance_counts(effort: Effort) -> Result {
     let columns = [
         "instances",
         "CPU us/s",
@@ -151,7 +165,7 @@
         "list reads/s",
         "MiB",
     ];
-    let mut quiet = Table::new(&columns);
+    let mut idle_table = Table::new(&columns);
     let columns = [
         "instances",
         "CPU us",
@@ -161,85 +175,93 @@
         "table reads",
         "commits",
     ];
-    let mut busy = Table::new(&columns);
+    let mut change_table = Table::new(&columns);
     let mut points: Vec<Vec<(f64, f64)>> = vec![Vec::new(); 14];
     let changes = effort.pick(10, 50);
     for n in [2, 4, 7, 20, 40] {
-        let fleet = records::start(n, 48).await?;
-        let (rates, reading) = idle(&fleet, effort).await?;
-        let each = rates.map(|rate| rate / n as f64);
-        let memory = reading.memory / n as f64 / 1_048_576.0;
-        let row = [n as f64].into_iter().chain(each).chain([memory]);
-        quiet.row(row.map(two));
-        let cost = change(&fleet, &mut Operator::default(), changes, rates).await?;
-        busy.row([n as f64].into_iter().chain(cost).take(7).map(two));
-        for (points, value) in points.iter_mut().zip(each.into_iter().chain(cost)) {
+        let fleet = records::start_fleet(n, 48).await?;
+        let (rates, reading) = measure_idle(&fleet, effort).await?;
+        let per_instance = rates.map(|rate| rate / n as f64);
+        let memory = reading.memory_bytes / n as f64 / 1_048_576.0;
+        let row = [n as f64].into_iter().chain(per_instance).chain([memory]);
+        idle_table.add_row(row.map(two_decimals));
+        let cost = measure_changes(&fleet, &mut Operator::default(), changes, rates).await?;
+        change_table.add_row([n as f64].into_iter().chain(cost).take(7).map(two_decimals));
+        for (points, value) in points.iter_mut().zip(per_instance.into_iter().chain(cost)) {
             points.push((n as f64, value));
         }
-        fleet.end().await?;
+        fleet.stop().await?;
     }
-    slopes(&mut quiet, &points[..7]);
-    slopes(&mut busy, &points[7..13]);
-    quiet.print("Without work, for each instance; 48 endpoints are listed");
-    busy.print("A change of the configuration, for all instances together, idle costs taken off");
+    add_fitted_rows(&mut idle_table, &points[..7]);
+    add_fitted_rows(&mut change_table, &points[7..13]);
+    idle_table.print("Without work, for each instance; 48 endpoints are listed");
+    change_table
+        .print("A change of the configuration, for all instances together, idle costs taken off");
     Ok(())
 }
 
-/// Makes changes one after the other, and returns what one costs beyond the idle rates.
-async fn change(
+/// Makes changes one after the other, and returns the cost of one beyond the idle rates.
+async fn measure_changes(
     fleet: &Fleet,
     operator: &mut Operator,
     changes: usize,
     idle: [f64; 7],
 ) -> Result<[f64; 7]> {
-    let instances = fleet.callers();
-    let before = Reading::take(fleet).await?;
+    let instances = fleet.caller_addresses();
+    let before = Reading::read(fleet).await?;
     for i in 0..changes {
-        let path = operator.change(instances[i % instances.len()]).await?;
-        in_force(&instances, &path, Instant::now()).await?;
+        let path = operator
+            .submit_record(instances[i % instances.len()])
+            .await?;
+        wait_until_in_force(&instances, &path, Instant::now()).await?;
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    let after = Reading::take(fleet).await?;
+    let after = Reading::read(fleet).await?;
     let seconds = (after.at - before.at).as_secs_f64();
     let mut cost = after.since(&before);
-    // Reads of the list are few and long: they are taken off as they were counted.
-    let lists = cost[LISTS] / idle[LISTS];
+    // List reads are few and large: the idle bytes to subtract follow their number, not the time.
+    let list_intervals = cost[LIST_READS] / idle[LIST_READS];
     for (i, (cost, idle)) in cost.iter_mut().zip(idle).enumerate() {
-        let times = if i == PLATFORM { lists } else { seconds };
-        *cost = (*cost - idle * times) / changes as f64;
+        let idle_intervals = if i == PLATFORM_BYTES {
+            list_intervals
+        } else {
+            seconds
+        };
+        *cost = (*cost - idle * idle_intervals) / changes as f64;
     }
     Ok(cost)
 }
 
-fn slopes(table: &mut Table, points: &[Vec<(f64, f64)>]) {
-    let fitted = points.iter().map(|points| line(points));
+/// Adds two rows with the slope and the intercept of the line fitted to each column.
+fn add_fitted_rows(table: &mut Table, points: &[Vec<(f64, f64)>]) {
+    let fitted = points.iter().map(|points| fit_line(points));
     let fitted: Vec<_> = fitted.collect();
     let row = |name: &str, values: Vec<f64>| {
         let values = values.into_iter().map(|v| format!("{v:.3}"));
         [name.to_owned()].into_iter().chain(values)
     };
-    let of_each = fitted.iter().map(|f| f.0).collect();
-    let at_zero = fitted.iter().map(|f| f.1).collect();
-    table.row(row("one more", of_each));
-    table.row(row("at none", at_zero));
+    let slopes = fitted.iter().map(|f| f.0).collect();
+    let intercepts = fitted.iter().map(|f| f.1).collect();
+    table.add_row(row("one more", slopes));
+    table.add_row(row("at none", intercepts));
 }
 
-/// Takes idle times at several numbers of listed endpoints.
-async fn endpoints(effort: Effort) -> Result {
+/// Measures idle costs of one instance at several numbers of listed endpoints.
+async fn measure_endpoint_counts(effort: Effort) -> Result {
     let columns = ["listed endpoints", "CPU us/s", "platform bytes/s", "MiB"];
     let mut table = Table::new(&columns);
     let mut points: Vec<Vec<(f64, f64)>> = vec![Vec::new(); 3];
     for n in [48, 200, 1_300, 5_000] {
-        let fleet = records::start(1, n).await?;
-        let (rates, reading) = idle(&fleet, effort).await?;
-        let values = [rates[0], rates[2], reading.memory / 1_048_576.0];
+        let fleet = records::start_fleet(1, n).await?;
+        let (rates, reading) = measure_idle(&fleet, effort).await?;
+        let values = [rates[0], rates[2], reading.memory_bytes / 1_048_576.0];
         for (points, value) in points.iter_mut().zip(values) {
             points.push((n as f64, value));
         }
-        table.row([n as f64].into_iter().chain(values).map(two));
-        fleet.end().await?;
+        table.add_row([n as f64].into_iter().chain(values).map(two_decimals));
+        fleet.stop().await?;
     }
-    slopes(&mut table, &points);
+    add_fitted_rows(&mut table, &points);
     table.print("Listed endpoints, one instance without work");
     Ok(())
 }
--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -1,4 +1,4 @@
-//! A platform, workers and instances, all as processes of their own.
+//! A platform, workers and instances, each in a process of its own.
 
 use std::net::SocketAddr;
 
@@ -11,8 +11,8 @@
 use crate::{
     probe::Metrics,
     role::{
-        Order,
-        Process, //
+        Process,
+        Request, //
     },
     support::{
         cluster,
@@ -28,29 +28,29 @@
     },
 };
 
-/// The data centres.
+/// Names of the data centres.
 pub(crate) const CENTRES: [&str; 3] = ["ulemiste-a", "ulemiste-b", "maardu"];
 
 /// Builds a [`Fleet`].
 #[derive(Clone)]
 pub(crate) struct Builder {
-    /// Instances in all.
+    /// Number of instances.
     pub(crate) instances: usize,
-    /// Workers in all.
+    /// Number of workers.
     pub(crate) workers: usize,
     /// Slots of each worker.
     pub(crate) slots: u32,
-    /// Data centres that instances and workers go to by turns.
+    /// Number of data centres; instances and workers are spread over them round robin.
     pub(crate) centres: usize,
-    /// Processes that the workers are spread over.
+    /// Number of processes that run the workers.
     pub(crate) processes: usize,
-    /// Endpoints that are listed and don't exist.
-    pub(crate) ghosts: usize,
-    /// Whether there is a proxy between any two data centres, and to the platform.
+    /// Number of listed endpoints that nothing listens at.
+    pub(crate) unreachable: usize,
+    /// Whether connections between data centres and to the platform go through proxies.
     pub(crate) network: bool,
-    /// Whether there is a proxy in front of each worker.
+    /// Whether connections to each worker go through a proxy.
     pub(crate) proxied: bool,
-    /// Settings of every instance.
+    /// Settings of every instance: section, key and value.
     pub(crate) settings: Vec<(&'static str, &'static str, String)>,
 }
 
@@ -62,7 +62,7 @@
             slots: 8,
             centres: 1,
             processes: 2,
-            ghosts: 0,
+            unreachable: 0,
             network: false,
             proxied: false,
             settings: Vec::new(),
@@ -87,45 +87,50 @@
         let (platform, addresses): (_, Vec<SocketAddr>) = Process::start(&["platform"]).await?;
         let mut fleet = Fleet {
             platform,
-            address: addresses[0],
+            platform_address: addresses[0],
             network: Network::start(self.network, &addresses[1..])?,
             proxies: Vec::new(),
             workers: Vec::new(),
             entries: Vec::new(),
             instances: Vec::new(),
-            ghosts: (0..self.ghosts).map(|i| self.ghost(i)).collect(),
+            unreachable: (0..self.unreachable)
+                .map(|i| self.unreachable_entry(i))
+                .collect(),
             builder: self,
         };
         fleet.start_workers().await?;
         for i in 0..fleet.builder.instances {
             fleet.add_instance(i).await?;
         }
-        fleet.enlist().await?;
+        fleet.publish_list().await?;
         cluster::seed(&fleet.instances, &cluster::records()).await?;
-        fleet.settle().await?;
+        fleet.wait_for_discovery().await?;
         Ok(fleet)
     }
 
+    /// Returns the data centre of the worker or instance `i`.
     fn centre(&self, i: usize) -> &'static str {
         CENTRES[i % self.centres]
     }
 
-    fn worker(&self, name: &str, i: usize) -> Entry {
+    /// Returns the list entry of the worker `i`.
+    fn worker_entry(&self, name: &str, i: usize) -> Entry {
         let mut entry = worker::entry(&format!("{name}-{i}"), self.centre(i));
         entry.slots = self.slots;
         entry.connections = self.slots * 8;
         entry
     }
 
-    /// Describes an endpoint that nothing is started at: it has no slot.
-    fn ghost(&self, i: usize) -> Entry {
-        let mut entry = self.worker("ghost", i);
+    /// Returns a list entry at whose address nothing listens, in a pool that no route uses.
+    fn unreachable_entry(&self, i: usize) -> Entry {
+        let mut entry = self.worker_entry("ghost", i);
         entry.pool = "ghosts".parse().expect("the name of a pool");
         entry.address = "127.0.0.1:9".to_owned();
         entry
     }
 
-    fn instance(&self, i: usize, platform: SocketAddr) -> instance::Builder {
+    /// Returns the builder of the instance `i`, which reaches the platform at `platform`.
+    fn instance_builder(&self, i: usize, platform: SocketAddr) -> instance::Builder {
         let program = std::env::current_exe().unwrap_or_default();
         let name = format!("entry-{i}");
         let builder = instance::Builder::new(program, &name, self.centre(i), platform);
@@ -138,7 +143,7 @@
     }
 }
 
-/// A way from a data centre to the peer port of an instance.
+/// A proxy from a data centre to the peer port of an instance.
 struct Link {
     from: usize,
     to: usize,
@@ -147,24 +152,26 @@
 
 /// The network between the data centres: a proxy from each to every instance, and one to the platform.
 pub(crate) struct Network {
-    platforms: Vec<Proxy>,
-    /// The links to each instance, one from each data centre.
+    platform_proxies: Vec<Proxy>,
+    /// For each instance, the links from all data centres.
     links: Vec<Vec<Link>>,
 }
 
 impl Network {
-    fn start(wanted: bool, views: &[SocketAddr]) -> Result<Option<Self>> {
-        if !wanted {
+    /// Starts the proxies to the platform, one to the view of each data centre, or returns `None` if not enabled.
+    fn start(enabled: bool, views: &[SocketAddr]) -> Result<Option<Self>> {
+        if !enabled {
             return Ok(None);
         }
-        let platforms = views.iter().map(|view| Proxy::start(*view));
+        let platform_proxies = views.iter().map(|view| Proxy::start(*view));
         Ok(Some(Self {
-            platforms: platforms.collect::<Result<_>>()?,
+            platform_proxies: platform_proxies.collect::<Result<_>>()?,
             links: Vec::new(),
         }))
     }
 
-    fn link(&mut self, to: usize, peers: SocketAddr) -> Result {
+    /// Starts the proxies from all data centres to an instance in the data centre `to`.
+    fn add_instance_links(&mut self, to: usize, peers: SocketAddr) -> Result {
         let link = |from| {
             Ok(Link {
                 from,
@@ -177,8 +184,8 @@
         Ok(())
     }
 
-    /// Returns the list with the addresses by which a data centre reaches the instances.
-    fn view(&self, from: usize, list: &List) -> List {
+    /// Returns the list with the addresses of the proxies from the data centre `from` to the instances.
+    fn list_seen_from(&self, from: usize, list: &List) -> List {
         let mut list = list.clone();
         for (member, links) in list.instances.iter_mut().zip(&self.links) {
             member.address = links[from].proxy.address().to_string();
@@ -186,34 +193,35 @@
         list
     }
 
-    /// Cuts a data centre off from the others and from the platform, or heals that.
-    pub(crate) async fn cut(&mut self, centre: usize, cut: bool) -> Result {
+    /// Cuts a data centre off from the others and from the platform, or reconnects it.
+    pub(crate) async fn set_centre_cut(&mut self, centre: usize, cut: bool) -> Result {
         let links = self.links.iter_mut().flatten();
-        let across = links.filter(|l| l.from != l.to && (l.from == centre || l.to == centre));
-        for link in across {
-            switch(&mut link.proxy, cut).await?;
+        let affected = links.filter(|l| l.from != l.to && (l.from == centre || l.to == centre));
+        for link in affected {
+            set_cut(&mut link.proxy, cut).await?;
         }
-        switch(&mut self.platforms[centre], cut).await
+        set_cut(&mut self.platform_proxies[centre], cut).await
     }
 
-    /// Cuts everybody off from the platform, or heals that.
-    pub(crate) async fn cut_platform(&mut self, cut: bool) -> Result {
-        for platform in &mut self.platforms {
-            switch(platform, cut).await?;
+    /// Cuts all data centres off from the platform, or reconnects them.
+    pub(crate) async fn set_platform_cut(&mut self, cut: bool) -> Result {
+        for platform in &mut self.platform_proxies {
+            set_cut(platform, cut).await?;
         }
         Ok(())
     }
 
-    /// Returns the bytes between instances, and those to and from the platform.
+    /// Returns the bytes sent so far between instances, and to and from the platform.
     pub(crate) fn bytes(&self) -> (f64, f64) {
         let links = self.links.iter().flatten();
         let peers: u64 = links.map(|link| link.proxy.bytes()).sum();
-        let platform: u64 = self.platforms.iter().map(Proxy::bytes).sum();
+        let platform: u64 = self.platform_proxies.iter().map(Proxy::bytes).sum();
         (peers as f64, platform as f64)
     }
 }
 
-async fn switch(proxy: &mut Proxy, cut: bool) -> Result {
+/// Cuts the connections through a proxy, or lets them pass again.
+async fn set_cut(proxy: &mut Proxy, cut: bool) -> Result {
     if cut {
         proxy.cut().await;
         return Ok(());
@@ -221,39 +229,43 @@
     proxy.restore()
 }
 
-/// Running processes; all of them end when this is dropped.
+/// Running processes; they are killed on drop.
 pub(crate) struct Fleet {
-    /// The platform.
+    /// The process of the platform.
     pub(crate) platform: Process,
-    /// Where it listens.
-    pub(crate) address: SocketAddr,
-    /// The network between the data centres, where it was asked for.
+    /// The address that the platform listens at.
+    pub(crate) platform_address: SocketAddr,
+    /// The network between the data centres, if enabled.
     pub(crate) network: Option<Network>,
-    /// The proxies in front of the workers, where they were asked for.
+    /// The proxies in front of the workers, in their order, if enabled.
     pub(crate) proxies: Vec<Proxy>,
     /// The processes of the workers.
     pub(crate) workers: Vec<Process>,
-    /// What the list tells of the workers; worker `i` is run by process `i % processes`.
+    /// The list entries of the workers; worker `i` is run by process `i % processes`.
     pub(crate) entries: Vec<Entry>,
     /// The instances.
     pub(crate) instances: Vec<Instance>,
-    /// Endpoints that don't exist.
-    pub(crate) ghosts: Vec<Entry>,
+    /// Listed endpoints that nothing listens at.
+    pub(crate) unreachable: Vec<Entry>,
     builder: Builder,
 }
 
 impl Fleet {
+    /// Starts the processes of the workers, and proxies in front of them if enabled.
     async fn start_workers(&mut self) -> Result {
         let processes = self.builder.processes.min(self.builder.workers);
         let mut entries = vec![None; self.builder.workers];
         for p in 0..processes {
-            let places: Vec<usize> = (p..self.builder.workers).step_by(processes).collect();
-            let own = places.iter().map(|i| self.builder.worker("worker", *i));
-            let own = serde_json::to_string(&own.collect::<Vec<_>>())?;
-            let (process, offer): (_, Vec<Entry>) = Process::start(&["workers", &own]).await?;
+            let indices: Vec<usize> = (p..self.builder.workers).step_by(processes).collect();
+            let described = indices
+                .iter()
+                .map(|i| self.builder.worker_entry("worker", *i));
+            let described = serde_json::to_string(&described.collect::<Vec<_>>())?;
+            let (process, started): (_, Vec<Entry>) =
+                Process::start(&["workers", &described]).await?;
             self.workers.push(process);
-            for (place, entry) in places.into_iter().zip(offer) {
-                entries[place] = Some(entry);
+            for (index, entry) in indices.into_iter().zip(started) {
+                entries[index] = Some(entry);
             }
         }
         self.entries = entries.into_iter().flatten().collect();
@@ -268,40 +280,48 @@
         Ok(())
     }
 
+    /// Starts the instance `i` and the proxies to it.
     async fn add_instance(&mut self, i: usize) -> Result {
         let centre = i % self.builder.centres;
         let network = self.network.as_ref();
-        let platform = network.map_or(self.address, |n| n.platforms[centre].address());
-        let instance = self.builder.instance(i, platform).start().await?;
+        let platform = network.map_or(self.platform_address, |n| {
+            n.platform_proxies[centre].address()
+        });
+        let instance = self.builder.instance_builder(i, platform).start().await?;
         if let Some(network) = &mut self.network {
-            network.link(centre, instance.peers)?;
+            network.add_instance_links(centre, instance.peers)?;
         }
         self.instances.push(instance);
         Ok(())
     }
 
-    /// Shows everybody on the platform's list.
-    pub(crate) async fn enlist(&mut self) -> Result {
+    /// Publishes the list of all instances and endpoints on the platform.
+    pub(crate) async fn publish_list(&mut self) -> Result {
         let members = self.instances.iter().map(|i| i.member(i.peers));
         let members: Vec<Member> = members.collect::<Result<_>>()?;
         let list = List {
             instances: members,
-            endpoints: self.entries.iter().chain(&self.ghosts).cloned().collect(),
+            endpoints: self
+                .entries
+                .iter()
+                .chain(&self.unreachable)
+                .cloned()
+                .collect(),
         };
         if let Some(network) = &self.network {
-            let views = (0..CENTRES.len()).map(|from| network.view(from, &list));
-            let views = Order::Views(views.collect());
-            self.platform(&views).await?;
+            let views = (0..CENTRES.len()).map(|from| network.list_seen_from(from, &list));
+            let views = Request::Views(views.collect());
+            self.send_to_platform(&views).await?;
         }
-        self.platform(&Order::List(list)).await.map(drop)
+        self.send_to_platform(&Request::List(list)).await.map(drop)
     }
 
-    /// Waits until every instance sees all the others and all endpoints.
-    async fn settle(&self) -> Result {
-        let endpoints = (self.entries.len() + self.ghosts.len()) as f64;
+    /// Waits until every instance has all others alive and all endpoints eligible.
+    async fn wait_for_discovery(&self) -> Result {
+        let endpoints = (self.entries.len() + self.unreachable.len()) as f64;
         let peers = self.instances.len() as f64 - 1.0;
-        for instance in self.callers() {
-            until("an instance sees everybody", || async {
+        for instance in self.caller_addresses() {
+            until("an instance sees all peers and endpoints", || async {
                 let metrics = Metrics::read(&[instance]).await.ok()?;
                 let seen = |name, all| metrics.get(name) == all;
                 let all = seen("endpoints_eligible", endpoints) && seen("peers_alive", peers);
@@ -312,49 +332,54 @@
         Ok(())
     }
 
-    /// Gives the platform an order, and returns its counters.
-    pub(crate) async fn platform(&mut self, order: &Order) -> Result<platform::Counters> {
-        self.platform.order(order).await
+    /// Sends the platform a request, and returns its counters.
+    pub(crate) async fn send_to_platform(
+        &mut self,
+        request: &Request,
+    ) -> Result<platform::Counters> {
+        self.platform.send(request).await
     }
 
-    /// Gives the workers that `chosen` picks an order of their own places.
-    pub(crate) async fn workers(
+    /// Sends each process of workers a request about those that `selects` picks by their index in the fleet.
+    ///
+    /// `request` gets their indices within the process.
+    pub(crate) async fn send_to_workers(
         &mut self,
-        chosen: impl Fn(usize) -> bool,
-        order: impl Fn(Vec<usize>) -> Order,
+        selects: impl Fn(usize) -> bool,
+        request: impl Fn(Vec<usize>) -> Request,
     ) -> Result {
         let processes = self.workers.len();
         for (p, process) in self.workers.iter_mut().enumerate() {
-            let places = (p..self.entries.len()).step_by(processes).enumerate();
-            let places = places
-                .filter(|(_, i)| chosen(*i))
-                .map(|(place, _)| place)
+            let indices = (p..self.entries.len()).step_by(processes).enumerate();
+            let indices = indices
+                .filter(|(_, i)| selects(*i))
+                .map(|(index, _)| index)
                 .collect();
-            let _: worker::Counters = process.order(&order(places)).await?;
+            let _: worker::Counters = process.send(&request(indices)).await?;
         }
         Ok(())
     }
 
-    /// Adds up the messages that the workers have got.
-    pub(crate) async fn counters(&mut self) -> Result<worker::Counters> {
+    /// Returns the sum of the counters of all workers.
+    pub(crate) async fn worker_counters(&mut self) -> Result<worker::Counters> {
         let mut sum = worker::Counters::default();
         for process in &mut self.workers {
-            let one: worker::Counters = process.order(&Order::Count).await?;
-            sum.starts += one.starts;
-            sum.looks += one.looks;
-            sum.stops += one.stops;
-            sum.ran += one.ran;
+            let counters: worker::Counters = process.send(&Request::Count).await?;
+            sum.starts += counters.starts;
+            sum.looks += counters.looks;
+            sum.stops += counters.stops;
+            sum.ran += counters.ran;
         }
         Ok(sum)
     }
 
-    /// Returns where callers connect, instance by instance.
-    pub(crate) fn callers(&self) -> Vec<SocketAddr> {
+    /// Returns the addresses for callers, one of each instance.
+    pub(crate) fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.instances.iter().map(|i| i.callers).collect()
     }
 
-    /// Ends everything: the instances drain, the stand-ins end with their input.
-    pub(crate) async fn end(mut self) -> Result {
+    /// Stops all processes: the instances drain, the stand-ins see the end of their standard input.
+    pub(crate) async fn stop(mut self) -> Result {
         for instance in &self.instances {
             instance.stop()?;
         }
--- a/examples/measure/load.rs
+++ b/examples/measure/load.rs
@@ -1,4 +1,4 @@
-//! Callers: connections that are kept open, jobs, and the same work sent straight to the workers.
+//! Clients that submit jobs to instances, or send the same tasks straight to the workers.
 
 use std::{
     collections::{
@@ -35,7 +35,7 @@
 use tokio::task::JoinSet;
 
 use crate::{
-    report::Spread,
+    report::Distribution,
     support::{
         client::{
             Client,
@@ -48,15 +48,15 @@
     trace,
 };
 
-/// How long an idle connection is used again: an instance closes those that stay silent.
-const TRUST: Duration = Duration::from_secs(2);
+/// How long an idle connection may be reused; an instance closes those that are idle for longer.
+const MAX_IDLE: Duration = Duration::from_secs(2);
 
-/// Open connections by address, as a caller keeps them, with when they were put back.
+/// A pool of idle connections by address, with the time since which each is idle.
 #[derive(Default)]
 pub(crate) struct Pool(Mutex<HashMap<SocketAddr, Vec<(Instant, Client)>>>);
 
 impl Pool {
-    /// Posts JSON on a connection that is open, or on a new one.
+    /// Posts JSON on a pooled connection, or on a new one.
     pub(crate) async fn post(
         &self,
         address: SocketAddr,
@@ -64,9 +64,9 @@
         headers: Headers<'_>,
         body: Vec<u8>,
     ) -> Result<Response> {
-        let known = self.0.lock().unwrap().entry(address).or_default().pop();
-        let mut client = match known {
-            Some((since, client)) if since.elapsed() < TRUST => client,
+        let pooled = self.0.lock().unwrap().entry(address).or_default().pop();
+        let mut client = match pooled {
+            Some((since, client)) if since.elapsed() < MAX_IDLE => client,
             _ => Client::connect(address).await?,
         };
         let answer = client
@@ -80,38 +80,38 @@
     }
 }
 
-/// How a job comes by its claim.
+/// Where the idempotency key of a job comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Way {
-    /// An idempotent job without a key.
+pub(crate) enum KeySource {
+    /// Nowhere: the job is idempotent and has no key.
     Idempotent,
-    /// A key that the caller takes from the instance's range.
+    /// The caller makes a key in the range that the instance gave it.
     Range,
-    /// No key: the instance takes one from its own range.
+    /// The job has no key; the instance makes one in its own range.
     NoKey,
-    /// A key of the caller's own that was never sent before, and is said to be new.
+    /// The caller makes a key of its own, and declares by a header that it was never sent before.
     Fresh,
-    /// The same, but not said to be new.
-    Untold,
+    /// The caller makes a key of its own, and doesn't declare that it is new.
+    FreshUndeclared,
 }
 
-impl Way {
-    /// The ways that are compared everywhere.
+impl KeySource {
+    /// The sources that every case compares.
     pub(crate) const ALL: [Self; 4] = [Self::Idempotent, Self::Range, Self::NoKey, Self::Fresh];
 
-    /// Returns the name in tables.
+    /// Returns the name that tables show.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Idempotent => "idempotent",
             Self::Range => "key from a range",
             Self::NoKey => "no key",
             Self::Fresh => "fresh key",
-            Self::Untold => "fresh key, not called new",
+            Self::FreshUndeclared => "fresh key, not called new",
         }
     }
 }
 
-/// Callers of some instances.
+/// A client of several instances.
 #[derive(Default)]
 pub(crate) struct Callers {
     pool: Pool,
@@ -120,43 +120,44 @@
 }
 
 impl Callers {
-    fn next(&self) -> u64 {
+    /// Returns a number that makes keys of this process unique.
+    fn next_serial(&self) -> u64 {
         self.serial.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Submits a job, and returns its answer and how long that took.
+    /// Submits a job with a key of the given source, and returns the answer and the response time.
     pub(crate) async fn submit(
         &self,
         to: SocketAddr,
-        way: Way,
+        key_source: KeySource,
         mut job: Value,
     ) -> Result<(Answer, Duration)> {
-        let class = if way == Way::Idempotent {
+        let class = if key_source == KeySource::Idempotent {
             "idempotent"
         } else {
             "once"
         };
         job["class"] = json!(class);
-        if let Some(key) = self.key(to, way).await? {
+        if let Some(key) = self.new_key(to, key_source).await? {
             job["key"] = json!(key);
         }
-        self.send(to, way == Way::Fresh, &job).await
+        self.send(to, key_source == KeySource::Fresh, &job).await
     }
 
-    /// Submits a job as it is, and returns its answer and how long that took.
+    /// Submits a job as it is, and returns the answer and the response time.
     pub(crate) async fn send(
         &self,
         to: SocketAddr,
-        first: bool,
+        declared_new: bool,
         job: &Value,
     ) -> Result<(Answer, Duration)> {
         let body = serde_json::to_vec(job)?;
-        let first: Headers<'_> = match first {
+        let headers: Headers<'_> = match declared_new {
             true => &[("poplarknot-first", "true")],
             false => &[],
         };
         let begin = Instant::now();
-        let answer = self.pool.post(to, "/v1/jobs", first, body).await?;
+        let answer = self.pool.post(to, "/v1/jobs", headers, body).await?;
         let took = begin.elapsed();
         if let Some(range) = answer.header("poplarknot-range") {
             self.ranges.lock().unwrap().insert(to, range.to_owned());
@@ -164,17 +165,22 @@
         Ok((answer.answer()?, took))
     }
 
-    /// Takes a key that was never used before, where this way has one.
-    pub(crate) async fn key(&self, to: SocketAddr, way: Way) -> Result<Option<String>> {
-        let suffix = format!("k-{}-{}", std::process::id(), self.next());
-        match way {
-            Way::Idempotent | Way::NoKey => Ok(None),
-            Way::Fresh | Way::Untold => Ok(Some(suffix)),
-            Way::Range => Ok(Some(format!("{}.{suffix}", self.range(to).await?))),
+    /// Returns a key that was never used before, if jobs of this source have one.
+    pub(crate) async fn new_key(
+        &self,
+        to: SocketAddr,
+        key_source: KeySource,
+    ) -> Result<Option<String>> {
+        let suffix = format!("k-{}-{}", std::process::id(), self.next_serial());
+        match key_source {
+            KeySource::Idempotent | KeySource::NoKey => Ok(None),
+            KeySource::Fresh | KeySource::FreshUndeclared => Ok(Some(suffix)),
+            KeySource::Range => Ok(Some(format!("{}.{suffix}", self.key_range(to).await?))),
         }
     }
 
-    async fn range(&self, to: SocketAddr) -> Result<String> {
+    /// Returns the range of keys of an instance: the last that an answer gave, or else one asked for.
+    async fn key_range(&self, to: SocketAddr) -> Result<String> {
         if let Some(range) = self.ranges.lock().unwrap().get(&to) {
             return Ok(range.clone());
         }
@@ -183,58 +189,62 @@
     }
 }
 
-/// Makes a job without a key, of tasks that sleep for so many milliseconds.
-pub(crate) fn job(sleeps: impl IntoIterator<Item = u64>) -> Value {
-    let mut job = cluster::job("m", sleeps);
+/// Returns a job without a key, whose tasks sleep for the given numbers of milliseconds.
+pub(crate) fn sleep_job(sleeps_ms: impl IntoIterator<Item = u64>) -> Value {
+    let mut job = cluster::job("m", sleeps_ms);
     if let Some(fields) = job.as_object_mut() {
         fields.remove("key");
     }
     job
 }
 
-/// A job that is to be submitted at its time.
+/// A job to submit at a given time.
 pub(crate) struct Arrival {
-    /// When, after the beginning.
-    pub(crate) at: Duration,
-    /// What.
+    /// When to submit it, since the start of the schedule.
+    pub(crate) due: Duration,
+    /// The body of the request.
     pub(crate) job: Value,
-    /// How long it takes at best, in milliseconds.
+    /// The response time if nothing waits, in milliseconds.
     pub(crate) ideal: f64,
-    /// To which instance.
+    /// The address of the instance to submit it to.
     pub(crate) to: SocketAddr,
-    /// With which kind of claim.
-    pub(crate) way: Way,
+    /// Where its key comes from.
+    pub(crate) key_source: KeySource,
 }
 
 impl Arrival {
-    /// Makes the arrival of a made-up job at one of the instances.
-    pub(crate) fn of(job: &trace::Job, instances: &[SocketAddr], way: Way) -> Self {
-        let mut body = self::job(job.sleeps.iter().copied());
+    /// Returns the arrival of a generated job, at the instance that its seed selects.
+    pub(crate) fn from_trace(
+        job: &trace::Job,
+        instances: &[SocketAddr],
+        key_source: KeySource,
+    ) -> Self {
+        let mut body = self::sleep_job(job.sleeps_ms.iter().copied());
         let tasks = body["tasks"].as_array_mut();
         for (task, declared) in tasks.into_iter().flatten().zip(&job.declared) {
             task["expected_ms"] = json!(declared);
         }
         Self {
-            at: job.due(),
+            due: job.due(),
             job: body,
             ideal: job.ideal(),
-            to: instances[job.from % instances.len()],
-            way,
+            to: instances[job.instance_seed % instances.len()],
+            key_source,
         }
     }
 }
 
-/// What became of many jobs.
+/// Outcomes and response times of many jobs.
 #[derive(Default)]
 pub(crate) struct Tally {
-    /// How often each outcome came, with its reason.
+    /// Number of jobs by outcome and reason.
     pub(crate) outcomes: BTreeMap<String, u64>,
     /// Response times of complete jobs in milliseconds.
-    pub(crate) times: Spread,
+    pub(crate) complete_ms: Distribution,
     /// Response times of complete jobs over the ideal.
-    pub(crate) ratios: Spread,
-    /// Response times of all others in milliseconds.
-    pub(crate) others: Spread,
+    pub(crate) ratios: Distribution,
+    /// Response times of all other answered jobs in milliseconds.
+    pub(crate) incomplete_ms: Distribution,
     /// Tasks submitted.
     pub(crate) tasks: u64,
     /// Jobs submitted.
@@ -242,12 +252,13 @@
 }
 
 impl Tally {
+    /// Adds the answer to a job, whose ideal response time is `ideal` milliseconds.
     fn add(&mut self, answer: Result<(Answer, Duration)>, ideal: f64) {
         self.jobs += 1;
-        let (word, took) = match answer {
+        let (outcome, took) = match answer {
             Ok((answer, took)) if answer.outcome == Outcome::Complete => {
                 self.ratios.add(took.as_secs_f64() * 1e3 / ideal);
-                self.times.time(took);
+                self.complete_ms.add_duration(took);
                 ("complete".to_owned(), None)
             }
             Ok((answer, took)) => (
@@ -257,61 +268,71 @@
             Err(_) => ("no answer".to_owned(), None),
         };
         if let Some(took) = took {
-            self.others.time(took);
+            self.incomplete_ms.add_duration(took);
         }
-        *self.outcomes.entry(word).or_default() += 1;
+        *self.outcomes.entry(outcome).or_default() += 1;
     }
 
-    /// Returns the share of an outcome.
-    pub(crate) fn share(&self, word: &str) -> f64 {
-        let count = self.outcomes.iter().filter(|(w, _)| w.starts_with(word));
+    /// Returns the share of jobs with an outcome that begins with `outcome`.
+    pub(crate) fn share(&self, outcome: &str) -> f64 {
+        let count = self
+            .outcomes
+            .iter()
+            .filter(|(name, _)| name.starts_with(outcome));
         count.map(|(_, n)| n).sum::<u64>() as f64 / self.jobs.max(1) as f64
     }
 
-    /// Returns every outcome but the complete ones, in a few words.
-    pub(crate) fn rest(&self) -> String {
-        let rest = self.outcomes.iter().filter(|(word, _)| *word != "complete");
-        let rest: Vec<_> = rest.map(|(word, n)| format!("{n} {word}")).collect();
-        if rest.is_empty() {
+    /// Returns the number of jobs of each outcome other than complete, as text.
+    pub(crate) fn describe_incomplete(&self) -> String {
+        let incomplete = self
+            .outcomes
+            .iter()
+            .filter(|(outcome, _)| *outcome != "complete");
+        let incomplete: Vec<_> = incomplete
+            .map(|(outcome, n)| format!("{n} {outcome}"))
+            .collect();
+        if incomplete.is_empty() {
             return "none".to_owned();
         }
-        rest.join(", ")
+        incomplete.join(", ")
     }
 }
 
-/// Submits jobs at their times, whether or not earlier ones have been answered.
-pub(crate) async fn play(callers: &Arc<Callers>, arrivals: Vec<Arrival>) -> Tally {
+/// Submits jobs at their times, whether or not earlier ones are answered (an open loop), and waits for all answers.
+pub(crate) async fn submit_on_schedule(callers: &Arc<Callers>, arrivals: Vec<Arrival>) -> Tally {
     let begin = tokio::time::Instant::now();
     let mut tally = Tally::default();
-    let mut out = JoinSet::new();
+    let mut pending = JoinSet::new();
     for arrival in arrivals {
-        tokio::time::sleep_until(begin + arrival.at).await;
+        tokio::time::sleep_until(begin + arrival.due).await;
         tally.tasks += arrival.job["tasks"].as_array().map_or(0, Vec::len) as u64;
         let callers = callers.clone();
-        out.spawn(async move {
-            let answer = callers.submit(arrival.to, arrival.way, arrival.job).await;
+        pending.spawn(async move {
+            let answer = callers
+                .submit(arrival.to, arrival.key_source, arrival.job)
+                .await;
             (answer, arrival.ideal)
         });
-        while let Some(Ok((answer, ideal))) = out.try_join_next() {
+        while let Some(Ok((answer, ideal))) = pending.try_join_next() {
             tally.add(answer, ideal);
         }
     }
-    while let Some(Ok((answer, ideal))) = out.join_next().await {
+    while let Some(Ok((answer, ideal))) = pending.join_next().await {
         tally.add(answer, ideal);
     }
     tally
 }
 
-/// A client that starts the tasks of its jobs itself, at the worker where it has the fewest.
-pub(crate) struct Direct {
+/// A client that starts tasks at the workers itself, each at the one where it has the fewest outstanding.
+pub(crate) struct DirectClient {
     pool: Pool,
     incarnation: Incarnation,
     serial: AtomicU64,
     workers: Vec<(SocketAddr, AtomicU64)>,
 }
 
-impl Direct {
-    /// Makes a client of these workers.
+impl DirectClient {
+    /// Returns a client of these workers.
     pub(crate) fn new(workers: &[Entry]) -> Result<Arc<Self>> {
         let address = |w: &Entry| Ok((w.address.parse()?, AtomicU64::new(0)));
         Ok(Arc::new(Self {
@@ -322,20 +343,22 @@
         }))
     }
 
-    /// Runs tasks that sleep for so many milliseconds, and returns how long all of them took.
-    pub(crate) async fn run(self: &Arc<Self>, sleeps: &[u64]) -> Result<Duration> {
+    /// Runs tasks that sleep for the given numbers of milliseconds, and returns the time until all are done.
+    pub(crate) async fn run(self: &Arc<Self>, sleeps_ms: &[u64]) -> Result<Duration> {
         let job = self.serial.fetch_add(1, Ordering::Relaxed);
         let begin = Instant::now();
-        let tasks = sleeps.iter().enumerate();
-        let tasks = tasks.map(|(i, sleep)| tokio::spawn(self.clone().start(job, i as u32, *sleep)));
+        let tasks = sleeps_ms.iter().enumerate();
+        let tasks = tasks
+            .map(|(i, sleep_ms)| tokio::spawn(self.clone().start_task(job, i as u32, *sleep_ms)));
         for task in tasks.collect::<Vec<_>>() {
             task.await??;
         }
         Ok(begin.elapsed())
     }
 
-    async fn start(self: Arc<Self>, job: u64, task: u32, sleep: u64) -> Result {
-        let payload = json!({"sleep_ms": sleep, "id": format!("d/{task}")});
+    /// Starts a task at the worker with the fewest outstanding ones, and waits until it is done.
+    async fn start_task(self: Arc<Self>, job: u64, task: u32, sleep_ms: u64) -> Result {
+        let payload = json!({"sleep_ms": sleep_ms, "id": format!("d/{task}")});
         let start = Start {
             attempt: Attempt {
                 incarnation: self.incarnation,
@@ -348,7 +371,7 @@
             lease: Span::seconds(60),
         };
         let body = serde_json::to_vec(&start)?;
-        let outstanding = |w: &&(SocketAddr, AtomicU64)| w.1.load(Ordering::Relaxed);
+        let outstanding = |worker: &&(SocketAddr, AtomicU64)| worker.1.load(Ordering::Relaxed);
         let worker = self.workers.iter().min_by_key(outstanding);
         let (address, outstanding) = worker.ok_or("no worker")?;
         outstanding.fetch_add(1, Ordering::Relaxed);
--- a/examples/measure/messages.rs
+++ b/examples/measure/messages.rs
@@ -1,4 +1,4 @@
-//! Messages by kind: what a task and a job cost beyond the needed ones.
+//! Messages by kind for each task and job, next to the minimum of one start and one answer.
 
 use std::time::{
     Duration,
@@ -8,13 +8,13 @@
 use crate::{
     fleet::Builder,
     load::{
-        job,
+        sleep_job,
         Callers,
-        Way, //
+        KeySource, //
     },
     probe::Metrics,
     report::{
-        three,
+        three_decimals,
         Table, //
     },
     support::Result,
@@ -22,12 +22,12 @@
 };
 
 /// How long each task runs, in milliseconds.
-const SLEEP: u64 = 20;
+const TASK_MS: u64 = 20;
 
-/// Messages that come with time, not with jobs.
-const BACKGROUND: [&str; 3] = ["peer-call", "table-read", "list-read"];
+/// Kinds of messages that instances also send without work.
+const BACKGROUND_KINDS: [&str; 3] = ["peer-call", "table-read", "list-read"];
 
-/// Measures and prints.
+/// Measures the messages of jobs of several sizes and key sources, and prints a table.
 pub(crate) async fn run(effort: Effort) -> Result {
     let builder = Builder {
         instances: 2,
@@ -35,8 +35,8 @@
     };
     let mut fleet = builder.start().await?;
     let callers = Callers::default();
-    let instances = fleet.callers();
-    let idle = idle(&instances, effort.pick(4, 20)).await?;
+    let instances = fleet.caller_addresses();
+    let idle_rate = measure_idle_rates(&instances, effort.pick(4, 20)).await?;
     let mut table = Table::new(&[
         "tasks",
         "way",
@@ -49,44 +49,51 @@
         "peer calls a job",
     ]);
     for tasks in [1, 12, 100] {
-        for way in Way::ALL {
-            let (before, started) = (Metrics::read(&instances).await?, fleet.counters().await?);
+        for key_source in KeySource::ALL {
+            let (before, started) = (
+                Metrics::read(&instances).await?,
+                fleet.worker_counters().await?,
+            );
             let (begin, jobs) = (Instant::now(), effort.pick(25, 200));
             for _ in 0..jobs {
-                let job = job(vec![SLEEP; tasks]);
-                callers.submit(instances[0], way, job).await?;
+                let job = sleep_job(vec![TASK_MS; tasks]);
+                callers.submit(instances[0], key_source, job).await?;
             }
-            // Outcomes are recorded behind the answer.
+            // Instances store outcomes after they have answered.
             tokio::time::sleep(Duration::from_millis(200)).await;
             let seconds = begin.elapsed().as_secs_f64();
             let spent = Metrics::read(&instances).await?.since(&before);
-            let starts = fleet.counters().await?.starts - started.starts;
-            let (jobs, all) = (jobs as f64, jobs as f64 * tasks as f64);
-            let extra = |kind: &str| (spent.messages(kind) - idle(kind) * seconds).max(0.0) / jobs;
-            table.row([
+            let starts = fleet.worker_counters().await?.starts - started.starts;
+            let (jobs, all_tasks) = (jobs as f64, jobs as f64 * tasks as f64);
+            let per_job_above_idle =
+                |kind: &str| (spent.messages(kind) - idle_rate(kind) * seconds).max(0.0) / jobs;
+            table.add_row([
                 tasks.to_string(),
-                way.name().to_owned(),
-                three(starts as f64 / all),
-                three(spent.messages("reply") / all),
-                three((spent.messages("look") + spent.messages("stop")) / all),
-                three(spent.messages("table-commit") / jobs),
-                three(extra("table-read")),
-                three(spent.messages("object") / jobs),
-                three(extra("peer-call")),
+                key_source.name().to_owned(),
+                three_decimals(starts as f64 / all_tasks),
+                three_decimals(spent.messages("reply") / all_tasks),
+                three_decimals((spent.messages("look") + spent.messages("stop")) / all_tasks),
+                three_decimals(spent.messages("table-commit") / jobs),
+                three_decimals(per_job_above_idle("table-read")),
+                three_decimals(spent.messages("object") / jobs),
+                three_decimals(per_job_above_idle("peer-call")),
             ]);
         }
     }
     table.print("Messages, one job after the other; needed are one start and one answer a task");
-    let rates = BACKGROUND.map(|kind| format!("{} {kind}", three(idle(kind))));
+    let rates = BACKGROUND_KINDS.map(|kind| format!("{} {kind}", three_decimals(idle_rate(kind))));
     println!(
         "\nWithout work, two instances send {} a second; that is taken off above.",
         rates.join(", ")
     );
-    fleet.end().await
+    fleet.stop().await
 }
 
-/// Returns how many messages of a kind the instances send in a second without work.
-async fn idle(instances: &[std::net::SocketAddr], seconds: u64) -> Result<impl Fn(&str) -> f64> {
+/// Measures without work, and returns a function from the kind of a message to its number per second.
+async fn measure_idle_rates(
+    instances: &[std::net::SocketAddr],
+    seconds: u64,
+) -> Result<impl Fn(&str) -> f64> {
     let before = Metrics::read(instances).await?;
     tokio::time::sleep(Duration::from_secs(seconds)).await;
     let spent = Metrics::read(instances).await?.since(&before);
--- a/examples/measure/policy.rs
+++ b/examples/measure/policy.rs
@@ -1,7 +1,7 @@
-//! The placement of the product under other policies, in this process.
+//! Simulates placement policies in this process.
 //!
-//! Only the core's choice of an endpoint is real; messages take no time and nothing fails. It tells policies
-//! apart in seconds, and the processes decide.
+//! The choice of an endpoint is that of the core; messages take no time and nothing fails. A simulation ranks policies in
+//! seconds; only the measurements on processes decide between them.
 
 use std::{
     cmp::Reverse,
@@ -33,8 +33,8 @@
         WORKERS, //
     },
     report::{
-        three,
-        Spread,
+        three_decimals,
+        Distribution,
         Table, //
     },
     support::{
@@ -44,45 +44,52 @@
     trace::{
         self,
         Job,
-        Mix, //
+        Workload, //
     },
     Effort,
 };
 
-/// A task that is placed.
+/// A task placed on a worker.
 #[derive(Debug, Clone, Copy)]
 struct Placed {
     job: usize,
-    sleep: u64,
+    sleep_ms: u64,
     instance: usize,
-    at: u64,
+    placed_at: u64,
 }
 
+/// Running tasks of a worker, and those placed on it that wait for a slot.
 #[derive(Default)]
 struct Worker {
     running: u32,
     queue: VecDeque<Placed>,
 }
 
+/// The placement of an instance, and its tasks that are not placed yet.
 struct Instance {
     placement: Placement,
+    /// Waiting tasks: the index of the job, and the run time in milliseconds.
     queue: VecDeque<(usize, u64)>,
 }
 
-struct Model<'a> {
+/// A discrete-event simulation; all times are in microseconds.
+struct Simulation<'a> {
     jobs: &'a [Job],
     route: Route,
     instances: Vec<Instance>,
     workers: Vec<Worker>,
-    left: Vec<usize>,
-    /// Ends of tasks: the time in microseconds, a number that keeps the order, the worker and the task.
-    ends: BinaryHeap<Reverse<(u64, u64)>>,
+    /// Number of unfinished tasks of each job.
+    unfinished_tasks: Vec<usize>,
+    /// Ends of running tasks, the earliest first: the time in microseconds, and the serial number of the task.
+    end_times: BinaryHeap<Reverse<(u64, u64)>>,
+    /// Running tasks by serial number, each with the index of its worker.
     running: BTreeMap<u64, (usize, Placed)>,
     serial: u64,
-    ratios: Spread,
+    ratios: Distribution,
 }
 
-impl<'a> Model<'a> {
+impl<'a> Simulation<'a> {
+    /// Returns a simulation that has not begun; each instance may have `outstanding` tasks at a worker.
     fn new(jobs: &'a [Job], policy: Policy, centres: usize, outstanding: u32) -> Result<Self> {
         let entry = |i: usize| worker::entry(&format!("worker-{i}"), CENTRES[i % centres]);
         let entries: Vec<Entry> = (0..WORKERS).map(entry).collect();
@@ -98,37 +105,40 @@
         };
         Ok(Self {
             jobs,
-            route: route()?,
+            route: unrestricted_route()?,
             instances: (0..INSTANCES).map(instance).collect::<Result<_>>()?,
             workers: (0..WORKERS).map(|_| Worker::default()).collect(),
-            left: jobs.iter().map(|job| job.sleeps.len()).collect(),
-            ends: BinaryHeap::new(),
+            unfinished_tasks: jobs.iter().map(|job| job.sleeps_ms.len()).collect(),
+            end_times: BinaryHeap::new(),
             running: BTreeMap::new(),
             serial: 0,
-            ratios: Spread::default(),
+            ratios: Distribution::default(),
         })
     }
 
-    fn run(mut self) -> Spread {
+    /// Runs all jobs, and returns their response times over the ideal.
+    fn run(mut self) -> Distribution {
         for number in 0..self.jobs.len() {
-            let at = (self.jobs[number].at * 1e6) as u64;
-            self.end_until(at);
-            self.arrive(at, number);
+            let at = (self.jobs[number].arrival_s * 1e6) as u64;
+            self.process_ends_until(at);
+            self.on_arrival(at, number);
         }
-        self.end_until(u64::MAX);
+        self.process_ends_until(u64::MAX);
         self.ratios
     }
 
-    fn arrive(&mut self, now: u64, number: usize) {
+    /// Queues the tasks of a job at its instance, the longest first, and places those that fit.
+    fn on_arrival(&mut self, now: u64, number: usize) {
         let job = &self.jobs[number];
-        let mut sleeps = job.sleeps.clone();
-        sleeps.sort_unstable_by_key(|sleep| Reverse(*sleep));
-        let instance = job.from % INSTANCES;
-        let tasks = sleeps.into_iter().map(|sleep| (number, sleep));
+        let mut sleeps_ms = job.sleeps_ms.clone();
+        sleeps_ms.sort_unstable_by_key(|sleep| Reverse(*sleep));
+        let instance = job.instance_seed % INSTANCES;
+        let tasks = sleeps_ms.into_iter().map(|sleep| (number, sleep));
         self.instances[instance].queue.extend(tasks);
         self.dispatch(now, instance);
     }
 
+    /// Places the waiting tasks of an instance until no endpoint has room.
     fn dispatch(&mut self, now: u64, number: usize) {
         while let Some((job, sleep)) = self.instances[number].queue.front().copied() {
             let requirement = Requirement {
@@ -144,17 +154,17 @@
             instance.queue.pop_front();
             let placed = Placed {
                 job,
-                sleep,
+                sleep_ms: sleep,
                 instance: number,
-                at: now,
+                placed_at: now,
             };
             self.workers[worker as usize].queue.push_back(placed);
-            self.fill(now, worker as usize);
+            self.start_queued(now, worker as usize);
         }
     }
 
-    /// Starts what waits at a worker while it has a slot.
-    fn fill(&mut self, now: u64, number: usize) {
+    /// Starts queued tasks of a worker while it has a free slot.
+    fn start_queued(&mut self, now: u64, number: usize) {
         let worker = &mut self.workers[number];
         while worker.running < SLOTS {
             let Some(placed) = worker.queue.pop_front() else {
@@ -163,24 +173,26 @@
             worker.running += 1;
             self.serial += 1;
             self.running.insert(self.serial, (number, placed));
-            let end = now + placed.sleep * 1_000;
-            self.ends.push(Reverse((end, self.serial)));
+            let end = now + placed.sleep_ms * 1_000;
+            self.end_times.push(Reverse((end, self.serial)));
         }
     }
 
-    fn end_until(&mut self, until: u64) {
-        while let Some(Reverse((now, serial))) = self.ends.peek().copied() {
+    /// Ends all tasks that are due by `until`.
+    fn process_ends_until(&mut self, until: u64) {
+        while let Some(Reverse((now, serial))) = self.end_times.peek().copied() {
             if now > until {
                 return;
             }
-            self.ends.pop();
+            self.end_times.pop();
             if let Some((worker, placed)) = self.running.remove(&serial) {
-                self.end(now, worker, placed);
+                self.on_task_end(now, worker, placed);
             }
         }
     }
 
-    fn end(&mut self, now: u64, number: usize, placed: Placed) {
+    /// Frees the slot of a task, and lets its worker and its instance start the next ones.
+    fn on_task_end(&mut self, now: u64, number: usize, placed: Placed) {
         let worker = &mut self.workers[number];
         worker.running -= 1;
         let load = Load {
@@ -188,22 +200,22 @@
             queued: worker.queue.len() as u32,
             incarnation: None,
         };
-        self.fill(now, number);
-        let took = Span(now - placed.at);
+        self.start_queued(now, number);
+        let took = Span(now - placed.placed_at);
         let placement = &mut self.instances[placed.instance].placement;
         placement.on_task_end(Slot(number as u32), Some(took), Some(load));
-        self.left[placed.job] -= 1;
-        if self.left[placed.job] == 0 {
+        self.unfinished_tasks[placed.job] -= 1;
+        if self.unfinished_tasks[placed.job] == 0 {
             let job = &self.jobs[placed.job];
-            let took = now as f64 / 1e3 - job.at * 1e3;
+            let took = now as f64 / 1e3 - job.arrival_s * 1e3;
             self.ratios.add(took / job.ideal());
         }
         self.dispatch(now, placed.instance);
     }
 }
 
-/// A route that may use every worker.
-fn route() -> Result<Route> {
+/// Returns a route that may use every worker.
+fn unrestricted_route() -> Result<Route> {
     Ok(Route {
         service: "notebook".parse()?,
         revision: Revision(1),
@@ -218,7 +230,7 @@
     })
 }
 
-/// Tries every policy on the same jobs, and prints.
+/// Simulates every policy on the same jobs, and prints a table.
 pub(crate) fn run(effort: Effort) -> Result {
     let mut table = Table::new(&[
         "load",
@@ -231,15 +243,15 @@
         "one queue",
     ]);
     for load in [0.7, 0.9] {
-        let mix = Mix {
+        let workload = Workload {
             seed: 2,
             load,
             slots: WORKERS as u32 * SLOTS,
             seconds: effort.pick(60.0, 600.0),
-            wrong: (1.0, 1.0),
+            declared_factor: (1.0, 1.0),
             tasks: None,
         };
-        let jobs = trace::jobs(mix);
+        let jobs = trace::generate_jobs(workload);
         for (centres, outstanding) in [(1, 16), (1, 8), (1, 4), (3, 16), (3, 8), (3, 4)] {
             let mut cells = vec![
                 load.to_string(),
@@ -252,11 +264,13 @@
                 Policy::OutstandingThenLoad,
                 Policy::OutstandingPlusLoad,
             ] {
-                let ratios = Model::new(&jobs, policy, centres, outstanding)?.run();
-                cells.push(three(ratios.mean()));
+                let ratios = Simulation::new(&jobs, policy, centres, outstanding)?.run();
+                cells.push(three_decimals(ratios.mean()));
             }
-            cells.push(three(trace::one_queue(&jobs, mix.slots).mean()));
-            table.row(cells);
+            cells.push(three_decimals(
+                trace::simulate_one_queue(&jobs, workload.slots).mean(),
+            ));
+            table.add_row(cells);
         }
     }
     table.print("Policies in this process: mean response time over ideal, 48 workers, 6 instances");
--- a/examples/measure/probe.rs
+++ b/examples/measure/probe.rs
@@ -1,4 +1,4 @@
-//! What an instance tells of itself, and what the system tells of its process.
+//! Reads the metrics of instances, and the CPU time and memory of their processes.
 
 use std::{
     collections::BTreeMap,
@@ -11,7 +11,7 @@
     Result, //
 };
 
-/// The metrics of one instance, or of several added up.
+/// The metrics of one instance, or the sums over several.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Metrics(BTreeMap<String, f64>);
 
@@ -30,24 +30,24 @@
         Ok(sum)
     }
 
-    /// Returns a value by its name, as the text gives it without the common prefix.
+    /// Returns the value of a metric, or 0 if it is missing; `name` has the labels, and lacks the prefix `poplarknot_`.
     pub(crate) fn get(&self, name: &str) -> f64 {
         let value = self.0.get(&format!("poplarknot_{name}"));
         value.copied().unwrap_or(0.0)
     }
 
-    /// Returns how many messages of a kind were counted.
+    /// Returns the number of messages of a kind.
     pub(crate) fn messages(&self, kind: &str) -> f64 {
         self.get(&format!("messages_total{{kind=\"{kind}\"}}"))
     }
 
-    /// Returns how many messages were counted to and from endpoints and peers.
-    pub(crate) fn wire(&self) -> f64 {
+    /// Returns the number of messages to and from endpoints and peers.
+    pub(crate) fn task_and_peer_messages(&self) -> f64 {
         let kinds = ["start", "reply", "look", "stop", "peer-call"];
         kinds.iter().map(|kind| self.messages(kind)).sum()
     }
 
-    /// Returns what has been added since `earlier`.
+    /// Returns the increases since `earlier`.
     pub(crate) fn since(&self, earlier: &Self) -> Self {
         let name = |name: &String| earlier.0.get(name).copied().unwrap_or(0.0);
         let rest = self.0.iter().map(|(k, value)| (k.clone(), value - name(k)));
@@ -55,52 +55,52 @@
     }
 }
 
-/// What a process has used.
+/// CPU time and memory of a process.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Usage {
-    /// Processor time in microseconds, by the name of the thread.
-    pub(crate) threads: BTreeMap<String, f64>,
+    /// CPU time in microseconds, by the name of the thread.
+    pub(crate) thread_cpu_us: BTreeMap<String, f64>,
     /// Resident memory in bytes.
-    pub(crate) memory: f64,
+    pub(crate) memory_bytes: f64,
 }
 
 impl Usage {
-    /// Reads what a process has used up to now.
+    /// Reads the CPU time that a process has used since its start, and its present memory.
     pub(crate) fn read(process: u32) -> Result<Self> {
         let mut usage = Self::default();
         for task in fs::read_dir(format!("/proc/{process}/task"))? {
             let folder = task?.path();
             let name = fs::read_to_string(folder.join("comm"))?;
-            // The first number is the time on a processor in nanoseconds.
+            // The first number is the CPU time in nanoseconds.
             let text = fs::read_to_string(folder.join("schedstat"))?;
             let spent: f64 = text.split(' ').next().unwrap_or("0").parse()?;
             let name = name.trim().to_owned();
-            *usage.threads.entry(name).or_default() += spent / 1e3;
+            *usage.thread_cpu_us.entry(name).or_default() += spent / 1e3;
         }
         let status = fs::read_to_string(format!("/proc/{process}/status"))?;
         let resident = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
         let kib = resident.and_then(|l| l.split_whitespace().next());
-        usage.memory = kib.unwrap_or("0").parse::<f64>()? * 1024.0;
+        usage.memory_bytes = kib.unwrap_or("0").parse::<f64>()? * 1024.0;
         Ok(usage)
     }
 
-    /// Returns the processor time of all threads, in microseconds.
-    pub(crate) fn total(&self) -> f64 {
-        self.threads.values().sum()
+    /// Returns the CPU time of all threads, in microseconds.
+    pub(crate) fn total_cpu_us(&self) -> f64 {
+        self.thread_cpu_us.values().sum()
     }
 
-    /// Returns the processor time of one thread, in microseconds.
-    pub(crate) fn thread(&self, name: &str) -> f64 {
-        self.threads.get(name).copied().unwrap_or(0.0)
+    /// Returns the CPU time of the threads of a name, in microseconds.
+    pub(crate) fn cpu_us_of(&self, name: &str) -> f64 {
+        self.thread_cpu_us.get(name).copied().unwrap_or(0.0)
     }
 
-    /// Returns the processor time since `earlier`, with the memory of now.
+    /// Returns the CPU time used since `earlier`, and the memory of this reading.
     pub(crate) fn since(&self, earlier: &Self) -> Self {
-        let rest = self.threads.iter();
-        let rest = rest.map(|(name, spent)| (name.clone(), spent - earlier.thread(name)));
+        let rest = self.thread_cpu_us.iter();
+        let rest = rest.map(|(name, spent)| (name.clone(), spent - earlier.cpu_us_of(name)));
         Self {
-            threads: rest.collect(),
-            memory: self.memory,
+            thread_cpu_us: rest.collect(),
+            memory_bytes: self.memory_bytes,
         }
     }
 }
--- a/examples/measure/response.rs
+++ b/examples/measure/response.rs
@@ -1,4 +1,4 @@
-//! Response time through an instance over the same work sent straight to the workers, taken in turns.
+//! Response time of jobs through an instance, compared with the same tasks sent straight to the workers.
 
 use std::time::Instant;
 
@@ -7,16 +7,16 @@
 use crate::{
     fleet::Builder,
     load::{
-        job,
+        sleep_job,
         Callers,
-        Direct,
-        Pool,
-        Way, //
+        DirectClient,
+        KeySource,
+        Pool, //
     },
     report::{
-        three,
-        two,
-        Spread,
+        three_decimals,
+        two_decimals,
+        Distribution,
         Table, //
     },
     support::Result,
@@ -24,16 +24,16 @@
 };
 
 /// How long each task runs, in milliseconds.
-const SLEEP: u64 = 50;
+const TASK_MS: u64 = 50;
 
-/// Jobs of each kind that warm connections and schedules up before any is counted.
-const WARM: usize = 5;
+/// Rounds that open connections and fill caches before any counts.
+const WARM_UP_ROUNDS: usize = 5;
 
-/// Measures and prints.
+/// Measures direct work and all key sources in turn, so that load on the machine affects them alike, and prints a table.
 pub(crate) async fn run(effort: Effort) -> Result {
     let fleet = Builder::default().start().await?;
     let callers = Callers::default();
-    let direct = Direct::new(&fleet.entries)?;
+    let direct = DirectClient::new(&fleet.entries)?;
     let to = fleet.instances[0].callers;
     let mut table = Table::new(&[
         "tasks",
@@ -44,58 +44,66 @@
         "median more, ms",
     ]);
     for tasks in [1, 12, 100] {
-        let sleeps = vec![SLEEP; tasks];
-        let mut straight = Spread::default();
-        let mut ways = Way::ALL.map(|way| (way, Spread::default()));
-        for round in 0..WARM + effort.pick(20, 100) {
-            let took = direct.run(&sleeps).await?;
-            if round >= WARM {
-                straight.time(took);
+        let sleeps_ms = vec![TASK_MS; tasks];
+        let mut direct_ms = Distribution::default();
+        let mut times_by_source =
+            KeySource::ALL.map(|key_source| (key_source, Distribution::default()));
+        for round in 0..WARM_UP_ROUNDS + effort.pick(20, 100) {
+            let took = direct.run(&sleeps_ms).await?;
+            if round >= WARM_UP_ROUNDS {
+                direct_ms.add_duration(took);
             }
-            for (way, times) in &mut ways {
-                let (answer, took) = callers.submit(to, *way, job(sleeps.clone())).await?;
+            for (key_source, times) in &mut times_by_source {
+                let (answer, took) = callers
+                    .submit(to, *key_source, sleep_job(sleeps_ms.clone()))
+                    .await?;
                 if answer.results.len() != tasks {
-                    return Err(format!("{} gave {answer:?}", way.name()).into());
+                    return Err(format!("{} gave {answer:?}", key_source.name()).into());
                 }
-                if round >= WARM {
-                    times.time(took);
+                if round >= WARM_UP_ROUNDS {
+                    times.add_duration(took);
                 }
             }
         }
-        let mut row = |name: &str, times: &Spread| {
-            table.row([
+        let mut row = |name: &str, times: &Distribution| {
+            table.add_row([
                 tasks.to_string(),
                 name.to_owned(),
-                two(times.median()),
-                two(times.at(0.99)),
-                three(times.median() / straight.median()),
-                two(times.median() - straight.median()),
+                two_decimals(times.median()),
+                two_decimals(times.quantile(0.99)),
+                three_decimals(times.median() / direct_ms.median()),
+                two_decimals(times.median() - direct_ms.median()),
             ]);
         };
-        row("direct", &straight);
-        ways.iter().for_each(|(way, times)| row(way.name(), times));
+        row("direct", &direct_ms);
+        times_by_source
+            .iter()
+            .for_each(|(key_source, times)| row(key_source.name(), times));
     }
     table.print("Response time of jobs of 50 ms tasks");
-    let write = write(fleet.address, effort.pick(20, 100)).await?;
+    let writes = measure_table_writes(fleet.platform_address, effort.pick(20, 100)).await?;
     println!(
         "\nOne table write straight from a client: median {} ms, p99 {} ms.",
-        two(write.median()),
-        two(write.at(0.99))
+        two_decimals(writes.median()),
+        two_decimals(writes.quantile(0.99))
     );
-    fleet.end().await
+    fleet.stop().await
 }
 
-/// Takes the time of single writes to the table.
-async fn write(platform: std::net::SocketAddr, writes: usize) -> Result<Spread> {
+/// Returns the response times of single writes to the table, in milliseconds.
+async fn measure_table_writes(
+    platform: std::net::SocketAddr,
+    writes: usize,
+) -> Result<Distribution> {
     let pool = Pool::default();
-    let mut times = Spread::default();
+    let mut times = Distribution::default();
     for i in 0..writes {
         let write = json!({"key": format!("measure/{i}"), "value": "1"});
         let commit = json!({"groups": [{"conditions": [], "writes": [write]}]});
         let begin = Instant::now();
         let body = serde_json::to_vec(&commit)?;
         pool.post(platform, "/table/commit", &[], body).await?;
-        times.time(begin.elapsed());
+        times.add_duration(begin.elapsed());
     }
     Ok(times)
 }
--- a/examples/measure/role.rs
+++ b/examples/measure/role.rs
@@ -1,4 +1,7 @@
-//! The stand-ins as processes: each prints what it offers, then takes an order a line on standard input.
+//! Stand-ins of the platform and of workers as processes.
+//!
+//! Each prints its addresses or list entries in a line of JSON, then replies to each request, a line of JSON on the standard
+//! input, with its counters.
 
 use std::{
     io::Write as _,
@@ -50,27 +53,27 @@
     },
 };
 
-/// Something that a stand-in is told to do.
+/// A request to a stand-in; workers are given by their indices within the process.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) enum Order {
-    /// Tell the counters: of the platform, or added up over the workers.
+pub(crate) enum Request {
+    /// Only reply with the counters: of the platform, or summed over the workers.
     Count,
-    /// Show this list, the platform.
+    /// Platform: serve this list.
     List(List),
-    /// Show these lists in its views, the platform.
+    /// Platform: serve these lists, one in the view of each data centre.
     Views(Vec<List>),
-    /// Answer nothing, or again, the platform.
+    /// Platform: go down, or come up again.
     Down(bool),
-    /// Fail every task, the workers of these places.
+    /// Workers: fail every task.
     Fail(Vec<usize>),
-    /// Run slower by this factor, the workers of these places.
+    /// Workers: run tasks slower by this factor.
     Slow(Vec<usize>, f64),
-    /// End with all connections and tasks, the workers of these places.
+    /// Workers: close all connections and end all tasks.
     Kill(Vec<usize>),
 }
 
-/// Plays the platform; besides its own address it offers a view for each data centre.
-pub(crate) async fn play_platform() -> Result {
+/// Runs the platform until the standard input ends, with a view of the list for each data centre.
+pub(crate) async fn run_platform() -> Result {
     let settings = platform::Settings {
         sync: Duration::from_millis(5),
         ..platform::Settings::default()
@@ -87,45 +90,46 @@
     let views: Vec<Server> = (0..CENTRES.len()).map(view).collect::<Result<_>>()?;
     let addresses = views.iter().map(Server::address);
     let addresses: Vec<_> = [platform.address()].into_iter().chain(addresses).collect();
-    say(&addresses)?;
-    let mut orders = BufReader::new(tokio::io::stdin()).lines();
-    while let Some(line) = orders.next_line().await? {
+    print_json(&addresses)?;
+    let mut requests = BufReader::new(tokio::io::stdin()).lines();
+    while let Some(line) = requests.next_line().await? {
         match serde_json::from_str(&line)? {
-            Order::List(list) => platform.list(|l| *l = list),
-            Order::Views(changed) => *lists.lock().unwrap() = changed,
-            Order::Down(true) => platform.down().await,
-            Order::Down(false) => platform.up()?,
+            Request::List(list) => platform.list(|l| *l = list),
+            Request::Views(changed) => *lists.lock().unwrap() = changed,
+            Request::Down(true) => platform.down().await,
+            Request::Down(false) => platform.up()?,
             _ => {}
         }
-        say(&platform.counters())?;
+        print_json(&platform.counters())?;
     }
     Ok(())
 }
 
-/// Plays the workers that `entries` describes.
-pub(crate) async fn play_workers(entries: &str) -> Result {
+/// Runs the workers that `entries`, a JSON array, describes, until the standard input ends.
+pub(crate) async fn run_workers(entries: &str) -> Result {
     let entries: Vec<Entry> = serde_json::from_str(entries)?;
     let workers = entries.into_iter().map(Worker::start);
     let workers: Vec<Worker> = workers.collect::<Result<_>>()?;
-    say(&workers.iter().map(Worker::entry).collect::<Vec<_>>())?;
-    let mut orders = BufReader::new(tokio::io::stdin()).lines();
-    while let Some(line) = orders.next_line().await? {
-        obey(&workers, serde_json::from_str(&line)?).await;
-        say(&total(&workers))?;
+    print_json(&workers.iter().map(Worker::entry).collect::<Vec<_>>())?;
+    let mut requests = BufReader::new(tokio::io::stdin()).lines();
+    while let Some(line) = requests.next_line().await? {
+        apply_request(&workers, serde_json::from_str(&line)?).await;
+        print_json(&sum_counters(&workers))?;
     }
     Ok(())
 }
 
-async fn obey(workers: &[Worker], order: Order) {
-    match order {
-        Order::Fail(places) => places
+/// Applies a request to workers; ignores those for the platform.
+async fn apply_request(workers: &[Worker], request: Request) {
+    match request {
+        Request::Fail(indices) => indices
             .iter()
             .for_each(|i| workers[*i].behave(|b| b.fail = true)),
-        Order::Slow(places, factor) => places
+        Request::Slow(indices, factor) => indices
             .iter()
             .for_each(|i| workers[*i].behave(|b| b.slow = factor)),
-        Order::Kill(places) => {
-            for i in places {
+        Request::Kill(indices) => {
+            for i in indices {
                 workers[i].kill().await;
             }
         }
@@ -133,7 +137,8 @@
     }
 }
 
-fn total(workers: &[Worker]) -> worker::Counters {
+/// Returns the sum of the counters of all workers.
+fn sum_counters(workers: &[Worker]) -> worker::Counters {
     let add = |sum: worker::Counters, one: worker::Counters| worker::Counters {
         starts: sum.starts + one.starts,
         looks: sum.looks + one.looks,
@@ -144,21 +149,22 @@
     counters.fold(worker::Counters::default(), add)
 }
 
-fn say(what: &impl Serialize) -> Result {
+/// Prints a value as a line of JSON, and flushes.
+fn print_json(value: &impl Serialize) -> Result {
     let mut out = std::io::stdout().lock();
-    writeln!(out, "{}", serde_json::to_string(what)?)?;
+    writeln!(out, "{}", serde_json::to_string(value)?)?;
     Ok(out.flush()?)
 }
 
-/// A stand-in in a process of its own, which ends when this is dropped.
+/// A stand-in in a child process, which is killed on drop.
 pub(crate) struct Process {
     _child: Child,
-    orders: ChildStdin,
+    requests: ChildStdin,
     replies: BufReader<ChildStdout>,
 }
 
 impl Process {
-    /// Starts this program again in a role, and reads what it offers.
+    /// Starts this program again in a role, and returns the first line that it prints.
     pub(crate) async fn start<T: DeserializeOwned>(role: &[&str]) -> Result<(Self, T)> {
         let mut child = Command::new(std::env::current_exe()?)
             .args(role)
@@ -166,25 +172,26 @@
             .stdout(Stdio::piped())
             .kill_on_drop(true)
             .spawn()?;
-        let orders = child.stdin.take().ok_or("no standard input")?;
+        let requests = child.stdin.take().ok_or("no standard input")?;
         let replies = BufReader::new(child.stdout.take().ok_or("no standard output")?);
         let mut process = Self {
             _child: child,
-            orders,
+            requests,
             replies,
         };
-        let offer = process.reply().await?;
-        Ok((process, offer))
+        let announcement = process.read_reply().await?;
+        Ok((process, announcement))
     }
 
-    /// Gives an order and reads the counters that come back.
-    pub(crate) async fn order<T: DeserializeOwned>(&mut self, order: &Order) -> Result<T> {
-        let line = format!("{}\n", serde_json::to_string(order)?);
-        self.orders.write_all(line.as_bytes()).await?;
-        self.reply().await
+    /// Sends a request, and returns the counters of the reply.
+    pub(crate) async fn send<T: DeserializeOwned>(&mut self, request: &Request) -> Result<T> {
+        let line = format!("{}\n", serde_json::to_string(request)?);
+        self.requests.write_all(line.as_bytes()).await?;
+        self.read_reply().await
     }
 
-    async fn reply<T: DeserializeOwned>(&mut self) -> Result<T> {
+    /// Reads a line from the stand-in, and parses it; gives up after [`PATIENCE`].
+    async fn read_reply<T: DeserializeOwned>(&mut self) -> Result<T> {
         let mut line = String::new();
         tokio::time::timeout(PATIENCE, self.replies.read_line(&mut line)).await??;
         Ok(serde_json::from_str(&line)?)
--- a/examples/measure/storm.rs
+++ b/examples/measure/storm.rs
@@ -1,35 +1,35 @@
-//! Half of the endpoints fail everything: messages for a request stay bounded.
+//! Retries while half of the endpoints fail every task: the messages for each task must stay bounded.
 
 use std::sync::Arc;
 
 use crate::{
     fleet::CENTRES,
     load::{
-        play,
+        submit_on_schedule,
         Arrival,
         Callers,
-        Way, //
+        KeySource, //
     },
     placement::{
         self,
-        half, //
+        is_odd_in_centre, //
     },
     probe::Metrics,
     report::{
-        three,
-        two,
+        three_decimals,
+        two_decimals,
         Table, //
     },
-    role::Order,
+    role::Request,
     support::Result,
     trace::{
         self,
-        Mix, //
+        Workload, //
     },
     Effort,
 };
 
-/// Measures and prints.
+/// Measures successive spans of time with the same load, and prints a table.
 pub(crate) async fn run(effort: Effort) -> Result {
     let mut table = Table::new(&[
         "seconds",
@@ -40,38 +40,40 @@
         "mean over ideal",
         "not complete",
     ]);
-    let mut fleet = placement::start(CENTRES.len(), 16).await?;
-    fleet.workers(half, Order::Fail).await?;
-    let instances = fleet.callers();
+    let mut fleet = placement::start_fleet(CENTRES.len(), 16).await?;
+    fleet
+        .send_to_workers(is_odd_in_centre, Request::Fail)
+        .await?;
+    let instances = fleet.caller_addresses();
     let callers = Arc::new(Callers::default());
     let step = effort.pick(2.0, 10.0);
     for round in 0..5_u64 {
-        let mix = Mix {
+        let workload = Workload {
             seed: round,
             load: 0.35,
             slots: 384,
             seconds: step,
-            wrong: (1.0, 1.0),
+            declared_factor: (1.0, 1.0),
             tasks: None,
         };
-        let arrivals = trace::jobs(mix);
+        let arrivals = trace::generate_jobs(workload);
         let arrivals = arrivals
             .iter()
-            .map(|job| Arrival::of(job, &instances, Way::Idempotent));
+            .map(|job| Arrival::from_trace(job, &instances, KeySource::Idempotent));
         let before = Metrics::read(&instances).await?;
-        let tally = play(&callers, arrivals.collect()).await;
+        let tally = submit_on_schedule(&callers, arrivals.collect()).await;
         let spent = Metrics::read(&instances).await?.since(&before);
         let tasks = tally.tasks as f64;
-        table.row([
+        table.add_row([
             format!("{} to {}", round as f64 * step, (round + 1) as f64 * step),
             tally.jobs.to_string(),
-            two(tally.share("complete") * 100.0),
-            three(spent.get("task_starts_total") / tasks),
-            three(spent.wire() / tasks),
-            three(tally.ratios.mean()),
-            tally.rest(),
+            two_decimals(tally.share("complete") * 100.0),
+            three_decimals(spent.get("task_starts_total") / tasks),
+            three_decimals(spent.task_and_peer_messages() / tasks),
+            three_decimals(tally.ratios.mean()),
+            tally.describe_incomplete(),
         ]);
     }
     table.print("Half of 48 workers fail everything, idempotent jobs at load 0.35 of all");
-    fleet.end().await
+    fleet.stop().await
 }
