--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! The time that single decisions of the core take.
+//! Benchmarks of the core and of the dispatcher: one decision, one period or one message at a time.
 
 use std::{
     collections::BTreeMap,
@@ -78,31 +78,34 @@
     },
 };
 
-/// Endpoints of today, of a region, and of all data centres together in two years.
+/// Numbers of endpoints: of a small deployment, of a region, and of all data centres together.
 const ENDPOINTS: [usize; 3] = [48, 1_300, 22_000];
 
-/// Instances of today, as expected in two years, and well beyond.
+/// Numbers of instances: of a small deployment, of a large one, and beyond that.
 const INSTANCES: [usize; 3] = [7, 320, 1_000];
 
-/// Data centres in two years.
+/// Data centres of a large deployment.
 const CENTRES: usize = 17;
 
-/// Tasks that are outstanding while a placement is timed, for each endpoint.
-const OUTSTANDING: usize = 4;
+/// Outstanding tasks for each endpoint while a placement is timed.
+const OUTSTANDING_PER_ENDPOINT: usize = 4;
 
-const TASK: Span = Span::millis(200);
+/// Expected run time of a task.
+const TASK_DURATION: Span = Span::millis(200);
 
-fn name<T: FromStr<Err: Debug>>(text: impl AsRef<str>) -> T {
+/// Parses a name or an identifier that is known to be valid.
+fn parse_name<T: FromStr<Err: Debug>>(text: impl AsRef<str>) -> T {
     text.as_ref().parse().expect("a valid name")
 }
 
-fn workers(count: usize, centres: usize) -> Vec<Worker> {
+/// Returns `count` live workers, spread over `centres` data centres.
+fn worker_list(count: usize, centres: usize) -> Vec<Worker> {
     let worker = |number: usize| Worker {
-        name: name(format!("worker-{number}")),
-        centre: name(format!("centre-{}", number % centres)),
+        name: parse_name(format!("worker-{number}")),
+        centre: parse_name(format!("centre-{}", number % centres)),
         rack: format!("rack-{}", number / 8),
         address: format!("10.0.0.1:{number}"),
-        pool: name("notebooks"),
+        pool: parse_name("notebooks"),
         slots: 8,
         connections: 64,
         has: Need {
@@ -115,11 +118,12 @@
     (0..count).map(worker).collect()
 }
 
-fn route() -> Route {
+/// Returns a route that may use all data centres.
+fn unrestricted_route() -> Route {
     Route {
-        service: name("preview"),
+        service: parse_name("preview"),
         revision: Revision(1),
-        pools: vec![name("notebooks")],
+        pools: vec![parse_name("notebooks")],
         centres: Vec::new(),
         spill: true,
         class: Class::Once,
@@ -130,30 +134,32 @@
     }
 }
 
-fn placement(criterion: &mut Criterion) {
+/// Times the application of an unchanged list, and placements with all endpoints in one data centre or in many.
+fn bench_placement(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("placement");
     for count in ENDPOINTS {
-        let list = workers(count, 1);
-        let mut placement = Placement::new(name("centre-0"), 16, 1);
+        let list = worker_list(count, 1);
+        let mut placement = Placement::new(parse_name("centre-0"), 16, 1);
         placement.apply_list(&list, 7);
         group.bench_function(BenchmarkId::new("unchanged list", count), |bench| {
             bench.iter(|| placement.apply_list(black_box(&list), 7));
         });
         group.bench_function(BenchmarkId::new("place and end", count), |bench| {
-            place_and_end(bench, &mut placement, count);
+            bench_place_and_end(bench, &mut placement, count);
         });
     }
     let count = ENDPOINTS[2];
-    let mut placement = Placement::new(name("elsewhere"), 16, 1);
-    placement.apply_list(&workers(count, CENTRES), 7);
+    let mut placement = Placement::new(parse_name("elsewhere"), 16, 1);
+    placement.apply_list(&worker_list(count, CENTRES), 7);
     group.bench_function("place and end, all spilt to 17 data centres", |bench| {
-        place_and_end(bench, &mut placement, count);
+        bench_place_and_end(bench, &mut placement, count);
     });
     group.finish();
 }
 
-fn place_and_end(bench: &mut Bencher<'_>, placement: &mut Placement, count: usize) {
-    let route = route();
+/// Times a placement and the end of an earlier task, with [`OUTSTANDING_PER_ENDPOINT`] tasks on each endpoint.
+fn bench_place_and_end(bench: &mut Bencher<'_>, placement: &mut Placement, count: usize) {
+    let route = unrestricted_route();
     let requirement = Requirement {
         route: &route,
         need: Need::default(),
@@ -161,7 +167,7 @@
         avoid: &[],
     };
     let place = |_| placement.place(&requirement).expect("room");
-    let mut placed: Vec<Slot> = (0..count * OUTSTANDING).map(place).collect();
+    let mut placed: Vec<Slot> = (0..count * OUTSTANDING_PER_ENDPOINT).map(place).collect();
     let mut next = 0;
     bench.iter(|| {
         let slot = placement.place(black_box(&requirement)).expect("room");
@@ -171,8 +177,8 @@
             queued: 0,
             incarnation: None,
         };
-        let took = Span::millis(100 + next as u64 % 400);
-        placement.on_task_end(old, Some(took), Some(load));
+        let duration = Span::millis(100 + next as u64 % 400);
+        placement.on_task_end(old, Some(duration), Some(load));
         next = (next + 1) % placed.len();
     });
     for slot in placed {
@@ -180,16 +186,17 @@
     }
 }
 
-fn admission(criterion: &mut Criterion) {
+/// Times the admission and the release of a job, and the queue of waiting tasks, for one team and for many.
+fn bench_admission(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("admission");
     for count in [1, 250] {
         let teams: Vec<Team> = (0..count)
-            .map(|team| name(format!("team-{team}")))
+            .map(|team| parse_name(format!("team-{team}")))
             .collect();
         let mut admission = Admission::new(&Limits::default(), 1);
         let mut queue = Queue::new(Limits::default().waiting);
         for team in &teams {
-            queue.push(team, 1, 0, TASK, 0).expect("room");
+            queue.push(team, 1, 0, TASK_DURATION, 0).expect("room");
         }
         let mut job = 0;
         let mut admit = |job: u64| {
@@ -198,8 +205,8 @@
                 team,
                 tasks: 12,
                 bytes: 2_000,
-                work: TASK.times(12),
-                longest: TASK,
+                work: TASK_DURATION.times(12),
+                longest: TASK_DURATION,
                 time_left: Span::seconds(30),
                 quota: None,
                 slots: 384,
@@ -220,7 +227,7 @@
             bench.iter(|| {
                 job += 1;
                 let team = &teams[job as usize % teams.len()];
-                queue.push(team, 1, job, TASK, 0).expect("room");
+                queue.push(team, 1, job, TASK_DURATION, 0).expect("room");
                 black_box(queue.pop())
             });
         });
@@ -228,11 +235,12 @@
     group.finish();
 }
 
-fn health(criterion: &mut Criterion) {
+/// Times a failure, a success and a tick of the health checks.
+fn bench_health(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("health");
     for count in ENDPOINTS {
         let mut health = Health::new(1);
-        for (slot, worker) in workers(count, 1).iter().enumerate() {
+        for (slot, worker) in worker_list(count, 1).iter().enumerate() {
             health.insert(Slot(slot as u32), worker);
         }
         let mut now = 0;
@@ -252,12 +260,13 @@
     group.finish();
 }
 
-fn membership(criterion: &mut Criterion) {
+/// Times a heartbeat period with the replies of all peers asked, and the application of an unchanged list.
+fn bench_membership(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("membership");
     for count in INSTANCES {
         let member = |number: usize| Member {
-            name: name(format!("entry-{number}")),
-            centre: name(format!("centre-{}", number % CENTRES)),
+            name: parse_name(format!("entry-{number}")),
+            centre: parse_name(format!("centre-{}", number % CENTRES)),
             address: format!("10.0.1.1:{number}"),
             state: State::Live,
         };
@@ -301,29 +310,29 @@
 /// Routes of a large configuration.
 const ROUTES: usize = 1_500;
 
-/// A dispatcher that has a large configuration and hears members which all lack it, one heartbeat of each in a period.
-fn documents(criterion: &mut Criterion) {
+/// Times a period in which every peer sends one heartbeat and lacks the large configuration that the dispatcher has.
+fn bench_documents(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("documents");
     for count in [34, 147] {
         group.bench_function(
             BenchmarkId::new("a period in which no peer has the configuration", count),
             |bench| {
                 let mut now = Time(1_000_000);
-                let mut dispatcher = dispatcher(now);
+                let mut dispatcher = configured_dispatcher(now);
                 let senders: Vec<Sender> = (1..count).map(sender).collect();
                 bench.iter(|| {
                     now = now + Span::millis(100);
-                    let heard = senders.iter().map(|from| {
+                    let heartbeats = senders.iter().map(|from| {
                         let sent = now;
                         (
                             Sender {
                                 sent,
                                 ..from.clone()
                             },
-                            heard(),
+                            lagging_heartbeat(),
                         )
                     });
-                    black_box(dispatcher.step(now, Input::Heartbeats(heard.collect())));
+                    black_box(dispatcher.step(now, Input::Heartbeats(heartbeats.collect())));
                     black_box(dispatcher.step(now, Input::Tick));
                 });
             },
@@ -332,7 +341,8 @@
     group.finish();
 }
 
-fn dispatcher(now: Time) -> Dispatcher {
+/// Returns a dispatcher with a configuration of [`ROUTES`] routes.
+fn configured_dispatcher(now: Time) -> Dispatcher {
     let identity = Identity {
         contact: sender(0).contact,
         centre: "a".to_owned(),
@@ -357,10 +367,11 @@
     dispatcher
 }
 
+/// Returns the sender of a heartbeat, the instance of this number.
 fn sender(number: usize) -> Sender {
     Sender {
         contact: Contact {
-            name: name(format!("instance-{number}")),
+            name: parse_name(format!("instance-{number}")),
             address: format!("10.0.0.{number}:7720"),
         },
         centre: "a".to_owned(),
@@ -371,7 +382,8 @@
     }
 }
 
-fn heard() -> Announcement {
+/// Returns a heartbeat of an instance that has no configuration yet.
+fn lagging_heartbeat() -> Announcement {
     Announcement {
         watching: true,
         status: Status {
@@ -391,8 +403,8 @@
     }
 }
 
-/// An owner whose eight endpoints are full, with tasks of many sizes that wait, and a message that changes nothing there.
-fn waiting(criterion: &mut Criterion) {
+/// Times the processing of due work where all endpoints are full, so that no waiting task may start.
+fn bench_waiting(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("waiting");
     for count in [10, 100] {
         let now = Time(10_000_000);
@@ -411,6 +423,7 @@
     group.finish();
 }
 
+/// Returns an owner of eight full endpoints, with at least `count` waiting tasks of many sizes.
 fn full_owner(count: u64, now: Time) -> Owner {
     let own = sender(0).contact;
     let mut owner = Owner::new(&own.name);
@@ -418,16 +431,16 @@
     let mut out = Effects::default();
     owner.claim(listings[0].rack_id(), Token::new(Epoch(1), 1), &mut out);
     owner.update_endpoints(&listings, now, &mut out);
-    answer_all(&mut owner, now);
+    reply_to_calls(&mut owner, now);
     for serial in 0..count + 16 {
         owner.accept(&own, batch(serial), now, &mut out);
     }
-    answer_all(&mut owner, now);
+    reply_to_calls(&mut owner, now);
     owner
 }
 
-/// Answers what an owner calls, once.
-fn answer_all(owner: &mut Owner, now: Time) {
+/// Processes what is due, and replies to the calls of endpoints that come of it as on success.
+fn reply_to_calls(owner: &mut Owner, now: Time) {
     let clock = now.0 / 1_000;
     let mut out = Effects::default();
     owner.process_due(now, &mut out);
@@ -445,9 +458,10 @@
     }
 }
 
+/// Returns the store's entry of an endpoint.
 fn listing(number: usize) -> Listing {
     Listing {
-        id: name(format!("endpoint-{number}")),
+        id: parse_name(format!("endpoint-{number}")),
         life: Life::default(),
         service: "cells".to_owned(),
         address: format!("10.0.1.{number}:80"),
@@ -463,7 +477,7 @@
     }
 }
 
-/// A batch of one task that takes between 26 and 38 of an endpoint's 64 cores.
+/// Returns a batch of one task that takes between 26 and 38 of an endpoint's 64 cores.
 fn batch(serial: u64) -> Batch {
     Batch {
         serial,
@@ -477,7 +491,7 @@
             memory: 64,
             gpu: 0,
         },
-        estimate: TASK,
+        estimate: TASK_DURATION,
         label: None,
         per_endpoint: None,
         spec: String::new(),
@@ -498,11 +512,11 @@
         .measurement_time(Duration::from_secs(2))
         .sample_size(50)
         .configure_from_args();
-    placement(&mut criterion);
-    admission(&mut criterion);
-    health(&mut criterion);
-    membership(&mut criterion);
-    documents(&mut criterion);
-    waiting(&mut criterion);
+    bench_placement(&mut criterion);
+    bench_admission(&mut criterion);
+    bench_health(&mut criterion);
+    bench_membership(&mut criterion);
+    bench_documents(&mut criterion);
+    bench_waiting(&mut criterion);
     criterion.final_summary();
 }
--- a/examples/failures.rs
+++ b/examples/failures.rs
@@ -1,7 +1,8 @@
-//! Plays requests that fail on loopback, each for a cause of its own, keeps the logs in a folder, and tells each one's story.
+//! Provokes failed requests on loopback, one for each cause, writes the instances' logs to a folder, and prints the trace of each
+//! request.
 //!
-//! The instances are processes of their own: this program starts itself again in their place.
-#![allow(dead_code)] // The tests use more of the stand-ins.
+//! Instances are separate processes: this program starts itself again with the arguments of `poplarknot dispatch`.
+#![allow(dead_code)] // The modules shared with the tests have more than this example uses.
 
 #[path = "../tests/platform/fleet.rs"]
 mod fleet;
@@ -27,7 +28,10 @@
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    if arguments.first().is_some_and(|word| word == "dispatch") {
+    if arguments
+        .first()
+        .is_some_and(|argument| argument == "dispatch")
+    {
         return poplarknot::cli::run(arguments);
     }
     let [folder] = arguments.as_slice() else {
@@ -35,10 +39,10 @@
         return ExitCode::FAILURE;
     };
     let runtime = tokio::runtime::Runtime::new();
-    let played = runtime
+    let result = runtime
         .map_err(Into::into)
-        .and_then(|runtime| runtime.block_on(play(Path::new(folder))));
-    match played {
+        .and_then(|runtime| runtime.block_on(run_incidents(Path::new(folder))));
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("error: {error}");
@@ -47,28 +51,29 @@
     }
 }
 
-async fn play(folder: &Path) -> Result {
+/// Runs the four incidents one after the other, each with logs in a folder of its own under `folder`.
+async fn run_incidents(folder: &Path) -> Result {
     let program = std::env::current_exe()?;
-    tell(
+    write_logs_and_trace(
         &folder.join("lost-instance"),
         &incidents::lost_instance(&program).await?,
     )?;
-    tell(
+    write_logs_and_trace(
         &folder.join("lost-endpoint"),
         &incidents::lost_endpoint(&program).await?,
     )?;
-    tell(
+    write_logs_and_trace(
         &folder.join("overload"),
         &incidents::overload(&program).await?,
     )?;
-    tell(
+    write_logs_and_trace(
         &folder.join("lost-store"),
         &incidents::lost_store(&program).await?,
     )
 }
 
-/// Keeps an incident's logs, and tells its story from them.
-fn tell(folder: &Path, incident: &Incident) -> Result {
+/// Writes an incident's logs to `folder`, and prints the trace of its job from them.
+fn write_logs_and_trace(folder: &Path, incident: &Incident) -> Result {
     std::fs::create_dir_all(folder)?;
     let mut logs: Vec<PathBuf> = Vec::new();
     for log in &incident.logs {
--- a/examples/platform.rs
+++ b/examples/platform.rs
@@ -1,8 +1,7 @@
-//! Plays the whole path on the platform on loopback: a stand-in store, endpoints and instances; jobs, the death of an
-//! instance, and a restart.
+//! Runs jobs on loopback against a stand-in store, endpoints and several instances, while one instance is killed and restarted.
 //!
-//! The instances are processes of their own: this program starts itself again in their place.
-#![allow(dead_code)] // The tests use more of the stand-ins.
+//! Instances are separate processes: this program starts itself again with the arguments of `poplarknot dispatch`.
+#![allow(dead_code)] // The modules shared with the tests have more than this example uses.
 
 #[path = "../tests/platform/fleet.rs"]
 mod fleet;
@@ -27,21 +26,27 @@
 
 const INSTANCES: usize = 3;
 const ENDPOINTS: usize = 6;
+
 /// How long a task sleeps.
-const TASK: Duration = Duration::from_millis(60);
+const TASK_DURATION: Duration = Duration::from_millis(60);
+
+/// Jobs submitted in each phase.
 const JOBS: u64 = 30;
-const TASKS: u32 = 4;
+const TASKS_PER_JOB: u32 = 4;
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    if arguments.first().is_some_and(|word| word == "dispatch") {
+    if arguments
+        .first()
+        .is_some_and(|argument| argument == "dispatch")
+    {
         return poplarknot::cli::run(arguments);
     }
     let runtime = tokio::runtime::Runtime::new();
-    let played = runtime
+    let result = runtime
         .map_err(Into::into)
-        .and_then(|runtime| runtime.block_on(play()));
-    match played {
+        .and_then(|runtime| runtime.block_on(demonstrate()));
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("error: {error}");
@@ -50,21 +55,22 @@
     }
 }
 
-async fn play() -> Result {
+/// Submits jobs before, during and after the outage of an instance, and checks that no task ran twice at a time.
+async fn demonstrate() -> Result {
     let program = std::env::current_exe()?;
-    let mut fleet = Fleet::start(&program, INSTANCES, ENDPOINTS, TASK).await?;
+    let mut fleet = Fleet::start(&program, INSTANCES, ENDPOINTS, TASK_DURATION).await?;
     println!("{INSTANCES} instances and {ENDPOINTS} endpoints are up; the store knows:");
     println!("  {}", fleet.store.keys("instances").join(", "));
-    hand_in(&fleet, 0, "while all is well").await?;
+    submit_jobs(&fleet, 0, "while all is well").await?;
     fleet.nodes[0].signal(Signal::SIGKILL)?;
     println!("{} is killed", fleet.nodes[0].name);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    hand_in(&fleet, 1, "by the two that are left").await?;
-    let again = fleet.nodes[0].restart(&program).await?;
-    again.wait_until_ready().await?;
-    println!("{} is back", again.name);
-    fleet.nodes[0] = again;
-    hand_in(&fleet, 0, "by all three").await?;
+    submit_jobs(&fleet, 1, "by the two that are left").await?;
+    let restarted = fleet.nodes[0].restart(&program).await?;
+    restarted.wait_until_ready().await?;
+    println!("{} is back", restarted.name);
+    fleet.nodes[0] = restarted;
+    submit_jobs(&fleet, 0, "by all three").await?;
     println!(
         "{} runs; no task ran twice at a time",
         fleet.assert_no_overlapping_runs()
@@ -72,23 +78,27 @@
     Ok(())
 }
 
-/// Hands jobs in one after the other, at the instances from `first` on in turn.
-async fn hand_in(fleet: &Fleet, first: usize, when: &str) -> Result {
+/// Submits [`JOBS`] jobs one after the other, round robin over the instances from index `first` on.
+///
+/// `when` completes the printed line.
+async fn submit_jobs(fleet: &Fleet, first: usize, when: &str) -> Result {
     let mut slowest = Duration::ZERO;
     for n in 0..JOBS {
         let nodes = &fleet.nodes[first..];
         let node = &nodes[n as usize % nodes.len()];
-        let begun = Instant::now();
+        let begin = Instant::now();
         let id = rand::random();
-        let answer = node.submit(id, TASKS, TASK.as_millis() as u64).await?;
+        let answer = node
+            .submit(id, TASKS_PER_JOB, TASK_DURATION.as_millis() as u64)
+            .await?;
         if answer.status != 200 {
             return Err(format!("a job was answered {}", answer.status).into());
         }
-        slowest = slowest.max(begun.elapsed());
+        slowest = slowest.max(begin.elapsed());
     }
     println!(
-        "{JOBS} jobs of {TASKS} tasks of {} ms are complete {when}; the slowest took {} ms",
-        TASK.as_millis(),
+        "{JOBS} jobs of {TASKS_PER_JOB} tasks of {} ms are complete {when}; the slowest took {} ms",
+        TASK_DURATION.as_millis(),
         slowest.as_millis()
     );
     Ok(())
--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -1,6 +1,6 @@
 //! Runs a whole cluster on loopback, submits a burst, and submits it again elsewhere.
 //!
-//! Every part is a process of its own: this program starts itself again with the name of a role.
+//! Platform, workers and instances are separate processes: this program starts itself again with the name of a role.
 
 #[path = "../tests/support.rs"]
 mod support;
@@ -57,21 +57,23 @@
     },
 };
 
+/// Data centres; workers and instances are spread over them round robin.
 const CENTRES: [&str; 2] = ["ulemiste-a", "maardu"];
 const WORKERS: usize = 4;
 const INSTANCES: usize = 2;
-/// Run times of the tasks in milliseconds, by turns.
-const SLEEPS: [u64; 6] = [60, 90, 120, 200, 350, 500];
+/// Run times of the tasks in milliseconds, repeated in this order.
+const TASK_MS: [u64; 6] = [60, 90, 120, 200, 350, 500];
+/// Tasks of the burst.
 const TASKS: usize = 24;
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let words: Vec<&str> = arguments.iter().map(String::as_str).collect();
-    let result = match words.as_slice() {
-        [] => wait(demonstrate()),
-        ["platform"] => wait(play_platform()),
-        ["worker", name, centre] => wait(play_worker(name, centre)),
-        ["instance", ..] => return play_instance(&arguments[1..]),
+    let roles: Vec<&str> = arguments.iter().map(String::as_str).collect();
+    let result = match roles.as_slice() {
+        [] => block_on(demonstrate()),
+        ["platform"] => block_on(run_platform()),
+        ["worker", name, centre] => block_on(run_worker(name, centre)),
+        ["instance", ..] => return run_instance(&arguments[1..]),
         _ => Err("usage: quickstart".into()),
     };
     match result {
@@ -84,11 +86,12 @@
 }
 
 /// Runs an instance with the arguments of the `poplarknot` program.
-fn play_instance(arguments: &[String]) -> ExitCode {
+fn run_instance(arguments: &[String]) -> ExitCode {
     poplarknot::cli::run(arguments.iter().cloned())
 }
 
-fn wait(work: impl std::future::Future<Output = Result>) -> Result {
+/// Runs a future to its end on a new runtime of two threads.
+fn block_on(work: impl std::future::Future<Output = Result>) -> Result {
     let mut runtime = tokio::runtime::Builder::new_multi_thread();
     runtime
         .worker_threads(2)
@@ -97,36 +100,38 @@
         .block_on(work)
 }
 
-async fn play_platform() -> Result {
+/// Runs a stand-in of the platform until the standard input ends, and prints its address.
+async fn run_platform() -> Result {
     let platform = Platform::start(Settings::default())?;
     println!("{}", serde_json::to_string(&platform.address())?);
-    end_of_input().await
+    wait_for_end_of_input().await
 }
 
-async fn play_worker(name: &str, centre: &str) -> Result {
+/// Runs a worker until the standard input ends, and prints its entry of the list of endpoints.
+async fn run_worker(name: &str, centre: &str) -> Result {
     let worker = Worker::start(worker::entry(name, centre))?;
     println!("{}", serde_json::to_string(&worker.entry())?);
-    end_of_input().await
+    wait_for_end_of_input().await
 }
 
-/// Waits until the process that holds the other end of the standard input lets go of it.
-async fn end_of_input() -> Result {
+/// Waits until the standard input ends: the parent process has closed it or has exited.
+async fn wait_for_end_of_input() -> Result {
     let read = || std::io::copy(&mut std::io::stdin(), &mut std::io::sink());
     tokio::task::spawn_blocking(read).await??;
     Ok(())
 }
 
-/// The processes of the demonstration, all killed when dropped.
+/// The processes of the demonstration; they are killed on drop.
 #[derive(Default)]
-struct Cast {
+struct Processes {
     children: Vec<Child>,
     instances: Vec<Instance>,
     workers: Vec<Entry>,
 }
 
-impl Cast {
-    /// Starts a role and reads the line that it prints once it listens.
-    async fn play<T: serde::de::DeserializeOwned>(&mut self, role: &[&str]) -> Result<T> {
+impl Processes {
+    /// Starts a process with a role, and parses the line that it prints once it listens.
+    async fn start_process<T: serde::de::DeserializeOwned>(&mut self, role: &[&str]) -> Result<T> {
         let mut child = Command::new(std::env::current_exe()?)
             .args(role)
             .stdin(Stdio::piped())
@@ -141,12 +146,13 @@
         Ok(serde_json::from_str(&line)?)
     }
 
+    /// Starts the platform, the workers and the instances, and submits the configuration.
     async fn start(&mut self) -> Result {
-        let platform: SocketAddr = self.play(&["platform"]).await?;
+        let platform: SocketAddr = self.start_process(&["platform"]).await?;
         for i in 0..WORKERS {
             let name = format!("worker-{i}");
             let entry = self
-                .play(&["worker", &name, CENTRES[i % CENTRES.len()]])
+                .start_process(&["worker", &name, CENTRES[i % CENTRES.len()]])
                 .await?;
             self.workers.push(entry);
         }
@@ -157,12 +163,12 @@
                 .set("timing", "list", "200ms");
             self.instances.push(builder.start().await?);
         }
-        self.enlist(platform).await?;
+        self.publish_list(platform).await?;
         cluster::seed(&self.instances, &cluster::records()).await
     }
 
-    /// Puts everybody on the platform's list.
-    async fn enlist(&self, platform: SocketAddr) -> Result {
+    /// Publishes the list of all instances and workers on the platform.
+    async fn publish_list(&self, platform: SocketAddr) -> Result {
         let members = self.instances.iter().map(|i| i.member(i.peers));
         let list = List {
             instances: members.collect::<Result<_>>()?,
@@ -176,8 +182,8 @@
         Ok(())
     }
 
-    /// Counts the tasks that the workers have started.
-    async fn starts(&self) -> Result<u64> {
+    /// Returns how many tasks the workers have started so far.
+    async fn count_starts(&self) -> Result<u64> {
         let mut starts = 0;
         for worker in &self.workers {
             let counters = client::get(worker.address.parse()?, "/counters").await?;
@@ -186,8 +192,8 @@
         Ok(starts)
     }
 
-    /// Ends everything: instances drain, the others see the end of their input.
-    async fn end(mut self) -> Result {
+    /// Stops all processes: the instances drain, the others see the end of their standard input.
+    async fn stop(mut self) -> Result {
         for instance in &mut self.instances {
             instance.stop()?;
             instance.exit().await?;
@@ -200,19 +206,21 @@
     }
 }
 
+/// Runs the demonstration, and stops all processes even if it fails.
 async fn demonstrate() -> Result {
-    let mut cast = Cast::default();
-    let result = show(&mut cast).await;
-    let ended = cast.end().await;
-    result.and(ended)?;
+    let mut processes = Processes::default();
+    let result = run_demonstration(&mut processes).await;
+    let stopped = processes.stop().await;
+    result.and(stopped)?;
     println!("\nAll processes have ended.");
     Ok(())
 }
 
-async fn show(cast: &mut Cast) -> Result {
-    cast.start().await?;
+/// Submits the burst to one instance, then again to the other, and checks that no task started twice.
+async fn run_demonstration(processes: &mut Processes) -> Result {
+    processes.start().await?;
     println!("A platform, {WORKERS} workers and {INSTANCES} instances run on loopback:");
-    for instance in &cast.instances {
+    for instance in &processes.instances {
         let builder = &instance.builder;
         println!(
             "  {} in {}, callers at {}",
@@ -222,39 +230,39 @@
         );
     }
 
-    let sleeps = SLEEPS.iter().copied().cycle().take(TASKS);
-    let job = cluster::job("quickstart", sleeps.clone());
-    let ideal = Duration::from_millis(sleeps.max().unwrap_or(0));
+    let sleeps_ms = TASK_MS.iter().copied().cycle().take(TASKS);
+    let job = cluster::job("quickstart", sleeps_ms.clone());
+    let ideal = Duration::from_millis(sleeps_ms.max().unwrap_or(0));
     println!("\nA burst of {TASKS} tasks goes to entry-0, under the key `quickstart`:");
-    let (first, took) = submit(&cast.instances[0], &job).await?;
-    report(&first)?;
+    let (first, took) = submit(&processes.instances[0], &job).await?;
+    print_outcome(&first)?;
     let ratio = took.as_secs_f64() / ideal.as_secs_f64();
     println!(
         "  It took {took:.1?} against an ideal of {ideal:.1?} (the longest task): {ratio:.3}."
     );
-    let starts = cast.starts().await?;
+    let starts = processes.count_starts().await?;
     println!("  The workers started {starts} tasks.");
 
     println!("\nThe same burst goes to entry-1, as from a caller that believes it lost:");
-    let (second, took) = submit(&cast.instances[1], &job).await?;
-    report(&second)?;
-    let same = first.body == second.body;
+    let (second, took) = submit(&processes.instances[1], &job).await?;
+    print_outcome(&second)?;
+    let is_same = first.body == second.body;
     println!(
         "  It took {took:.1?}; the answer is {}.",
-        if same { "the same" } else { "another" }
+        if is_same { "the same" } else { "another" }
     );
-    let again = cast.starts().await?;
+    let starts_after = processes.count_starts().await?;
     println!(
-        "  The workers have started {again} tasks, {} more than before.",
-        again - starts
+        "  The workers have started {starts_after} tasks, {} more than before.",
+        starts_after - starts
     );
-    if again != starts {
+    if starts_after != starts {
         return Err("a task started twice".into());
     }
     Ok(())
 }
 
-/// Submits a job on a connection that is already open, as a caller would, and takes the time.
+/// Submits a job, and returns the response and the response time without that of connecting.
 async fn submit(instance: &Instance, job: &serde_json::Value) -> Result<(Response, Duration)> {
     let mut client = Client::connect(instance.callers).await?;
     let begin = Instant::now();
@@ -262,7 +270,8 @@
     Ok((answer, begin.elapsed()))
 }
 
-fn report(response: &Response) -> Result {
+/// Prints the outcome that a response tells.
+fn print_outcome(response: &Response) -> Result {
     let answer: Answer = response.answer()?;
     let results = answer.results.len();
     println!(
