--- a/schema/peer.capnp
+++ b/schema/peer.capnp
@@ -5,16 +5,16 @@
   name @0 :Text;
   high @1 :UInt64;
   low @2 :UInt64;
-  # The halves of its incarnation.
+  # The upper and the lower half of its incarnation.
   age @3 :UInt32;
-  # Milliseconds since somebody heard it.
+  # Milliseconds since any instance received a heartbeat of it.
 }
 
 struct Beat {
   name @0 :Text;
   centre @1 :Text;
   incarnation @2 :Data;
-  # Sixteen bytes, the highest first.
+  # Sixteen bytes, big-endian.
   revision @3 :UInt64;
   draining @4 :Bool;
   sightings @5 :List(Sighting);
@@ -22,9 +22,9 @@
 
 struct Forward {
   owner @0 :Data;
-  # The incarnation that owns the key, sixteen bytes.
+  # The incarnation of the instance that owns the key, sixteen bytes, big-endian.
   digest @1 :Data;
-  # SHA-256 of the caller's body.
+  # SHA-256 of the body of the caller's request.
   left @2 :UInt64;
   # Microseconds until the deadline.
   submission @3 :Data;
