--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -42,7 +42,7 @@
         message::{
             Batch,
             Contact,
-            Heartbeat as Announcement,
+            Heartbeat as DispatchHeartbeat,
             Input,
             Listing,
             Lists,
@@ -58,7 +58,7 @@
         },
         route::{
             Configuration,
-            Route as Queueing, //
+            Route as DispatchRoute, //
         },
         task::Resources,
         Dispatcher,
@@ -351,12 +351,12 @@
         epoch: Epoch(1),
     };
     let mut dispatcher = Dispatcher::new(identity, now);
-    let route = |i: usize| Queueing {
+    let route = |i: usize| DispatchRoute {
         name: format!("route-of-team-{i}"),
         host: format!("host-{i}.example"),
         prefix: format!("/queue-{i}/"),
         service: "cells".to_owned(),
-        ..Queueing::default()
+        ..DispatchRoute::default()
     };
     let configuration = Configuration {
         version: 7,
@@ -383,8 +383,8 @@
 }
 
 /// Returns a heartbeat of an instance that has no configuration yet.
-fn lagging_heartbeat() -> Announcement {
-    Announcement {
+fn lagging_heartbeat() -> DispatchHeartbeat {
+    DispatchHeartbeat {
         watching: true,
         status: Status {
             epoch: Epoch(1),
