--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -215,7 +215,11 @@
     pub(crate) fn bytes(&self) -> (f64, f64) {
         let links = self.links.iter().flatten();
         let peers: u64 = links.map(|link| link.proxy.forwarded_bytes()).sum();
-        let platform: u64 = self.platform_proxies.iter().map(Proxy::forwarded_bytes).sum();
+        let platform: u64 = self
+            .platform_proxies
+            .iter()
+            .map(Proxy::forwarded_bytes)
+            .sum();
         (peers as f64, platform as f64)
     }
 }
