--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -44,7 +44,7 @@
     World, //
 };
 
-const CALM: Faults = Faults {
+const NO_FAULTS: Faults = Faults {
     late: 0.0,
     lost_heartbeats: 0.0,
     failures: 0.0,
@@ -59,7 +59,7 @@
 /// Without faults every job completes, and no run is stopped.
 #[test]
 fn calm_jobs_complete() {
-    let mut world = World::new(1, 3, 2, CALM);
+    let mut world = World::new(1, 3, 2, NO_FAULTS);
     world.submit_jobs(60, Span::millis(150));
     world.run(Span::seconds(12));
     world.finish_and_check();
@@ -72,7 +72,7 @@
 #[test]
 fn owner_dies() {
     for seed in 0..10 {
-        let mut world = World::new(seed, 3, 2, CALM);
+        let mut world = World::new(seed, 3, 2, NO_FAULTS);
         world.submit_jobs(60, Span::millis(150));
         world.kill_at(Span::millis(1_500), 1 + seed as usize % 2, Span::seconds(1));
         world.run(Span::seconds(12));
@@ -86,7 +86,7 @@
 #[test]
 fn frozen_owner_wakes() {
     for seed in 0..10 {
-        let mut world = World::new(seed, 3, 2, CALM);
+        let mut world = World::new(seed, 3, 2, NO_FAULTS);
         world.submit_jobs(60, Span::millis(150));
         world.freeze_at(Span::millis(1_000), 1, Span::millis(3_500));
         world.run(Span::seconds(9));
@@ -99,7 +99,7 @@
 #[test]
 fn instances_cut_apart() {
     for seed in 0..10 {
-        let mut world = World::new(seed, 4, 4, CALM);
+        let mut world = World::new(seed, 4, 4, NO_FAULTS);
         world.submit_jobs(60, Span::millis(150));
         world.partition_at(Span::millis(1_000), &[0, 1], Span::seconds(4));
         world.run(Span::seconds(9));
@@ -113,7 +113,10 @@
 /// would run twice.
 #[test]
 fn orders_applied_late() {
-    let faults = Faults { late: 0.1, ..CALM };
+    let faults = Faults {
+        late: 0.1,
+        ..NO_FAULTS
+    };
     for seed in 0..10 {
         let mut world = World::new(seed, 3, 2, faults);
         world.submit_jobs(60, Span::millis(150));
@@ -128,7 +131,7 @@
 #[test]
 fn endpoints_fall_silent() {
     for seed in 0..10 {
-        let mut world = World::new(seed, 3, 2, CALM);
+        let mut world = World::new(seed, 3, 2, NO_FAULTS);
         world.submit_jobs(60, Span::millis(150));
         world.mute_endpoint_at(Span::millis(1_000), 0, Span::seconds(3));
         world.mute_endpoint_at(Span::millis(1_500), 5, Span::seconds(3));
@@ -141,7 +144,7 @@
 /// An endpoint crashes. Its tasks must be retried elsewhere without waiting for leases.
 #[test]
 fn endpoint_crashes() {
-    let mut world = World::new(3, 3, 2, CALM);
+    let mut world = World::new(3, 3, 2, NO_FAULTS);
     world.submit_jobs(60, Span::millis(150));
     world.crash_at(Span::millis(1_000), 2);
     world.run(Span::seconds(12));
@@ -152,7 +155,7 @@
 /// An endpoint announces that it leaves. Nothing may be started there once the instances have read that.
 #[test]
 fn leaving_endpoint_gets_nothing_new() {
-    let mut world = World::new(4, 3, 2, CALM);
+    let mut world = World::new(4, 3, 2, NO_FAULTS);
     world.submit_jobs(60, Span::millis(150));
     world.leave_at(Span::millis(1_000), 2);
     world.run(Span::millis(1_000));
@@ -167,7 +170,7 @@
 #[test]
 fn drain_cuts_nothing_off() {
     for seed in 0..10 {
-        let mut world = World::new(seed, 3, 2, CALM);
+        let mut world = World::new(seed, 3, 2, NO_FAULTS);
         world.submit_jobs(60, Span::millis(150));
         // Alternates between the two instances that own a rack.
         world.drain_at(Span::millis(1_000), 1 + seed as usize % 2);
@@ -189,7 +192,7 @@
 #[test]
 fn racks_return_home() {
     for seed in 0..5 {
-        let mut world = World::new(seed, 3, 2, CALM);
+        let mut world = World::new(seed, 3, 2, NO_FAULTS);
         world.submit_jobs(60, Span::millis(150));
         world.kill_at(Span::millis(500), 1, Span::seconds(1));
         world.run(Span::millis(2_500));
@@ -207,7 +210,7 @@
 /// would be refused and nothing would run for seconds.
 #[test]
 fn all_die_and_come_back() {
-    let mut world = World::new(8, 3, 2, CALM);
+    let mut world = World::new(8, 3, 2, NO_FAULTS);
     world.submit_jobs(20, Span::millis(150));
     world.run(Span::millis(2_500));
     for i in 0..3 {
@@ -226,7 +229,7 @@
 fn runs_fail() {
     let faults = Faults {
         failures: 0.1,
-        ..CALM
+        ..NO_FAULTS
     };
     let mut world = World::new(6, 3, 2, faults);
     world.submit_jobs(60, Span::millis(150));
@@ -242,7 +245,7 @@
 fn racks_move_while_links_break() {
     let faults = Faults {
         broken_links: 0.05,
-        ..CALM
+        ..NO_FAULTS
     };
     // Seeds at which reports arrive in an order that can lead to a wrong answer: "completed" at 133, "refused" at the others.
     for seed in [19, 33, 82, 133, 204, 228, 274, 348] {
@@ -266,7 +269,7 @@
             lost_heartbeats: 0.05,
             failures: 0.02,
             broken_links: 0.02,
-            ..CALM
+            ..NO_FAULTS
         };
         let mut world = World::new(seed, 4, 3, faults);
         world.submit_jobs(80, Span::millis(80));
--- a/tests/dispatch/crashes.rs
+++ b/tests/dispatch/crashes.rs
@@ -14,7 +14,7 @@
         Faults,
         World, //
     },
-    CALM, //
+    NO_FAULTS, //
 };
 
 /// A job that crashes its endpoints.
@@ -29,7 +29,7 @@
 #[test]
 fn endpoints_restart_under_their_name() {
     for seed in 0..12 {
-        let mut world = World::new(seed, 3, 2, CALM);
+        let mut world = World::new(seed, 3, 2, NO_FAULTS);
         world.set_row_lag([Span(0), Span::millis(40), Span::millis(1_500)][seed as usize % 3]);
         world.submit_jobs(40, Span::millis(250));
         for (n, w) in [2, 5, 0].into_iter().enumerate() {
@@ -51,7 +51,7 @@
         let faults = Faults {
             late: 0.02,
             lost_heartbeats: 0.05,
-            ..CALM
+            ..NO_FAULTS
         };
         let mut world = World::new(seed, 4, 3, faults);
         world.set_row_lag(Span::millis([0, 300, 2_000][seed as usize % 3]));
@@ -73,7 +73,7 @@
 #[test]
 fn stored_ends_of_two_lives_are_told_apart() {
     for seed in 0..8 {
-        let mut world = World::new(seed, 3, 2, CALM);
+        let mut world = World::new(seed, 3, 2, NO_FAULTS);
         world.store_jobs();
         world.submit_jobs(40, Span::millis(150));
         for (n, w) in [2, 5, 0, 3].into_iter().enumerate() {
@@ -93,7 +93,7 @@
 fn task_that_crashes_endpoints_fails_its_job() {
     let mut failed = 0;
     for seed in 0..12 {
-        let mut world = World::new(seed, 3, 4, CALM);
+        let mut world = World::new(seed, 3, 4, NO_FAULTS);
         world.submit_jobs(60, Span::millis(120));
         world.submit_crashing_job(Span::millis(1_000), CRASHING_JOB, 2);
         world.run(Span::seconds(16));
@@ -120,7 +120,7 @@
 #[test]
 fn stored_task_that_crashes_endpoints_is_given_up() {
     for seed in 0..16 {
-        let mut world = World::new(seed, 3, 4, CALM);
+        let mut world = World::new(seed, 3, 4, NO_FAULTS);
         world.store_jobs();
         world.submit_jobs(30, Span::millis(150));
         world.submit_crashing_job(Span::millis(800), CRASHING_JOB, 2);
@@ -146,7 +146,7 @@
 #[test]
 fn harmless_tasks_are_cleared() {
     for seed in 0..8 {
-        let mut world = World::new(seed, 3, 6, CALM);
+        let mut world = World::new(seed, 3, 6, NO_FAULTS);
         world.submit_jobs(60, Span::millis(100));
         let crashing = [JobId(0xbad), JobId(0xbae), JobId(0xbaf)];
         for job in crashing {
@@ -167,7 +167,7 @@
 #[test]
 fn harmless_task_that_shares_two_crashes_is_cleared() {
     for seed in 0..24 {
-        let mut world = World::new(seed, 2, 2, CALM);
+        let mut world = World::new(seed, 2, 2, NO_FAULTS);
         world.crash_silently();
         world.submit_jobs(12, Span::millis(250));
         world.submit_crashing_job(Span::millis(1_000), CRASHING_JOB, 1);
@@ -190,7 +190,7 @@
 #[test]
 fn restarts_behind_a_partition_fail_no_job() {
     for seed in 0..16 {
-        let mut world = World::new(seed, 3, 4, CALM);
+        let mut world = World::new(seed, 3, 4, NO_FAULTS);
         world.submit_jobs(12, Span::millis(60));
         for w in 0..16 {
             if (w + seed as usize).is_multiple_of(2) {
@@ -212,7 +212,7 @@
 #[test]
 fn capacity_shrinks_and_grows() {
     for seed in 0..10 {
-        let mut world = World::new(seed, 3, 2, CALM);
+        let mut world = World::new(seed, 3, 2, NO_FAULTS);
         world.submit_jobs(40, Span::millis(250));
         for w in [0, 1, 4] {
             world.resize_at(Span::millis(1_000), w, 1_500);
@@ -228,7 +228,7 @@
 /// that can run them; jobs that fit nowhere must be refused at once rather than wait.
 #[test]
 fn what_fits_nowhere_is_refused() {
-    let mut world = World::new(2, 3, 4, CALM);
+    let mut world = World::new(2, 3, 4, NO_FAULTS);
     world.submit_jobs(40, Span::millis(100));
     for w in 0..16 {
         let late = Span::millis(if w / 4 % 2 == 0 { 1_000 } else { 2_000 });
--- a/tests/dispatch/evacuation.rs
+++ b/tests/dispatch/evacuation.rs
@@ -11,7 +11,7 @@
         CallerView,
         World, //
     },
-    CALM, //
+    NO_FAULTS, //
 };
 
 /// How long it may take until heartbeats bring an evacuation to an instance that the store doesn't: three intervals and the transit.
@@ -36,7 +36,7 @@
 #[test]
 fn evacuated_centre_gets_nothing_new() {
     for seed in 0..10 {
-        let mut world = World::new(seed, 3, 4, CALM);
+        let mut world = World::new(seed, 3, 4, NO_FAULTS);
         world.submit_jobs(60, Span::millis(150));
         world.evacuate_at(Span::millis(1_000), "ulemiste", Span::seconds(4));
         world.run(Span::millis(1_000));
@@ -56,7 +56,7 @@
 #[test]
 fn evacuation_reaches_whom_the_store_turns_away() {
     for seed in 0..10 {
-        let mut world = World::new(seed, 3, 4, CALM);
+        let mut world = World::new(seed, 3, 4, NO_FAULTS);
         world.submit_jobs(60, Span::millis(150));
         world.deny_store_at(Span::millis(500), 1, Span::seconds(20));
         world.evacuate_at(Span::millis(1_000), "maardu", Span::seconds(4));
@@ -75,7 +75,7 @@
 #[test]
 fn evacuation_outlives_all_instances() {
     for seed in 0..5 {
-        let mut world = World::new(seed, 3, 4, CALM);
+        let mut world = World::new(seed, 3, 4, NO_FAULTS);
         world.submit_jobs(80, Span::millis(100));
         world.evacuate_at(Span::millis(500), "maardu", Span::seconds(7));
         world.run(Span::millis(1_000));
@@ -94,7 +94,7 @@
 #[test]
 fn evacuation_goes_along_with_racks() {
     for seed in 0..5 {
-        let mut world = World::new(seed, 4, 4, CALM);
+        let mut world = World::new(seed, 4, 4, NO_FAULTS);
         world.submit_jobs(80, Span::millis(100));
         world.evacuate_at(Span::millis(500), "maardu", Span::seconds(9));
         world.kill_at(Span::millis(1_500), 1, Span::seconds(1));
@@ -112,7 +112,7 @@
 #[test]
 fn evacuations_follow_each_other() {
     for seed in 0..6 {
-        let mut world = World::new(seed, 3, 4, CALM);
+        let mut world = World::new(seed, 3, 4, NO_FAULTS);
         world.submit_jobs(60, Span::millis(150));
         world.evacuate_at(Span::millis(500), "maardu", Span::seconds(3));
         world.evacuate_at(Span::millis(3_500), "ulemiste", Span::seconds(3));
@@ -129,7 +129,7 @@
 /// All data centres are evacuated. New jobs and those that haven't started must be refused at once, and must never run.
 #[test]
 fn jobs_that_can_run_nowhere_are_refused_at_once() {
-    let mut world = World::new(5, 3, 4, CALM);
+    let mut world = World::new(5, 3, 4, NO_FAULTS);
     world.submit_jobs(40, Span::millis(100));
     world.evacuate_at(Span::millis(1_000), "maardu", Span::seconds(6));
     world.evacuate_at(Span::millis(1_000), "ulemiste", Span::seconds(6));
--- a/tests/dispatch/overload.rs
+++ b/tests/dispatch/overload.rs
@@ -18,7 +18,7 @@
 
 use super::{
     world::World,
-    CALM, //
+    NO_FAULTS, //
 };
 
 /// How long the burst lasts.
@@ -27,7 +27,7 @@
 /// Runs a burst of three times the endpoints' capacity, followed by half of it. Returns the world and the time at which
 /// the burst ended.
 fn run_burst(seed: u64) -> (World, Time) {
-    let mut world = World::new(seed, 3, 2, CALM);
+    let mut world = World::new(seed, 3, 2, NO_FAULTS);
     world.submit_jobs(100, Span::millis(20));
     world.run(BURST);
     let burst_end = world.now;
@@ -131,7 +131,7 @@
 fn tasks_that_stand_still_are_started_elsewhere() {
     let (mut lost, mut late, mut all) = (0, 0, 0);
     for seed in 0..5 {
-        let mut world = World::new(seed, 3, 2, CALM);
+        let mut world = World::new(seed, 3, 2, NO_FAULTS);
         for w in [1, 6] {
             world.slow_endpoint_at(Span::millis(2_500), w, 0.0, Span::seconds(6));
         }
@@ -151,7 +151,7 @@
 #[test]
 fn a_fleet_that_starts_as_a_whole_serves_soon() {
     for seed in 0..5 {
-        let mut world = World::new(seed, 3, 2, CALM);
+        let mut world = World::new(seed, 3, 2, NO_FAULTS);
         let down = Span::millis(700);
         for i in 0..3 {
             world.kill_at(Span::millis(500), i, down);
@@ -175,7 +175,7 @@
 #[test]
 fn an_instance_that_starts_among_others_takes_no_rack() {
     for seed in 0..5 {
-        let mut world = World::new(seed, 5, 6, CALM);
+        let mut world = World::new(seed, 5, 6, NO_FAULTS);
         world.kill_at(Span::millis(500), 0, Span::millis(1_500));
         world.run(Span::millis(500 + 1_500 + 400));
         assert_eq!(world.racks_of(0), 0, "seed {seed}");
--- a/tests/dispatch/stored.rs
+++ b/tests/dispatch/stored.rs
@@ -11,7 +11,7 @@
         Faults,
         World, //
     },
-    CALM,
+    NO_FAULTS,
 };
 
 fn world(seed: u64, instances: usize, faults: Faults) -> World {
@@ -23,7 +23,7 @@
 /// Without faults every job of two steps is accepted, and each of its tasks runs once.
 #[test]
 fn calm_jobs_run_once() {
-    let mut world = world(1, 3, CALM);
+    let mut world = world(1, 3, NO_FAULTS);
     world.submit_jobs(40, Span::millis(150));
     world.run(Span::seconds(12));
     assert_eq!(world.finish_and_check_stored(), 40);
@@ -37,7 +37,7 @@
 #[test]
 fn coordinator_dies() {
     for seed in 0..10 {
-        let mut world = world(seed, 3, CALM);
+        let mut world = world(seed, 3, NO_FAULTS);
         world.submit_jobs(40, Span::millis(150));
         world.kill_at(Span::millis(2_000), seed as usize % 3, Span::seconds(1));
         world.kill_at(Span::millis(5_500), 1 + seed as usize % 2, Span::seconds(1));
@@ -50,7 +50,7 @@
 #[test]
 fn all_instances_die() {
     for seed in 0..5 {
-        let mut world = world(seed, 3, CALM);
+        let mut world = world(seed, 3, NO_FAULTS);
         world.submit_jobs(40, Span::millis(150));
         for i in 0..3 {
             world.kill_at(Span::millis(3_000), i, Span::seconds(2));
@@ -64,7 +64,7 @@
 #[test]
 fn coordinator_wakes() {
     for seed in 0..10 {
-        let mut world = world(seed, 3, CALM);
+        let mut world = world(seed, 3, NO_FAULTS);
         world.submit_jobs(40, Span::millis(150));
         world.freeze_at(Span::millis(2_000), seed as usize % 3, Span::millis(3_500));
         world.run(Span::seconds(12));
@@ -84,7 +84,7 @@
         failures: 0.02,
         lost_calls: 0.02,
         broken_links,
-        ..CALM
+        ..NO_FAULTS
     };
     let mut world = world(seed, 4, faults);
     world.submit_jobs(40, Span::millis(120));
@@ -137,7 +137,7 @@
 #[test]
 fn rack_moves_to_an_instance_that_is_lost() {
     for seed in [0, 5, 10, 15, 20] {
-        let mut world = World::new(seed, 6, 4, CALM);
+        let mut world = World::new(seed, 6, 4, NO_FAULTS);
         world.store_jobs();
         world.submit_jobs(80, Span::millis(30));
         world.disconnect_at(Span::millis(200), 0, 1, Span::seconds(200));
@@ -158,7 +158,7 @@
         let faults = Faults {
             lost_calls: 0.1,
             failures: 0.05,
-            ..CALM
+            ..NO_FAULTS
         };
         let mut world = world(seed, 3, faults);
         world.submit_jobs(40, Span::millis(150));
@@ -172,7 +172,7 @@
 #[test]
 fn store_away() {
     for seed in 0..5 {
-        let mut world = world(seed, 3, CALM);
+        let mut world = world(seed, 3, NO_FAULTS);
         world.submit_jobs(40, Span::millis(150));
         world.store_outage_at(Span::millis(2_500), Span::seconds(4));
         world.run(Span::seconds(14));
@@ -185,7 +185,7 @@
 #[test]
 fn instances_cut_apart() {
     for seed in 0..10 {
-        let mut world = world(seed, 4, CALM);
+        let mut world = world(seed, 4, NO_FAULTS);
         world.submit_jobs(40, Span::millis(150));
         world.partition_at(Span::millis(2_000), &[0, 1], Span::seconds(4));
         world.run(Span::seconds(14));
