--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -434,7 +434,7 @@
     for output in out.outputs {
         if let Output::Call { call, order, .. } = output {
             let reply = match order {
-                Order::Look { .. } => Reply::Looked(Lists {
+                Order::Poll { .. } => Reply::Looked(Lists {
                     clock,
                     ..Lists::default()
                 }),
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -56,9 +56,9 @@
         Heartbeat,
         Input,
         Listing,
+        LogRecord,
         Message,
         Output,
-        Record,
         Roster,
         Sender, //
     },
@@ -162,7 +162,7 @@
     entry: Entry,
     owner: Owner,
     /// Shards of stored jobs that this instance coordinates.
-    durable: Coordinator,
+    coordinator: Coordinator,
     /// Callers' requests about stored jobs that wait for the coordinator's answer.
     requests: Requests,
     documents: Documents,
@@ -170,7 +170,7 @@
     evacuation: Evacuation,
     roster: Roster,
     has_roster: bool,
-    reading: Reader,
+    reader: Reader,
     /// The owner and token of each rack that another instance owns.
     rack_owners: Rc<HashMap<RackId, (Instance, Token)>>,
     /// The change counters of the members' claims and of the own ones that `rack_owners` was built from.
@@ -210,7 +210,7 @@
                 identity.centre.as_str(),
             ),
             owner: Owner::new(&identity.contact.name),
-            durable: Coordinator::new(format!(
+            coordinator: Coordinator::new(format!(
                 "{} {}",
                 identity.contact.name, identity.incarnation
             )),
@@ -222,7 +222,7 @@
             evacuation: Evacuation::default(),
             roster: Roster::default(),
             has_roster: false,
-            reading: Reader::default(),
+            reader: Reader::default(),
             rack_owners: Rc::default(),
             claim_counts: None,
             former_owners: BTreeMap::new(),
@@ -386,7 +386,7 @@
                 self.send_due_requests(now, out);
             }
             Input::StoreReplied { call, reply } => {
-                let acts = self.durable.on_store_reply(call, reply, now, out);
+                let acts = self.coordinator.on_store_reply(call, reply, now, out);
                 self.apply_actions(acts, now, out);
                 self.call_store(now, out);
             }
@@ -395,7 +395,9 @@
                     self.broadcast(Message::CancelJob(job), out);
                 }
             }
-            Input::Configured(configuration) => self.configure(*configuration, "store", out),
+            Input::Configured(configuration) => {
+                self.apply_configuration(*configuration, "store", out)
+            }
             Input::Evacuated(evacuation) => self.apply_evacuation(evacuation, "store", now, out),
             Input::EvacuationChanged(change) => {
                 if let Some(evacuation) = self.evacuation.with_change(&change) {
@@ -407,7 +409,7 @@
                 self.apply_roster(roster, now, out);
                 self.send_roster_change(&earlier, out);
             }
-            Input::RosterRead(done) => self.reading.on_read(done, now),
+            Input::RosterRead(done) => self.reader.on_read(done, now),
             Input::MembersFound(contacts) => {
                 for contact in contacts {
                     self.on_member_found(&contact, now, out);
@@ -428,7 +430,7 @@
             }
             Input::Drain => {
                 self.draining_since.get_or_insert(now);
-                out.outputs.push(Output::Log(Record::new("draining")));
+                out.outputs.push(Output::Log(LogRecord::new("draining")));
                 self.announced_at = Time::default();
                 self.on_tick(now, out);
             }
@@ -466,12 +468,12 @@
     }
 
     /// Puts a configuration in force, unless the current one is as new.
-    fn configure(&mut self, configuration: Configuration, from: &str, out: &mut Effects) {
+    fn apply_configuration(&mut self, configuration: Configuration, from: &str, out: &mut Effects) {
         let current = self.configuration.as_ref().map(|c| c.version);
         if current.is_some_and(|current| current >= configuration.version) {
             return;
         }
-        let record = Record::new("configuration_applied").with("version", configuration.version);
+        let record = LogRecord::new("configuration_applied").with("version", configuration.version);
         out.outputs.push(Output::Log(record.with("from", from)));
         let same_services = self
             .configuration
@@ -502,7 +504,7 @@
         let returned = previous.centres.difference(centres);
         let returned = returned.map(|centre| ("centre_returned", centre));
         for (event, centre) in evacuated.chain(returned) {
-            let record = Record::new(event).with("centre", centre.as_str());
+            let record = LogRecord::new(event).with("centre", centre.as_str());
             let record = record.with("version", self.evacuation.version);
             out.outputs.push(Output::Log(record.with("from", from)));
         }
@@ -542,7 +544,7 @@
             return;
         }
         if self.members.add(contact, now) {
-            let record = Record::new("member_found").with("member", contact.name.as_str());
+            let record = LogRecord::new("member_found").with("member", contact.name.as_str());
             out.outputs.push(Output::Log(record));
             self.send_heartbeats(slice::from_ref(&contact.name), &[], now, out);
         }
@@ -584,7 +586,7 @@
             }
             if is_live && !was_live {
                 self.startup.on_member_heard(self.members.get(name), now);
-                self.durable.recheck_empty();
+                self.coordinator.recheck_empty();
                 self.introduce(&from.contact, now, out);
             }
         }
@@ -609,7 +611,7 @@
             .check_sender(from, self.identity.incarnation, now)
         {
             SenderCheck::Stale => {
-                let record = Record::new("messages_stale").with("member", name.as_str());
+                let record = LogRecord::new("messages_stale").with("member", name.as_str());
                 out.outputs.push(Output::Log(record));
                 return false;
             }
@@ -619,7 +621,7 @@
                     self.former_owners
                         .retain(|_, former| former.owner.as_ref() != Some(name));
                 }
-                let record = Record::new("session_begun").with("member", name.as_str());
+                let record = LogRecord::new("session_begun").with("member", name.as_str());
                 let record = record.with("session", from.session);
                 out.outputs.push(Output::Log(record));
                 self.owner.drop_entry(name, out);
@@ -670,7 +672,7 @@
                 let failed = self
                     .entry
                     .on_batch_ended(serial, outcome, done, started, now, out);
-                if let Some(act) = failed.and_then(|job| self.durable.fail_job(job)) {
+                if let Some(act) = failed.and_then(|job| self.coordinator.fail_job(job)) {
                     self.apply_actions(vec![act], now, out);
                     self.call_store(now, out);
                 }
@@ -733,7 +735,7 @@
                 let batch = end.batch.as_ref().filter(|(entry, _)| entry == own);
                 let batch = batch.map(|(_, serial)| *serial);
                 let batch = batch.filter(|serial| self.entry.has_batch(*serial));
-                let act = self.durable.on_run_end(from, &end, batch, out);
+                let act = self.coordinator.on_run_end(from, &end, batch, out);
                 self.apply_actions(act.into_iter().collect(), now, out);
                 self.call_store(now, out);
             }
@@ -748,8 +750,8 @@
 
     /// Drops everything that peers have taken over, after the process was paused for longer than they wait.
     fn on_process_pause(&mut self, now: Time, out: &mut Effects) {
-        out.outputs.push(Output::Log(Record::new("awoke")));
-        let acts = self.durable.release_all(out);
+        out.outputs.push(Output::Log(LogRecord::new("awoke")));
+        let acts = self.coordinator.release_all(out);
         self.apply_actions(acts, now, out);
         self.owner.reset(&self.identity.contact.name);
         for member in self.members.expire_all(now) {
@@ -773,7 +775,7 @@
         self.expired_at = now;
         for member in self.members.expire(now) {
             let name = member.contact.name.clone();
-            let record = Record::new("member_lost").with("member", name.as_str());
+            let record = LogRecord::new("member_lost").with("member", name.as_str());
             let heard = member.last_heard.unwrap_or(now);
             out.outputs
                 .push(Output::Log(record.with("silent_ms", now.since(heard))));
@@ -786,7 +788,7 @@
             self.add_former_owner(&name, &claims, now);
             self.owner.drop_entry(&name, out);
             self.entry.on_owner_lost(&name, now, out);
-            self.durable.require_lock_checks(now);
+            self.coordinator.require_lock_checks(now);
         }
     }
 
--- a/src/dispatch/announcement.rs
+++ b/src/dispatch/announcement.rs
@@ -12,9 +12,9 @@
         Contact,
         Document,
         Heartbeat,
+        LogRecord,
         Message,
         Output,
-        Record,
         Status,
         Vacancy, //
     },
@@ -44,7 +44,7 @@
 impl Dispatcher {
     /// Sends a member that has become alive what it needs to place tasks: the other members, and the room of all racks.
     pub(super) fn introduce(&mut self, to: &Contact, now: Time, out: &mut Effects) {
-        let record = Record::new("member_heard").with("member", to.name.as_str());
+        let record = LogRecord::new("member_heard").with("member", to.name.as_str());
         out.outputs.push(Output::Log(record));
         let members = self.members.live().map(|m| m.contact.clone()).collect();
         out.messages.push((to.clone(), Message::Members(members)));
@@ -113,11 +113,11 @@
             configuration: self.document_version(Document::Configuration),
             roster: self.document_version(Document::Roster),
             evacuation: self.evacuation.clone(),
-            reading: self.reading.is_fresh(now),
+            reading: self.reader.is_fresh(now),
             draining: self.is_draining(),
             share: self.identity.share,
             racks: self.owner.racks().map(claim).chain(ceded).collect(),
-            shards: self.durable.coordinations(),
+            shards: self.coordinator.coordinations(),
             pending: self.entry.pending_by_route().into_iter().collect(),
             absences: self.members.absences(),
         }
@@ -185,7 +185,7 @@
         );
         let due = now.since(self.announced_at) >= HEARTBEAT_INTERVAL;
         let since = now.since(self.rooms_sent_at);
-        let turned = since >= ROOM_INTERVAL && self.owner.has_space_changes(now);
+        let turned = since >= ROOM_INTERVAL && self.owner.has_spare_cpu_changes(now);
         let changed = turned || since >= interval && self.owner.has_room_changes(now);
         if !due && !changed {
             return;
@@ -224,7 +224,7 @@
         if self.is_draining() {
             return;
         }
-        for (to, rooms) in self.owner.racks_with_space(now) {
+        for (to, rooms) in self.owner.racks_with_spare_cpu(now) {
             let Some((from, contact)) = self.entry.busiest_rack(to) else {
                 continue;
             };
--- a/src/dispatch/coordination.rs
+++ b/src/dispatch/coordination.rs
@@ -22,7 +22,7 @@
 impl Dispatcher {
     /// Lets the shards do what is due, and sends their calls to the store.
     pub(super) fn call_store(&mut self, now: Time, out: &mut Effects) {
-        let actions = self.durable.run_due(now, out);
+        let actions = self.coordinator.run_due(now, out);
         self.apply_actions(actions, now, out);
     }
 
@@ -31,7 +31,7 @@
         for action in actions {
             match action {
                 Action::Run(job, at) => {
-                    if let Some((record, progress)) = self.durable.open_job(job) {
+                    if let Some((record, progress)) = self.coordinator.open_job(job) {
                         self.entry.run_stored(job, record, progress, at, now);
                     }
                 }
@@ -46,7 +46,7 @@
     /// Returns the current coordinator of each shard. One that holds the shard takes precedence over one that only claims it.
     pub(super) fn coordinators(&self) -> HashMap<ShardId, Contact> {
         let mut found: HashMap<ShardId, (bool, Contact)> = HashMap::new();
-        let own = (self.durable.coordinations(), &self.identity.contact);
+        let own = (self.coordinator.coordinations(), &self.identity.contact);
         let others = self.members.live().filter_map(|member| {
             let status = member.status.as_ref()?;
             Some((status.shards.clone(), &member.contact))
@@ -80,18 +80,18 @@
             .collect();
         for shard in ShardId::all() {
             let coordinator = coordinators.get(&shard).map(|contact| &contact.name);
-            let own_shard = self.durable.knowledge(shard).is_some();
+            let own_shard = self.coordinator.knowledge(shard).is_some();
             if own_shard && self.is_draining() {
-                actions.extend(self.durable.release(shard, "the instance ends", out));
+                actions.extend(self.coordinator.release(shard, "the instance ends", out));
             } else if own_shard && coordinator.is_some_and(|name| *name != own) {
-                actions.extend(self.durable.release(shard, "another holds it", out));
+                actions.extend(self.coordinator.release(shard, "another holds it", out));
             } else if own_shard && self.has_claimants(shard) {
-                self.durable.require_lock_checks(now);
+                self.coordinator.require_lock_checks(now);
                 let outweighs =
                     |name: &Instance| shard.weight(name.as_str()) > shard.weight(own.as_str());
-                let held = self.durable.knowledge(shard) == Some(Knowledge::Held);
+                let held = self.coordinator.knowledge(shard) == Some(Knowledge::Held);
                 if !held && self.claimants(shard).any(|name| outweighs(&name)) {
-                    actions.extend(self.durable.release(shard, "another claims it", out));
+                    actions.extend(self.coordinator.release(shard, "another claims it", out));
                 }
             } else if coordinator.is_none() && !self.is_draining() {
                 let best = candidates
@@ -100,7 +100,7 @@
                 let outweighed = best
                     .is_some_and(|name| shard.weight(name.as_str()) > shard.weight(own.as_str()));
                 if !outweighed {
-                    self.durable.claim(shard, now);
+                    self.coordinator.claim(shard, now);
                 }
             }
         }
--- a/src/dispatch/documents.rs
+++ b/src/dispatch/documents.rs
@@ -9,10 +9,10 @@
     member::Member,
     message::{
         Document,
+        LogRecord,
         Message,
         Output,
         Piece,
-        Record,
         Roster, //
     },
     owner::Effects,
@@ -219,7 +219,8 @@
             if let Some(name) =
                 transfer.choose_peer((own, version), document.fetch_delay(), holders, now)
             {
-                let record = Record::new("document_asked").with("document", document.to_string());
+                let record =
+                    LogRecord::new("document_asked").with("document", document.to_string());
                 out.outputs
                     .push(Output::Log(record.with("member", name.as_str())));
                 self.request_piece(&name, document, 0, out);
@@ -299,15 +300,18 @@
             Progress::Complete(bytes) => bytes,
         };
         let applied = match document {
-            Document::Configuration => postcard::from_bytes::<Option<Configuration>>(&bytes)
-                .map(|decoded| decoded.map(|new| self.configure(new, from.as_str(), out))),
+            Document::Configuration => {
+                postcard::from_bytes::<Option<Configuration>>(&bytes).map(|decoded| {
+                    decoded.map(|new| self.apply_configuration(new, from.as_str(), out))
+                })
+            }
             Document::Roster => postcard::from_bytes::<Roster>(&bytes).map(|roster| {
                 let newer = roster.version > self.roster.version || !self.has_roster;
                 newer.then(|| self.apply_roster(roster, now, out))
             }),
         };
         if let Err(error) = applied {
-            let record = Record::new("document_malformed").with("member", from.as_str());
+            let record = LogRecord::new("document_malformed").with("member", from.as_str());
             out.outputs
                 .push(Output::Log(record.with("error", error.to_string())));
         }
--- a/src/dispatch/durable.rs
+++ b/src/dispatch/durable.rs
@@ -33,9 +33,9 @@
         Contact,
         Coordination,
         Knowledge,
+        LogRecord,
         Output,
         Question,
-        Record,
         RunEnd,
         StoreCallId,
         StoreReply,
@@ -129,7 +129,7 @@
             return Vec::new();
         };
         if state.phase != Phase::Empty && state.phase != Phase::FindingLock {
-            let entry = Record::new("shard_released").with("shard", shard.to_string());
+            let entry = LogRecord::new("shard_released").with("shard", shard.to_string());
             out.outputs.push(Output::Log(entry.with("reason", reason)));
         }
         self.calls.retain(|_, of| *of != shard);
--- a/src/dispatch/durable/shard.rs
+++ b/src/dispatch/durable/shard.rs
@@ -16,9 +16,9 @@
         message::{
             Contact,
             Knowledge,
+            LogRecord,
             Message,
             Output,
-            Record,
             RunEnd,
             StoreReply,
             StoreRequest,
@@ -566,7 +566,7 @@
                     job.progress = progress;
                 }
                 Err(fault) => {
-                    let entry = Record::new("row_malformed").with("key", key);
+                    let entry = LogRecord::new("row_malformed").with("key", key);
                     out.outputs.push(Output::Log(entry.with("fault", fault)));
                 }
             }
@@ -584,7 +584,7 @@
                 self.ended_jobs.push_back((now, *id));
             }
         }
-        let entry = Record::new("shard_held").with("shard", id.to_string());
+        let entry = LogRecord::new("shard_held").with("shard", id.to_string());
         let entry = entry.with("jobs", self.jobs.len());
         out.outputs
             .push(Output::Log(entry.with("open", actions.len())));
@@ -685,7 +685,7 @@
         let ended = change.state != State::Open;
         job.stored_state = Some(change.state);
         if first {
-            let entry = Record::routine("job_stored").job(id);
+            let entry = LogRecord::routine("job_stored").job(id);
             out.outputs.push(Output::Log(entry));
             if !ended {
                 actions.push(Action::Run(id, now));
@@ -699,7 +699,7 @@
             job.record = None;
             job.reported_ends = HashMap::new();
             self.ended_jobs.push_back((now, id));
-            let entry = Record::routine("job_ended").job(id);
+            let entry = LogRecord::routine("job_ended").job(id);
             let entry = entry.with("state", format!("{:?}", change.state));
             out.outputs.push(Output::Log(entry));
         }
--- a/src/dispatch/endpoint.rs
+++ b/src/dispatch/endpoint.rs
@@ -209,7 +209,7 @@
 impl State {
     /// Returns the state of a newly claimed endpoint. Runs that are handed over with it are added by
     /// [`State::adopt`].
-    pub fn claim(listing: Listing, token: Token, now: Time) -> Self {
+    pub fn new(listing: Listing, token: Token, now: Time) -> Self {
         Self {
             free: listing.capacity,
             life: listing.life,
@@ -397,10 +397,10 @@
         self.poll_wanted = false;
         self.pending_poll = Some(call);
         self.acknowledged_end = self.forgettable();
-        Some(Order::Look {
+        Some(Order::Poll {
             lease,
             token: self.token,
-            seen: self.acknowledged_end,
+            acknowledged: self.acknowledged_end,
             wait,
         })
     }
--- a/src/dispatch/entry.rs
+++ b/src/dispatch/entry.rs
@@ -30,9 +30,9 @@
         Batch,
         Contact,
         Listing,
+        LogRecord,
         Message,
         Output,
-        Record,
         Ticket,
         Vacancy, //
     },
@@ -375,7 +375,7 @@
             stored: false,
             route: route.name.clone(),
         };
-        let record = Record::routine("job_accepted").job(id);
+        let record = LogRecord::routine("job_accepted").job(id);
         let record = record.with("route", route.name.as_str());
         let record = record.with("due_ms", job.due_at.since(now));
         let record = record.with("until_ms", limit);
@@ -400,7 +400,7 @@
         let spread = u64::from(self.refusals % 4) * 500_000;
         let again = wait.max(RETRY_DELAY_RANGE.0).min(RETRY_DELAY_RANGE.1);
         let again = Span(again.0 + spread);
-        let record = Record::new("job_refused").job(id).with("reason", reason);
+        let record = LogRecord::new("job_refused").job(id).with("reason", reason);
         out.outputs
             .push(Output::Log(record.with("again_ms", again)));
         let answer = Answer::Refused { again };
@@ -542,7 +542,7 @@
             useful: job.useful_until.since(now),
             time_left: job.deadline.since(now),
         };
-        let record = Record::routine("batch_sent").job(id);
+        let record = LogRecord::routine("batch_sent").job(id);
         let record = record
             .with("batch", serial)
             .with("owner", owner.name.as_str());
--- a/src/dispatch/entry/batches.rs
+++ b/src/dispatch/entry/batches.rs
@@ -7,9 +7,9 @@
         id::JobId,
         message::{
             Cause,
+            LogRecord,
             Outcome,
-            Output,
-            Record, //
+            Output, //
         },
         owner::Effects, //
     },
@@ -52,7 +52,7 @@
                     .collect();
                 if !tasks.is_empty() {
                     // The owner returned these tasks, and the message was lost.
-                    let record = Record::new("batch_incomplete").job(id);
+                    let record = LogRecord::new("batch_incomplete").job(id);
                     let record = record.with("batch", serial);
                     out.outputs
                         .push(Output::Log(record.with("missing", tasks.len())));
@@ -104,7 +104,7 @@
         let Some(sent) = job.batches.get_mut(&serial) else {
             return;
         };
-        let record = Record::routine("tasks_returned").job(id);
+        let record = LogRecord::routine("tasks_returned").job(id);
         let record = record.with("batch", serial).with("tasks", tasks.len());
         let record = record.with("reason", cause.to_string());
         let of_batch = if started {
@@ -170,7 +170,7 @@
         if moves <= sent.moves {
             return;
         }
-        let record = Record::routine("batch_moved").job(id);
+        let record = LogRecord::routine("batch_moved").job(id);
         let record = record.with("batch", serial);
         out.outputs
             .push(Output::Log(record.with("owner", to.as_str())));
@@ -245,7 +245,7 @@
                 let Some(sent) = job.batches.remove(&serial) else {
                     continue;
                 };
-                let record = Record::new("batch_lost").job(*id).with("batch", serial);
+                let record = LogRecord::new("batch_lost").job(*id).with("batch", serial);
                 let record = record.with("owner", sent.owner.as_str());
                 out.outputs.push(Output::Log(record));
                 job.started = true;
--- a/src/dispatch/entry/ending.rs
+++ b/src/dispatch/entry/ending.rs
@@ -6,9 +6,9 @@
         message::{
             Answer,
             Contact,
+            LogRecord,
             Message,
             Output,
-            Record,
             Ticket, //
         },
         owner::Effects, //
@@ -31,7 +31,9 @@
         if !job.given_up {
             job.given_up = true;
             job.unplaced.clear();
-            let record = Record::new("job_given_up").job(id).with("reason", reason);
+            let record = LogRecord::new("job_given_up")
+                .job(id)
+                .with("reason", reason);
             let record = record.with("age_ms", now.since(job.arrived_at));
             out.outputs.push(Output::Log(record));
             let mut serials: Vec<u64> = job.batches.keys().copied().collect();
@@ -76,7 +78,7 @@
         for serial in job.batches.keys() {
             self.by_serial.remove(serial);
         }
-        let record = Record::routine("job_answered").job(id);
+        let record = LogRecord::routine("job_answered").job(id);
         let record = record.with("answer", format!("{answer:?}"));
         let record = record.with("age_ms", now.since(job.arrived_at));
         let on_time = if now <= job.due_at { "on time" } else { "late" };
--- a/src/dispatch/message.rs
+++ b/src/dispatch/message.rs
@@ -41,7 +41,7 @@
         Vacancy, //
     },
     line::{
-        Record,
+        LogRecord,
         Value, //
     },
     store::{
@@ -252,7 +252,7 @@
         /// How long to wait for the reply.
         timeout: Span,
         /// Whether to open a new connection, since the last one may be broken.
-        fresh: bool,
+        new_connection: bool,
     },
     /// Call the store.
     Store {
@@ -277,7 +277,7 @@
     /// Close all connections to the endpoint at this address, whose process has ended.
     Disconnect(String),
     /// Write a line to the log.
-    Log(Record),
+    Log(LogRecord),
     /// Close callers' idle connections, since no more jobs are accepted.
     CloseIdleCallers,
     /// The drain is complete: the process can end.
--- a/src/dispatch/message/call.rs
+++ b/src/dispatch/message/call.rs
@@ -38,13 +38,13 @@
         token: Token,
     },
     /// List the runs in progress and those that have ended.
-    Look {
+    Poll {
         /// When the leases of the endpoint's runs end, on its clock, in milliseconds; `None` doesn't renew them.
         lease: Option<u64>,
         /// The owner's fencing token.
         token: Token,
         /// The highest serial number of an end that may be forgotten.
-        seen: u64,
+        acknowledged: u64,
         /// How long the reply may wait for a run to end (long polling).
         wait: Span,
     },
--- a/src/dispatch/message/line.rs
+++ b/src/dispatch/message/line.rs
@@ -7,7 +7,7 @@
 
 /// A line of the log: an event, its job and its fields.
 #[derive(Debug, Clone)]
-pub struct Record {
+pub struct LogRecord {
     /// The name of the event.
     pub event: &'static str,
     /// Whether the line may be dropped under load.
@@ -64,7 +64,7 @@
     }
 }
 
-impl Record {
+impl LogRecord {
     /// Creates a line that is always written.
     pub fn new(event: &'static str) -> Self {
         Self {
--- a/src/dispatch/message/suspicion.rs
+++ b/src/dispatch/message/suspicion.rs
@@ -52,7 +52,7 @@
     }
 
     /// Withdraws one silence, after an endpoint that had stopped answering was heard again.
-    pub fn on_endpoint_heard(&mut self) {
+    pub fn clear_silence(&mut self) {
         self.silences = self.silences.saturating_sub(1);
         self.refusals = self.refusals.min(self.silences);
     }
--- a/src/dispatch/owner.rs
+++ b/src/dispatch/owner.rs
@@ -17,7 +17,7 @@
     HashSet, //
 };
 
-pub use self::probe::Verdict;
+pub use self::probe::Availability;
 use self::{
     given_up::GivenUp,
     probe::Probe, //
@@ -41,12 +41,12 @@
         Contact,
         HeldBatch,
         Listing,
+        LogRecord,
         Message,
         Name,
         Order,
         Outcome,
         Output,
-        Record,
         RunEnd,
         Suspicion, //
     },
@@ -71,7 +71,7 @@
     /// The number of its endpoints that accepted tasks at the last update.
     reported_open: usize,
     /// Whether it had space for other racks' tasks at the last update.
-    reported_space: bool,
+    reported_spare_cpu: bool,
     /// When its queue is reviewed next, unless an event calls for an earlier review.
     next_review: Time,
 }
@@ -179,7 +179,7 @@
 }
 
 impl Effects {
-    fn log(&mut self, record: Record) {
+    fn log(&mut self, record: LogRecord) {
         self.outputs.push(Output::Log(record));
     }
 
@@ -220,14 +220,14 @@
 
     /// Claims a rack with a fencing token.
     pub fn claim(&mut self, rack: RackId, token: Token, out: &mut Effects) {
-        out.log(Record::new("rack_claimed").with("rack", rack.to_string()));
+        out.log(LogRecord::new("rack_claimed").with("rack", rack.to_string()));
         let new_rack = Rack {
             token,
             endpoints: Vec::new(),
             queue: Queue::default(),
             room_changed: true,
             reported_open: 0,
-            reported_space: false,
+            reported_spare_cpu: false,
             next_review: Time::default(),
         };
         self.racks.entry(rack).or_insert(new_rack).token = token;
@@ -240,7 +240,7 @@
             return;
         };
         self.rack_changes += 1;
-        let record = Record::new("rack_yielded").with("rack", rack.to_string());
+        let record = LogRecord::new("rack_yielded").with("rack", rack.to_string());
         out.log(record.with("reason", reason));
         for id in &state.endpoints {
             self.remove_endpoint_state(id);
@@ -322,7 +322,7 @@
             rack.review_now();
             if let Some(state) = self.endpoints.get_mut(&listing.id) {
                 if listing.draining && !state.listing.draining {
-                    let record = Record::new("endpoint_leaving");
+                    let record = LogRecord::new("endpoint_leaving");
                     out.log(record.with("endpoint", listing.id.as_str()));
                 }
                 state.update_listing(listing.clone());
@@ -330,7 +330,7 @@
                 renewed.push((listing.id.clone(), events));
                 continue;
             }
-            let mut state = State::claim(listing.clone(), rack.token, now);
+            let mut state = State::new(listing.clone(), rack.token, now);
             state.evacuated = self.evacuated.contains(&listing.centre);
             self.endpoints.insert(listing.id.clone(), state);
             rack.endpoints.push(listing.id.clone());
@@ -363,7 +363,7 @@
     }
 
     fn remove_endpoint(&mut self, id: &Endpoint, out: &mut Effects) {
-        out.log(Record::new("endpoint_gone").with("endpoint", id.as_str()));
+        out.log(LogRecord::new("endpoint_gone").with("endpoint", id.as_str()));
         if let Some(state) = self.endpoints.get(id) {
             out.outputs
                 .push(Output::Disconnect(state.listing.address.clone()));
@@ -495,7 +495,7 @@
         handles.sort_unstable();
         for handle in handles {
             let job = self.assignments[&handle].batch.job;
-            let record = Record::new("batch_abandoned").job(job);
+            let record = LogRecord::new("batch_abandoned").job(job);
             out.log(record.with("entry", entry.as_str()));
             self.drop_assignment(handle, out);
         }
@@ -566,7 +566,7 @@
             return;
         };
         let wait = match &order {
-            Order::Look { wait, .. } => *wait,
+            Order::Poll { wait, .. } => *wait,
             _ => Span(0),
         };
         let timeout = wait + self.call_timeout.timeout();
@@ -577,7 +577,7 @@
             address: state.listing.address.clone(),
             order,
             timeout,
-            fresh: new_connection,
+            new_connection,
         });
     }
 
--- a/src/dispatch/owner/answer.rs
+++ b/src/dispatch/owner/answer.rs
@@ -17,9 +17,9 @@
         },
         message::{
             CallId,
+            LogRecord,
             Name,
             Outcome,
-            Record,
             Refusal,
             Reply,
             RunEnd, //
@@ -109,7 +109,7 @@
             Name::Known(task) => task.to_string(),
             Name::Foreign(name) => name.clone(),
         };
-        let record = Record::new("unknown_run_stopped").with("endpoint", id.as_str());
+        let record = LogRecord::new("unknown_run_stopped").with("endpoint", id.as_str());
         out.log(record.with("task", name).with("run", run.0));
         let order = state.stop_order(task.clone(), run);
         self.call_endpoint(id, order, Purpose::Stop(task, run), false, out);
@@ -127,7 +127,7 @@
         let Some(state) = self.endpoints.get_mut(id) else {
             return;
         };
-        let record = Record::new("start_refused").job(task.job);
+        let record = LogRecord::new("start_refused").job(task.job);
         let record = record.with("endpoint", id.as_str());
         out.log(record.with("reason", format!("{refusal:?}")));
         match state.on_start_refused(task, run, refusal, now) {
@@ -166,13 +166,13 @@
             state.on_unanswered(&reply);
         }
         if let Reply::Malformed(fault) = &reply {
-            let record = Record::new("endpoint_malformed").with("endpoint", id.as_str());
+            let record = LogRecord::new("endpoint_malformed").with("endpoint", id.as_str());
             out.log(record.with("fault", fault.clone()));
         }
         match purpose {
             Purpose::Poll => {
                 if state.standing == Standing::Open {
-                    let record = Record::new("endpoint_silent").with("endpoint", id.as_str());
+                    let record = LogRecord::new("endpoint_silent").with("endpoint", id.as_str());
                     out.log(record.with("reply", format!("{reply:?}")));
                 }
                 match reply {
@@ -229,7 +229,7 @@
             execution.duplicate_possible,
             execution.sends,
         );
-        let record = Record::new("start_unanswered").job(task.job);
+        let record = LogRecord::new("start_unanswered").job(task.job);
         let record = record
             .with("endpoint", id.as_str())
             .with("tries", u32::from(sends));
@@ -282,7 +282,7 @@
             match event {
                 Event::Done(task, handle, run, serial) => {
                     self.run_locations.remove(&task);
-                    let record = Record::routine("task_done").job(task.job);
+                    let record = LogRecord::routine("task_done").job(task.job);
                     let record = record.with("task", task.to_string()).with("run", run.0);
                     let record = record.with("endpoint", id.as_str());
                     out.log(record.with("end", serial));
@@ -290,7 +290,7 @@
                 }
                 Event::Failed(task, handle) => {
                     self.run_locations.remove(&task);
-                    let record = Record::new("task_failed").job(task.job);
+                    let record = LogRecord::new("task_failed").job(task.job);
                     let record = record.with("task", task.to_string());
                     out.log(record.with("endpoint", id.as_str()));
                     self.on_task_failed(id, task, handle, now, out);
@@ -349,7 +349,7 @@
     }
 
     fn log_lost(&self, id: &Endpoint, task: TaskId, out: &mut Effects) {
-        let record = Record::new("run_gone").job(task.job);
+        let record = LogRecord::new("run_gone").job(task.job);
         let record = record.with("task", task.to_string());
         out.log(record.with("endpoint", id.as_str()));
     }
@@ -373,7 +373,7 @@
             return;
         };
         task_state.restarts += 1;
-        let record = Record::new("run_still").job(task.job);
+        let record = LogRecord::new("run_still").job(task.job);
         let record = record.with("task", task.to_string());
         out.log(record.with("endpoint", id.as_str()));
         if let Some(state) = self.endpoints.get_mut(id) {
--- a/src/dispatch/owner/ends.rs
+++ b/src/dispatch/owner/ends.rs
@@ -4,7 +4,7 @@
     super::{
         id::Life,
         message::{
-            Record,
+            LogRecord,
             RunEnd, //
         },
         queue::Handle, //
@@ -33,7 +33,7 @@
             self.run_locations.remove(&task);
         }
         if !end.done {
-            let record = Record::new("task_failed").job(task.job);
+            let record = LogRecord::new("task_failed").job(task.job);
             let record = record.with("task", task.to_string());
             out.log(record.with("endpoint", end.endpoint.as_str()));
         }
--- a/src/dispatch/owner/handover.rs
+++ b/src/dispatch/owner/handover.rs
@@ -16,8 +16,8 @@
             Handover,
             HeldBatch,
             Listing,
+            LogRecord,
             Message,
-            Record,
             TransferredRun, //
         },
         queue::Waiting, //
@@ -80,7 +80,7 @@
         for id in &ids {
             self.remove_endpoint_state(id);
         }
-        let record = Record::new("rack_handed_over").with("rack", rack.to_string());
+        let record = LogRecord::new("rack_handed_over").with("rack", rack.to_string());
         out.log(record.with("to", to.name.as_str()));
         Some(Handover {
             rack,
@@ -183,7 +183,7 @@
             let Some(assignment) = self.assignments.get(&handle) else {
                 continue;
             };
-            let record = Record::new("batch_abandoned").job(assignment.batch.job);
+            let record = LogRecord::new("batch_abandoned").job(assignment.batch.job);
             out.log(record.with("entry", key.0.as_str()));
             // The entry may be alive and have only begun a new session with this instance.
             assignment.return_to_entry(out);
--- a/src/dispatch/owner/place.rs
+++ b/src/dispatch/owner/place.rs
@@ -15,9 +15,9 @@
         },
         message::{
             Cause,
+            LogRecord,
             Message,
-            Outcome,
-            Record, //
+            Outcome, //
         },
         queue::{
             Handle,
@@ -159,7 +159,7 @@
         hopeless.dedup();
         for handle in hopeless {
             if let Some(assignment) = self.assignments.get(&handle) {
-                let record = Record::new("batch_hopeless").job(assignment.batch.job);
+                let record = LogRecord::new("batch_hopeless").job(assignment.batch.job);
                 let record = record.with("left_ms", assignment.deadline.since(now));
                 out.log(record.with("estimate_ms", assignment.batch.estimate));
             }
@@ -291,7 +291,7 @@
             rack.queue.remove(waiting);
             rack.room_changed = true;
         }
-        let record = Record::routine("task_started").job(task.job);
+        let record = LogRecord::routine("task_started").job(task.job);
         let record = record.with("task", task.to_string()).with("run", run.0);
         out.log(record.with("endpoint", id.as_str()));
         let purpose = Purpose::Start(task, run);
--- a/src/dispatch/owner/probe.rs
+++ b/src/dispatch/owner/probe.rs
@@ -40,11 +40,11 @@
 
 /// Whether a rack can be taken over from a silent owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Availability {
     /// Nothing runs there.
     Free,
     /// Not known yet, or its owner still extends leases there, or no endpoint can be reached.
-    Wait,
+    Unconfirmed,
 }
 
 impl Owner {
@@ -61,15 +61,15 @@
         listings: &[Listing],
         now: Time,
         out: &mut Effects,
-    ) -> Verdict {
+    ) -> Availability {
         if let Some(probe) = self.probes.get(&rack) {
             let complete = probe.pending.is_empty();
             if complete && probe.answered > 0 && !probe.running {
                 self.probes.remove(&rack);
-                return Verdict::Free;
+                return Availability::Free;
             }
             if !complete || now < probe.next_probe {
-                return Verdict::Wait;
+                return Availability::Unconfirmed;
             }
         }
         let mut probe = Probe {
@@ -88,18 +88,18 @@
                 call,
                 endpoint: listing.id.clone(),
                 address: listing.address.clone(),
-                order: Order::Look {
+                order: Order::Poll {
                     lease: None,
                     token,
-                    seen: 0,
+                    acknowledged: 0,
                     wait: Span(0),
                 },
                 timeout: PROBE_TIMEOUT,
-                fresh: false,
+                new_connection: false,
             });
         }
         self.probes.insert(rack, probe);
-        Verdict::Wait
+        Availability::Unconfirmed
     }
 
     /// Records an endpoint's reply to a probe. One that rejects the token has another owner.
--- a/src/dispatch/owner/room.rs
+++ b/src/dispatch/owner/room.rs
@@ -41,15 +41,15 @@
     ///
     /// Other instances send tasks to racks with space. Such a change is sent early, so that tasks don't queue at
     /// a full rack while others are idle.
-    pub fn has_space_changes(&self, now: Time) -> bool {
+    pub fn has_spare_cpu_changes(&self, now: Time) -> bool {
         let mut racks = self.racks.values();
-        racks.any(|rack| rack.reported_space != self.rack_has_space(rack, now))
+        racks.any(|rack| rack.reported_spare_cpu != self.rack_has_spare_cpu(rack, now))
     }
 
-    fn rack_has_space(&self, rack: &Rack, now: Time) -> bool {
+    fn rack_has_spare_cpu(&self, rack: &Rack, now: Time) -> bool {
         let states = rack.endpoints.iter();
         let mut states = states.filter_map(|id| self.endpoints.get(id));
-        states.any(|state| state.accepts_tasks(now) && has_space(state))
+        states.any(|state| state.accepts_tasks(now) && has_spare_cpu(state))
     }
 
     /// Returns the number of a rack's endpoints that accept tasks.
@@ -73,9 +73,9 @@
             .collect();
         for vacancy in &rooms {
             let rack = self.racks.get(&vacancy.rack);
-            let has_space = rack.is_some_and(|rack| self.rack_has_space(rack, now));
+            let has_spare_cpu = rack.is_some_and(|rack| self.rack_has_spare_cpu(rack, now));
             if let Some(rack) = self.racks.get_mut(&vacancy.rack) {
-                rack.reported_space = has_space;
+                rack.reported_spare_cpu = has_spare_cpu;
                 rack.room_changed = false;
                 rack.reported_open = vacancy.free.len();
             }
@@ -111,14 +111,14 @@
     /// Returns the racks with space, and the free room of their endpoints that have some.
     ///
     /// Queued tasks of these racks don't fit there; smaller ones that are queued at other racks may.
-    pub fn racks_with_space(&self, now: Time) -> Vec<(RackId, Vec<Resources>)> {
+    pub fn racks_with_spare_cpu(&self, now: Time) -> Vec<(RackId, Vec<Resources>)> {
         let mut found = Vec::new();
         for (id, rack) in &self.racks {
             let states = rack
                 .endpoints
                 .iter()
                 .filter_map(|id| self.endpoints.get(id));
-            let open = states.filter(|state| state.accepts_tasks(now) && has_space(state));
+            let open = states.filter(|state| state.accepts_tasks(now) && has_spare_cpu(state));
             let rooms: Vec<Resources> = open.map(|state| state.free).collect();
             if !rooms.is_empty() {
                 found.push((*id, rooms));
@@ -215,6 +215,6 @@
 }
 
 /// Returns whether enough of an endpoint is free for tasks of other racks.
-fn has_space(state: &State) -> bool {
+fn has_spare_cpu(state: &State) -> bool {
     state.free.cpu * MIN_FREE_DIVISOR >= state.listing.capacity.cpu
 }
--- a/src/dispatch/owner/suspects.rs
+++ b/src/dispatch/owner/suspects.rs
@@ -14,8 +14,8 @@
             TaskId, //
         },
         message::{
+            LogRecord,
             Outcome,
-            Record,
             Suspicion, //
         },
         queue::Handle, //
@@ -96,11 +96,11 @@
         suspicion.crashes += 1;
         suspicion.sole_crashes += u32::from(sole);
         if silent {
-            suspicion.on_endpoint_heard();
+            suspicion.clear_silence();
         }
         let suspicion = *suspicion;
         self.update_suspicion(&task, suspicion);
-        let record = Record::new("run_crashed").job(task.job);
+        let record = LogRecord::new("run_crashed").job(task.job);
         let record = record.with("task", task.to_string());
         let record = record.with("endpoint", id.as_str());
         let record = record.with("crashes", suspicion.crashes);
@@ -126,7 +126,7 @@
         let Some(task_state) = self.task_mut(task, handle) else {
             return;
         };
-        task_state.suspicion.on_endpoint_heard();
+        task_state.suspicion.clear_silence();
         let suspicion = task_state.suspicion;
         self.update_suspicion(&task, suspicion);
         self.release_task(task, handle, now);
--- a/src/dispatch/ownership.rs
+++ b/src/dispatch/ownership.rs
@@ -16,8 +16,8 @@
         assign_racks,
         Candidate,
         Member,
-        STARTUP_DELAY, //
-        STARTUP_QUIET,
+        STARTUP_DELAY,
+        STARTUP_QUIET, //
     },
     message::{
         Claim,
@@ -26,8 +26,8 @@
         Message, //
     },
     owner::{
-        Effects,
-        Verdict, //
+        Availability,
+        Effects, //
     },
     Dispatcher, //
 };
@@ -184,8 +184,8 @@
             true => now.since(former.since) >= FENCED_DELAY,
             false => {
                 let endpoints = &self.roster.endpoints;
-                let verdict = self.owner.probe(rack, former.token, endpoints, now, out);
-                verdict == Verdict::Free
+                let availability = self.owner.probe(rack, former.token, endpoints, now, out);
+                availability == Availability::Free
             }
         };
         if free {
--- a/src/dispatch/reader.rs
+++ b/src/dispatch/reader.rs
@@ -13,9 +13,9 @@
     member::Member,
     message::{
         Listing,
+        LogRecord,
         Message,
         Output,
-        Record,
         Roster,
         RosterChange, //
     },
@@ -116,7 +116,7 @@
 impl Dispatcher {
     /// Returns whether this instance reads the list of endpoints from the store. It does until it has a list.
     pub fn reads_roster(&self) -> bool {
-        !self.has_roster || self.reading.reads
+        !self.has_roster || self.reader.reads
     }
 
     /// Decides whether to read the list of endpoints, by the readers that members of the data centre announce.
@@ -131,15 +131,15 @@
         let ahead: Vec<&Member> = local.filter(is_ahead).collect();
         let is_reading = |m: &&&Member| m.status.as_ref().is_some_and(|status| status.reading);
         let reading = ahead.iter().filter(is_reading).count();
-        let (ahead, was_reading) = (ahead.len(), self.reading.reads);
-        self.reading.decide(ahead, reading, now);
-        if self.reading.reads != was_reading {
+        let (ahead, was_reading) = (ahead.len(), self.reader.reads);
+        self.reader.decide(ahead, reading, now);
+        if self.reader.reads != was_reading {
             let event = if was_reading {
                 "reading_left"
             } else {
                 "reading_begun"
             };
-            let record = Record::new(event).with("ahead", ahead);
+            let record = LogRecord::new(event).with("ahead", ahead);
             out.outputs
                 .push(Output::Log(record.with("reading", reading)));
         }
--- a/src/dispatch/requests.rs
+++ b/src/dispatch/requests.rs
@@ -13,10 +13,10 @@
         Contact,
         JobState,
         Knowledge,
+        LogRecord,
         Message,
         Output,
         Question,
-        Record,
         Ticket,
         Verdict, //
     },
@@ -170,7 +170,7 @@
             let Some(request) = self.requests.open.remove(&serial) else {
                 continue;
             };
-            let record = Record::new("request_unanswered").job(request.job);
+            let record = LogRecord::new("request_unanswered").job(request.job);
             out.outputs.push(Output::Log(record));
             let answer = match (&request.question, request.unconfirmed) {
                 (Question::Accept(_), 1..) => Answer::GivenUp { again: RETRY_DELAY },
@@ -228,7 +228,7 @@
             return out.messages.push((from.clone(), message));
         }
         let act = self
-            .durable
+            .coordinator
             .on_request(from, serial, job, question, now, out);
         if let Some(act) = act {
             self.apply_actions(vec![act], now, out);
@@ -236,7 +236,7 @@
     }
 
     fn job_state(&self, job: JobId) -> Option<JobState> {
-        let state = self.durable.stored_state(job)?.into();
+        let state = self.coordinator.stored_state(job)?.into();
         let queued = state == JobState::Running && !self.entry.has_started(job);
         Some(if queued { JobState::Queued } else { state })
     }
@@ -244,8 +244,8 @@
     /// Returns a rejection for a new job that can't end in useful time, before anything of it is stored.
     fn check_capacity(&self, job: JobId, record: &AcceptedJob) -> Option<Verdict> {
         // Jobs that a former coordinator accepted must stay accepted; they're known once the shard is loaded.
-        let held = self.durable.knowledge(job.shard()) == Some(Knowledge::Held);
-        if !held || self.durable.contains(job) {
+        let held = self.coordinator.knowledge(job.shard()) == Some(Knowledge::Held);
+        if !held || self.coordinator.contains(job) {
             return None;
         }
         let needed = self
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -53,7 +53,7 @@
         message::{
             Contact,
             Input,
-            Record, //
+            LogRecord, //
         },
         Dispatcher,
         Identity, //
@@ -125,7 +125,7 @@
         heartbeats,
         JobStore::new(settings.store.clone()),
     );
-    let record = Record::new("started").with("centre", settings.centre.as_str());
+    let record = LogRecord::new("started").with("centre", settings.centre.as_str());
     hub.log(&record.with("peers", contact.address.as_str()));
     spawn_local(front::serve(hub.clone(), caller_listener, settings.sockets));
     spawn_local(front::serve_health(hub.clone(), ready_listener));
@@ -134,7 +134,7 @@
             spawn_local(front::serve_health(hub.clone(), listener));
         }
         // Another instance on the same IP address holds the port. The readiness address serves the metrics too.
-        Err(error) => hub.log(&Record::new("metrics_unserved").with("error", error.to_string())),
+        Err(error) => hub.log(&LogRecord::new("metrics_unserved").with("error", error.to_string())),
     }
     spawn_local(peers::serve(hub.clone(), peer_listener));
     spawn_local(heartbeats::serve(hub.clone()));
@@ -201,7 +201,7 @@
         return;
     };
     while hangup.recv().await.is_some() {
-        hub.log(&Record::new("reloaded"));
+        hub.log(&LogRecord::new("reloaded"));
     }
 }
 
@@ -219,11 +219,11 @@
         () = hub.drained.notified() => {}
         () = sleep(time_limit) => {
             // Answers the callers that still wait: without an answer they couldn't tell whether a retry is safe.
-            hub.log(&Record::new("drain_unfinished"));
+            hub.log(&LogRecord::new("drain_unfinished"));
             hub.handle(Input::Closing);
         }
     }
-    hub.log(&Record::new("ended").with("after_ms", now().since(draining_since)));
+    hub.log(&LogRecord::new("ended").with("after_ms", now().since(draining_since)));
     hub.flush_log();
     // Leaves time for the last responses and log lines to be written.
     sleep(Duration::from_millis(50)).await;
--- a/src/instance/calls.rs
+++ b/src/instance/calls.rs
@@ -65,7 +65,7 @@
             address,
             order,
             timeout: time_limit,
-            fresh: new_connection,
+            new_connection,
         } = output
         else {
             return;
--- a/src/instance/feeds.rs
+++ b/src/instance/feeds.rs
@@ -28,7 +28,7 @@
             Contact,
             Input,
             Listing,
-            Record, //
+            LogRecord, //
         },
         roster::Cache,
         Dispatcher, //
@@ -148,12 +148,12 @@
         match (result, self.unavailable) {
             (Err(Failure::Status(410)), _) => {}
             (Err(failure), false) => {
-                let record = Record::new("store_lost").with("reason", failure.to_string());
+                let record = LogRecord::new("store_lost").with("reason", failure.to_string());
                 self.hub.log(&record);
                 self.unavailable = true;
             }
             (Ok(_), true) => {
-                self.hub.log(&Record::new("store_back"));
+                self.hub.log(&LogRecord::new("store_back"));
                 self.unavailable = false;
             }
             _ => {}
@@ -207,7 +207,7 @@
         if reported.len() >= MAX_REPORTED_ROWS || !reported.insert(key.to_owned()) {
             return;
         }
-        let record = Record::new("row_malformed")
+        let record = LogRecord::new("row_malformed")
             .with("table", table)
             .with("key", key);
         self.hub.log(&record.with("fault", fault.to_string()));
--- a/src/instance/front.rs
+++ b/src/instance/front.rs
@@ -64,8 +64,8 @@
             Arrival,
             Input,
             JobState,
+            LogRecord,
             Question,
-            Record,
             Ticket, //
         },
         route::{
@@ -198,7 +198,7 @@
             .idle_since
             .get()
             .map_or(Span(0), |since| now().since(since));
-        let record = Record::routine("connection_closed").with("reason", reason);
+        let record = LogRecord::routine("connection_closed").with("reason", reason);
         let record = record.with("caller", state.caller_address.as_str());
         self.hub.log(&record.with("idle_ms", idle));
     }
@@ -385,7 +385,7 @@
     let submission = match ingress::parse_job(id, &body) {
         Ok(submission) => submission,
         Err(fault) => {
-            let record = Record::new("job_malformed").job(id);
+            let record = LogRecord::new("job_malformed").job(id);
             let record = record.with("route", route.name.as_str());
             hub.log(&record.with("fault", fault.to_string()));
             return error_response(StatusCode::BAD_REQUEST, &fault.to_string());
--- a/src/instance/heartbeats.rs
+++ b/src/instance/heartbeats.rs
@@ -16,7 +16,7 @@
     Contact,
     Heartbeat,
     Input,
-    Record,
+    LogRecord,
     Sender, //
 };
 
@@ -88,7 +88,8 @@
             match postcard::from_bytes::<Datagram>(&buffer[..length]) {
                 Ok(datagram) => heartbeats.push((datagram.sender, datagram.heartbeat)),
                 Err(error) => {
-                    let record = Record::new("heartbeat_malformed").with("from", from.to_string());
+                    let record =
+                        LogRecord::new("heartbeat_malformed").with("from", from.to_string());
                     hub.log(&record.with("error", error.to_string()));
                 }
             }
@@ -98,7 +99,7 @@
 }
 
 fn log_unsent(hub: &Hub, to: &str, error: &str) {
-    let record = Record::new("heartbeat_unsent").with("to", to);
+    let record = LogRecord::new("heartbeat_unsent").with("to", to);
     hub.log(&record.with("error", error));
 }
 
--- a/src/instance/hub.rs
+++ b/src/instance/hub.rs
@@ -31,8 +31,8 @@
         message::{
             Answer,
             Input,
+            LogRecord,
             Output,
-            Record,
             Ticket, //
         },
         Dispatcher, //
@@ -134,7 +134,7 @@
     }
 
     /// Writes a line to the log.
-    pub fn log(&self, record: &Record) {
+    pub fn log(&self, record: &LogRecord) {
         self.metrics.count_log_line(record.event);
         self.journal.borrow_mut().log(record);
     }
--- a/src/instance/journal.rs
+++ b/src/instance/journal.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     clock::unix_millis,
-    dispatch::message::Record,
+    dispatch::message::LogRecord,
     error::Error,
     prelude::*, //
 };
@@ -79,7 +79,7 @@
     }
 
     /// Appends a line to the batch, or counts it as left out if the rate limit is reached.
-    pub fn log(&mut self, record: &Record) {
+    pub fn log(&mut self, record: &LogRecord) {
         let time = unix_millis();
         if time / 1_000 != self.second {
             self.second = time / 1_000;
@@ -100,13 +100,13 @@
 
     fn log_left_out(&mut self, time: u64) {
         if self.left_out > 0 {
-            let record = Record::new("lines_left_out").with("count", self.left_out);
+            let record = LogRecord::new("lines_left_out").with("count", self.left_out);
             self.left_out = 0;
             self.append_line(time, &record);
         }
     }
 
-    fn append_line(&mut self, time: u64, record: &Record) {
+    fn append_line(&mut self, time: u64, record: &LogRecord) {
         let mut line = Map::new();
         line.insert("time_ms".to_owned(), time.into());
         line.insert("instance".to_owned(), self.name.as_str().into());
--- a/src/instance/metrics.rs
+++ b/src/instance/metrics.rs
@@ -118,7 +118,7 @@
         let name = match order {
             Order::Start { .. } => "start",
             Order::Stop { .. } => "stop",
-            Order::Look { .. } => "look",
+            Order::Poll { .. } => "look",
         };
         if matches!(order, Order::Start { .. }) {
             self.start_latency.observe(seconds(took));
--- a/src/instance/peers.rs
+++ b/src/instance/peers.rs
@@ -47,8 +47,8 @@
         message::{
             Contact,
             Input,
+            LogRecord,
             Message,
-            Record,
             Sender, //
         },
         Identity, //
@@ -135,13 +135,13 @@
         let message = match postcard::to_stdvec(&message) {
             Ok(message) => message,
             Err(error) => {
-                let record = Record::new("messages_unwritten").with("error", error.to_string());
+                let record = LogRecord::new("messages_unwritten").with("error", error.to_string());
                 return hub.log(&record);
             }
         };
         if link.bytes + message.len() > MAX_QUEUED_BYTES {
             // The peer treats the batch as lost when it asks for it, or ends the session.
-            hub.log(&Record::new("message_dropped").with("member", to.name.as_str()));
+            hub.log(&LogRecord::new("message_dropped").with("member", to.name.as_str()));
         } else {
             link.bytes += message.len();
             link.messages.push_back(message);
@@ -325,11 +325,12 @@
             match timeout(DELIVERY_TIMEOUT, request.send().promise).await {
                 Ok(Ok(_)) => break,
                 Ok(Err(error)) => {
-                    let record = Record::new("messages_broken").with("member", name.as_str());
+                    let record = LogRecord::new("messages_broken").with("member", name.as_str());
                     hub.log(&record.with("error", error.extra));
                 }
                 Err(_) => {
-                    let record = Record::new("messages_unanswered").with("member", name.as_str());
+                    let record =
+                        LogRecord::new("messages_unanswered").with("member", name.as_str());
                     hub.log(&record);
                 }
             }
@@ -375,7 +376,7 @@
     ) -> Result<(), capnp::Error> {
         let bytes = params.get()?.get_envelope()?;
         let envelope: Envelope = postcard::from_bytes(bytes).map_err(|error| {
-            let record = Record::new("messages_malformed").with("error", error.to_string());
+            let record = LogRecord::new("messages_malformed").with("error", error.to_string());
             self.hub.log(&record);
             capnp::Error::failed(error.to_string())
         })?;
--- a/src/instance/rows.rs
+++ b/src/instance/rows.rs
@@ -17,7 +17,7 @@
 use crate::{
     dispatch::message::{
         Input,
-        Record,
+        LogRecord,
         StoreCallId,
         StoreReply,
         StoreRequest, //
@@ -116,12 +116,12 @@
         store::Outcome::Conflict => return StoreReply::Conflict,
         store::Outcome::Refused => return StoreReply::Refused,
         store::Outcome::Invalid => {
-            hub.log(&Record::new("store_rejected").with("status", u64::from(status)));
+            hub.log(&LogRecord::new("store_rejected").with("status", u64::from(status)));
             return StoreReply::Refused;
         }
     }
     let malformed = |fault: crate::platform::Fault| {
-        hub.log(&Record::new("store_malformed").with("fault", fault.to_string()));
+        hub.log(&LogRecord::new("store_malformed").with("fault", fault.to_string()));
         StoreReply::Silent
     };
     if let StoreRequest::Write { .. } = request {
--- a/src/platform/order.rs
+++ b/src/platform/order.rs
@@ -133,16 +133,16 @@
                 serde_json::to_vec(&body).unwrap_or_default(),
             )
         }
-        Order::Look {
+        Order::Poll {
             lease,
             token,
-            seen,
+            acknowledged,
             wait,
         } => {
             let body = HoldBody {
                 deadline_ms: *lease,
                 fencing_token: token.0,
-                last_seen: *seen,
+                last_seen: *acknowledged,
                 wait_ms: wait.as_millis(),
             };
             ("/api/hold", serde_json::to_vec(&body).unwrap_or_default())
@@ -153,7 +153,7 @@
 /// Decodes the reply to an order.
 pub fn decode(order: &Order, status: u16, body: &[u8]) -> Reply {
     let reply = match (status, order) {
-        (200, Order::Look { .. }) => decode_lists(body),
+        (200, Order::Poll { .. }) => decode_lists(body),
         (200, _) => parse_json(body).map(|body: ClockBody| Reply::Done {
             clock: body.clock_ms,
         }),
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -131,13 +131,13 @@
     assert_eq!(order::decode(&start, 409, refused), fenced);
     assert_eq!(order::decode(&start, 421, b""), Reply::Reborn);
     assert_eq!(order::decode(&start, 503, b""), Reply::Unwell);
-    let look = Order::Look {
+    let poll = Order::Poll {
         lease: None,
         token: Token(7),
-        seen: 57,
+        acknowledged: 57,
         wait: Span(0),
     };
-    let (_, body) = order::encode(&look);
+    let (_, body) = order::encode(&poll);
     let body: Value = serde_json::from_slice(&body).unwrap();
     assert_eq!(body, json!({"fencing_token": 7, "last_seen": 57}));
     let lists = json!({"clock_ms": 9, "born": 1_700_000_000_123_u64, "running": [["5c0e7a21d94b36f8.0.1.17", 2, "", 41, 3]],
@@ -147,7 +147,7 @@
         running,
         ended,
         ..
-    }) = order::decode(&look, 200, lists.to_string().as_bytes())
+    }) = order::decode(&poll, 200, lists.to_string().as_bytes())
     else {
         panic!("the lists are not read");
     };
@@ -156,7 +156,7 @@
     // No instance of this build starts a task of another occurrence.
     assert!(matches!(&ended[0].task, Name::Foreign(name) if name.contains(".3.")));
     assert_eq!(ended[0].end, End::Done);
-    let Reply::Malformed(fault) = order::decode(&look, 200, br#"{"clock_ms":"x"}"#) else {
+    let Reply::Malformed(fault) = order::decode(&poll, 200, br#"{"clock_ms":"x"}"#) else {
         panic!("a malformed answer is taken");
     };
     assert!(fault.contains("clock_ms"), "{fault}");
@@ -262,14 +262,14 @@
         let _ = record::parse_configuration(bytes);
         let _ = record::parse_endpoint("i-1", bytes);
         let _ = record::parse_instance("edge-1", bytes);
-        let look = Order::Look {
+        let poll = Order::Poll {
             lease: None,
             token: Token(7),
-            seen: 57,
+            acknowledged: 57,
             wait: Span(0),
         };
         for status in [200, 409, 421, 503] {
-            let _ = order::decode(&look, status, bytes);
+            let _ = order::decode(&poll, status, bytes);
         }
     }
     fn random(bytes: Vec<u8>) -> bool {
--- a/tests/dispatch/endpoint.rs
+++ b/tests/dispatch/endpoint.rs
@@ -235,7 +235,7 @@
     ) -> Reply {
         self.advance(now);
         let clock = self.clock(now);
-        let (Order::Start { token, .. } | Order::Stop { token, .. } | Order::Look { token, .. }) =
+        let (Order::Start { token, .. } | Order::Stop { token, .. } | Order::Poll { token, .. }) =
             order;
         let refuse = |refusal| Reply::Refused { clock, refusal };
         if *token < self.token {
@@ -298,20 +298,24 @@
                 }
                 Reply::Done { clock }
             }
-            Order::Look { lease, seen, .. } => {
+            Order::Poll {
+                lease,
+                acknowledged,
+                ..
+            } => {
                 self.extend(*lease, now);
-                self.acknowledge(*seen);
+                self.acknowledge(*acknowledged);
                 self.poll_reply(now)
             }
         }
     }
 
-    fn acknowledge(&mut self, seen: u64) {
-        for end in self.ended.iter().filter(|end| end.serial <= seen) {
+    fn acknowledge(&mut self, acknowledged: u64) {
+        for end in self.ended.iter().filter(|end| end.serial <= acknowledged) {
             let past = &mut self.history[self.indices[&end.serial]];
             past.forgotten_early = past.until.is_some_and(|until| until > self.lease_ended);
         }
-        self.ended.retain(|end| end.serial > seen);
+        self.ended.retain(|end| end.serial > acknowledged);
     }
 
     pub(crate) fn has_unacknowledged_ends(&self) -> bool {
--- a/tests/dispatch/world.rs
+++ b/tests/dispatch/world.rs
@@ -190,8 +190,8 @@
     store_denied: HashSet<usize>,
     /// Whether jobs are stored. They then have two steps, the second after the first.
     stores_jobs: bool,
-    /// Look orders that wait for an end of a run.
-    waiting_looks: Vec<WaitingLook>,
+    /// Polls that wait for an end of a run.
+    waiting_polls: Vec<WaitingPoll>,
     /// Whether endpoints that are down drop calls instead of refusing connections.
     crashes_silently: bool,
     /// Jobs whose first task crashes each endpoint that starts it.
@@ -204,8 +204,8 @@
     resized: HashMap<usize, (Time, u64)>,
 }
 
-/// A waiting look order: the endpoint, its deadline, the call of an instance, and the order.
-type WaitingLook = (usize, Time, (usize, u64, CallId, Time), Box<Order>);
+/// A waiting poll: the endpoint, its deadline, the call of an instance, and the order.
+type WaitingPoll = (usize, Time, (usize, u64, CallId, Time), Box<Order>);
 
 /// A job is on time if it takes no longer than this multiple of its work plus [`OBJECTIVE_TARGET`].
 const OBJECTIVE_STRETCH: f64 = 1.6;
@@ -248,7 +248,7 @@
             evacuation: Evacuation::default(),
             store_denied: HashSet::new(),
             stores_jobs: false,
-            waiting_looks: Vec::new(),
+            waiting_polls: Vec::new(),
             crashes_silently: false,
             crashing_jobs: HashSet::new(),
             crashes: HashMap::new(),
@@ -606,12 +606,12 @@
                 if self.muted.contains(&w) || late {
                     return;
                 }
-                if let (Order::Look { wait, .. }, Reply::Looked(lists)) = (&*order, &reply) {
+                if let (Order::Poll { wait, .. }, Reply::Looked(lists)) = (&*order, &reply) {
                     if lists.ended.is_empty() && wait.0 > 0 {
-                        // The look waits for an end of a run or its deadline.
-                        let look = (i, life, call, sent);
+                        // The poll waits for an end of a run or its deadline.
+                        let poll = (i, life, call, sent);
                         let until = now + *wait;
-                        return self.waiting_looks.push((w, until, look, order));
+                        return self.waiting_polls.push((w, until, poll, order));
                     }
                 }
                 self.schedule(
@@ -766,13 +766,13 @@
 
     fn answer_waiting_looks(&mut self) {
         let now = self.now;
-        for (w, until, (i, life, call, sent), order) in std::mem::take(&mut self.waiting_looks) {
+        for (w, until, (i, life, call, sent), order) in std::mem::take(&mut self.waiting_polls) {
             let worker = &mut self.workers[w];
             if !worker.up || worker.down {
                 continue;
             }
             if until > now && !worker.has_unacknowledged_ends() {
-                self.waiting_looks
+                self.waiting_polls
                     .push((w, until, (i, life, call, sent), order));
                 continue;
             }
--- a/tests/owner.rs
+++ b/tests/owner.rs
@@ -142,7 +142,7 @@
                 continue;
             };
             let reply = match &order {
-                Order::Look { .. } => Reply::Looked(Lists {
+                Order::Poll { .. } => Reply::Looked(Lists {
                     clock: now.0 / 1_000,
                     running: Vec::new(),
                     ended: Vec::new(),
@@ -169,9 +169,9 @@
 /// the job elsewhere, and the task would run twice.
 #[test]
 fn unknown_runs_are_stopped_first() {
-    let mut state = State::claim(listing(4), Token(5), START);
+    let mut state = State::new(listing(4), Token(5), START);
     let order = state.poll(CallId(1), START).unwrap();
-    assert!(matches!(order, Order::Look { lease: None, .. }));
+    assert!(matches!(order, Order::Poll { lease: None, .. }));
     let task = TaskId {
         job: JobId(1),
         step: 0,
@@ -193,7 +193,7 @@
     assert!(!state.accepts_tasks(now));
     let later = now + Span::millis(60);
     let order = state.poll(CallId(2), later).unwrap();
-    assert!(matches!(order, Order::Look { lease: None, .. }));
+    assert!(matches!(order, Order::Poll { lease: None, .. }));
     state.on_poll_answer(CallId(2), later, Lists::default(), later);
     assert_eq!(state.standing, Standing::Open);
     assert!(state.accepts_tasks(later));
@@ -203,7 +203,7 @@
 /// second.
 #[test]
 fn failed_polls_back_off() {
-    let mut state = State::claim(listing(4), Token(5), START);
+    let mut state = State::new(listing(4), Token(5), START);
     state.poll(CallId(1), START).unwrap();
     let lists = Lists {
         clock: 7,
@@ -264,7 +264,7 @@
     let poll = out.outputs.iter().find_map(|output| match output {
         Output::Call {
             call,
-            order: Order::Look { .. },
+            order: Order::Poll { .. },
             ..
         } => Some(*call),
         _ => None,
@@ -439,12 +439,15 @@
     let own = contact("own");
     let mut out = Effects::default();
     test.owner.take_room_updates(true, START);
-    assert!(!test.owner.has_space_changes(START));
+    assert!(!test.owner.has_spare_cpu_changes(START));
     test.owner.accept(&own, batch(1, vec![0]), START, &mut out);
     assert_eq!(starts(&test.process_due(START)), 1);
-    assert!(test.owner.has_space_changes(START), "it has filled up");
+    assert!(test.owner.has_spare_cpu_changes(START), "it has filled up");
     assert!(test.owner.take_room_updates(false, START)[0].free[0].cpu == 0);
-    assert!(!test.owner.has_space_changes(START), "the update is sent");
+    assert!(
+        !test.owner.has_spare_cpu_changes(START),
+        "the update is sent"
+    );
     let mut out = Effects::default();
     test.owner.cancel(&own, 1, START, &mut out);
     let stopped = START + Span::millis(1);
@@ -466,7 +469,10 @@
     }
     let later = stopped + Span::millis(130);
     test.process_due(later);
-    assert!(test.owner.has_space_changes(later), "it has space again");
+    assert!(
+        test.owner.has_spare_cpu_changes(later),
+        "it has space again"
+    );
 }
 
 /// A rack whose only queued task is too large for the free room must still ask for smaller tasks of other racks,
@@ -487,7 +493,7 @@
     test.owner.accept(&own, wide(1, 2_500), START, &mut out);
     test.owner.accept(&own, wide(2, 3_000), START, &mut out);
     assert_eq!(starts(&test.process_due(START)), 1);
-    let spacious = test.owner.racks_with_space(START);
+    let spacious = test.owner.racks_with_spare_cpu(START);
     assert_eq!(spacious.len(), 1, "it asks for what others have waiting");
     assert_eq!(spacious[0].1[0].cpu, 1_500);
 }
