--- a/src/dispatch/coordination.rs
+++ b/src/dispatch/coordination.rs
@@ -43,7 +43,8 @@
         self.entry.start_due_stored(now, out);
     }
 
-    /// Returns the current coordinator of each shard. One that holds the shard takes precedence over one that only claims it.
+    /// Returns the current coordinator of each shard. One that holds the shard takes precedence over one that only claims it, and
+    /// otherwise another member over this instance.
     pub(super) fn coordinators(&self) -> HashMap<ShardId, Contact> {
         let mut found: HashMap<ShardId, (bool, Contact)> = HashMap::new();
         let own = (self.coordinator.coordinations(), &self.identity.contact);
@@ -107,7 +108,7 @@
         self.apply_actions(actions, now, out);
     }
 
-    /// Returns the live members that announce a shard as theirs.
+    /// Returns the other live members that announce a shard as theirs.
     fn claimants(&self, shard: ShardId) -> impl Iterator<Item = Instance> + '_ {
         let claims_shard = move |member: &&Member| {
             let status = member.status.as_ref();
@@ -119,7 +120,7 @@
             .map(|m| m.contact.name.clone())
     }
 
-    /// Returns whether a live member announces a shard as its own.
+    /// Returns whether another live member announces a shard as its own.
     fn has_claimants(&self, shard: ShardId) -> bool {
         self.claimants(shard).next().is_some()
     }
--- a/src/dispatch/documents.rs
+++ b/src/dispatch/documents.rs
@@ -30,8 +30,8 @@
 /// The greatest size of a document, in bytes: sixty times that of a row in the store. Bounds the memory for pieces.
 const MAX_DOCUMENT_BYTES: u32 = 16 << 20;
 
-/// The number of peers in the own data centre that are asked before those in others: traffic between data centres
-/// is expensive, but the own one may be cut off as a whole.
+/// The number of attempts that prefer peers in the own data centre: traffic between data centres is expensive, but
+/// the own one may be cut off as a whole.
 const LOCAL_ATTEMPTS: u32 = 2;
 
 impl Document {
@@ -74,9 +74,9 @@
     partial: Option<Partial>,
 }
 
-/// The state of a fetch after a piece has arrived.
+/// What follows from a piece that has arrived.
 #[derive(Debug, PartialEq)]
-enum Progress {
+enum AppendResult {
     /// The piece was ignored.
     Ignored,
     /// The next piece begins at this offset, in bytes.
@@ -86,8 +86,10 @@
 }
 
 impl Transfer {
-    /// Chooses a peer to fetch from, unless a fetch from a live peer is in progress. `own` is the name of this
-    /// instance and its version of the document.
+    /// Chooses a peer to fetch from, once a newer version has been announced for longer than `delay`. Returns `None`
+    /// before that, and while a fetch from a live peer is in progress.
+    ///
+    /// `own` is the name of this instance and its version of the document.
     fn choose_peer(
         &mut self,
         own: (&Instance, u64),
@@ -141,12 +143,12 @@
     }
 
     /// Appends a piece if it comes from the chosen peer and continues the document.
-    fn append(&mut self, from: &Instance, piece: Piece, now: Time) -> Progress {
+    fn append(&mut self, from: &Instance, piece: Piece, now: Time) -> AppendResult {
         let Some(partial) = self.partial.as_mut().filter(|p| p.from == *from) else {
-            return Progress::Ignored;
+            return AppendResult::Ignored;
         };
         if piece.size > MAX_DOCUMENT_BYTES || piece.bytes.is_empty() {
-            return Progress::Ignored;
+            return AppendResult::Ignored;
         }
         if piece.offset == 0 {
             // The peer may have a newer version by now than the one that it announced.
@@ -156,16 +158,16 @@
         }
         let expected = (partial.version, partial.size, partial.bytes.len());
         if expected != (piece.version, piece.size, piece.offset as usize) {
-            return Progress::Ignored;
+            return AppendResult::Ignored;
         }
         partial.since = now;
         partial.bytes.extend_from_slice(&piece.bytes);
         if partial.bytes.len() < partial.size as usize {
-            return Progress::Next(partial.bytes.len() as u32);
+            return AppendResult::Next(partial.bytes.len() as u32);
         }
         let bytes = std::mem::take(&mut partial.bytes);
         *self = Self::default();
-        Progress::Complete(bytes)
+        AppendResult::Complete(bytes)
     }
 }
 
@@ -191,6 +193,7 @@
 }
 
 impl Documents {
+    /// Returns the transfers of a document.
     fn exchange(&mut self, document: Document) -> &mut Exchange {
         match document {
             Document::Configuration => &mut self.configuration,
@@ -209,7 +212,7 @@
         }
     }
 
-    /// Requests each document of which some peer has announced a newer version.
+    /// Begins the fetches that are due of documents of which a peer has announced a newer version.
     pub(super) fn fetch_documents(&mut self, now: Time, out: &mut Effects) {
         for document in [Document::Configuration, Document::Roster] {
             let version = self.document_version(document);
@@ -245,6 +248,7 @@
         self.members.live().filter_map(holder).collect()
     }
 
+    /// Requests the piece of a document at an offset, in bytes, from a peer.
     fn request_piece(&self, from: &Instance, document: Document, offset: u32, out: &mut Effects) {
         if let Some(member) = self.members.get(from) {
             let message = Message::Fetch { document, offset };
@@ -295,9 +299,9 @@
         let document = piece.document;
         let transfer = &mut self.documents.exchange(document).transfer;
         let bytes = match transfer.append(from, piece, now) {
-            Progress::Ignored => return,
-            Progress::Next(offset) => return self.request_piece(from, document, offset, out),
-            Progress::Complete(bytes) => bytes,
+            AppendResult::Ignored => return,
+            AppendResult::Next(offset) => return self.request_piece(from, document, offset, out),
+            AppendResult::Complete(bytes) => bytes,
         };
         let applied = match document {
             Document::Configuration => {
--- a/src/dispatch/durable.rs
+++ b/src/dispatch/durable.rs
@@ -1,7 +1,7 @@
 //! Stored jobs: the shards that this instance coordinates, and what it reads and writes for them.
 //!
 //! Only a shard's coordinator writes its rows. Each write is conditional on the version of the shard's lock row, which
-//! actions as a fencing token: the next coordinator changes it first. Accepted jobs and ends of runs are confirmed to
+//! acts as a fencing token: the next coordinator changes it first. Accepted jobs and ends of runs are confirmed to
 //! callers and endpoints only after they're written, so that nothing but the store has to survive a crash.
 
 pub mod record;
@@ -54,7 +54,7 @@
 const LOCK_CHECK_PERIOD: Span = Span::seconds(30);
 
 /// How long an instance doesn't claim a shard again after another one took it over. Without the delay, the two sides of a
-/// network partition would take it from each other by turns, and each takeover pauses its jobs for `TAKEOVER_DELAY`.
+/// network partition would take it from each other by turns, and each takeover pauses its jobs for [`shard::TAKEOVER_DELAY`].
 const RECLAIM_DELAY: Span = Span::seconds(8);
 
 /// An action that the dispatcher takes on a job or one of its tasks.
@@ -76,8 +76,10 @@
     /// The value that this process writes to lock rows. It identifies the instance and its incarnation.
     lock_owner: String,
     shards: BTreeMap<ShardId, Shard>,
+    /// The shard of each outstanding call to the store.
     calls: HashMap<StoreCallId, ShardId>,
-    serial: u64,
+    /// The number of the last call to the store.
+    last_call: u64,
     /// When a member was lost last, or a shard was found to have two coordinators.
     member_lost_at: Option<Time>,
     /// Shards that another instance took over, and when.
@@ -91,7 +93,7 @@
             lock_owner: lock_owner.into(),
             shards: BTreeMap::new(),
             calls: HashMap::new(),
-            serial: 0,
+            last_call: 0,
             member_lost_at: None,
             taken_over: BTreeMap::new(),
         }
@@ -136,14 +138,14 @@
         state.jobs.keys().copied().map(Action::Release).collect()
     }
 
-    /// Releases all shards. Called after the process was suspended for so long that others may have taken them over.
+    /// Releases all shards. Called after the process was paused for so long that others may have taken them over.
     pub fn release_all(&mut self, out: &mut Effects) -> Vec<Action> {
         let shards: Vec<ShardId> = self.shards.keys().copied().collect();
-        let release = |shard| self.release(shard, "the process stood still", out);
+        let release = |shard| self.release(shard, "the process was paused", out);
         shards.into_iter().flat_map(release).collect()
     }
 
-    /// Requires locks to be confirmed for `LOCK_CHECK_PERIOD`.
+    /// Requires locks to be confirmed for [`LOCK_CHECK_PERIOD`] from now on.
     ///
     /// Called when a member was lost or coordinates the same shard: it may be alive and take shards over.
     pub fn require_lock_checks(&mut self, now: Time) {
@@ -175,7 +177,7 @@
             .is_some_and(|at| now.since(at) < LOCK_CHECK_PERIOD)
     }
 
-    /// Answers a request about a stored job, or starts to carry it out and answers later.
+    /// Answers a request about a stored job, or starts to carry it out and answers later. Returns the action that follows.
     pub fn on_request(
         &mut self,
         from: &Contact,
@@ -230,7 +232,7 @@
         shard.on_run_end(from, end, batch, out)
     }
 
-    /// Marks a job as failed because one of its tasks crashes endpoints.
+    /// Marks a job as failed because one of its tasks crashes endpoints, and returns the action that follows.
     pub fn fail_job(&mut self, job: JobId) -> Option<Action> {
         self.shards.get_mut(&job.shard())?.fail(job)
     }
@@ -254,8 +256,8 @@
             let Some(request) = shard.next_request(*id, &self.lock_owner, check_locks, now) else {
                 continue;
             };
-            self.serial += 1;
-            let call = StoreCallId(self.serial);
+            self.last_call += 1;
+            let call = StoreCallId(self.last_call);
             shard.call_sent = Some(now);
             self.calls.insert(call, *id);
             out.outputs.push(Output::Store { call, request });
@@ -263,7 +265,7 @@
         actions
     }
 
-    /// Handles a reply of the store.
+    /// Handles a reply of the store, and returns the actions that follow.
     pub fn on_store_reply(
         &mut self,
         call: StoreCallId,
@@ -281,7 +283,7 @@
             return Vec::new();
         };
         let mut actions = Vec::new();
-        let keeps = match shard.phase {
+        let kept = match shard.phase {
             Phase::FindingLock | Phase::CheckingLock | Phase::Empty => {
                 shard.on_lock_row(reply, &self.lock_owner, now, out)
             }
@@ -289,7 +291,7 @@
             Phase::Loading => shard.on_rows(id, reply, now, &mut actions, out),
             Phase::Held => shard.on_held_reply(reply, sent, now, &mut actions, out),
         };
-        if !keeps {
+        if !kept {
             self.taken_over.insert(id, now);
             actions.extend(self.release(id, "another coordinates it", out));
         }
--- a/src/dispatch/durable/shard.rs
+++ b/src/dispatch/durable/shard.rs
@@ -139,6 +139,7 @@
     /// The ends of runs that were reported, and whether the reply called each late. A repeated report gets the same reply:
     /// otherwise its endpoint would forget the end too soon.
     pub(super) reported_ends: HashMap<(Endpoint, Life, u64), bool>,
+    /// Whether its end is stored and it is listed in [`Shard::ended_jobs`].
     pub(super) ended: bool,
 }
 
@@ -151,7 +152,7 @@
     pub(super) cancel_requests: Vec<(Contact, u64)>,
     pub(super) state_requests: Vec<(Contact, u64)>,
     pub(super) end_replies: Vec<(Contact, Message)>,
-    /// Whether the job's last row is removed.
+    /// Whether the job's last row, its progress, is removed: its state needn't be kept any longer.
     pub(super) delete: bool,
 }
 
@@ -162,6 +163,7 @@
 }
 
 impl Shard {
+    /// Returns a shard of which nothing has been read.
     pub(super) fn new(now: Time) -> Self {
         Self {
             phase: Phase::FindingLock,
@@ -192,7 +194,7 @@
         }
     }
 
-    /// Accepts a job: answers when it's stored, or queues it until the shard is held.
+    /// Accepts a job and answers once it's stored. Before the shard is held, the job waits for that.
     pub(super) fn accept(
         &mut self,
         from: &Contact,
@@ -269,7 +271,7 @@
         open.then_some(Action::Release(id))
     }
 
-    /// Marks a job as failed for another reason than failed runs.
+    /// Marks a job as failed for another reason than failed runs, and returns the action that follows.
     pub(super) fn fail(&mut self, id: JobId) -> Option<Action> {
         let job = self.jobs.get_mut(&id)?;
         if job.progress.state != State::Open {
@@ -366,19 +368,19 @@
         }
         let key = (end.endpoint.clone(), end.life, end.serial);
         let previous_late = job.reported_ends.get(&key).copied();
-        let first = previous_late.is_none();
+        let first_report = previous_late.is_none();
         let record = job.record.as_ref();
-        let counts = first && record.is_some_and(|r| job.progress.record_end(r, end));
+        let recorded = first_report && record.is_some_and(|r| job.progress.record_end(r, end));
         // The task was done already, so another run of it was started, unless the job failed or was cancelled.
         let run_elsewhere = matches!(job.progress.state, State::Open | State::Completed);
-        let duplicate = first && !counts && end.done && run_elsewhere;
+        let duplicate = first_report && !recorded && end.done && run_elsewhere;
         // If the batch isn't outstanding here, the task may have been started again, also by a former coordinator, whose
         // batches aren't stored. The endpoint then keeps the end until its lease has expired.
         let late = previous_late.unwrap_or(batch.is_none() || duplicate);
         job.reported_ends.insert(key, late);
         let change = self.changes.entry(end.task.job).or_default();
         change.end_replies.push((from.clone(), noted_reply(late)));
-        match (counts, job.progress.state, end.done) {
+        match (recorded, job.progress.state, end.done) {
             (false, ..) => None,
             (_, State::Failed | State::Cancelled, _) => Some(Action::Release(end.task.job)),
             (_, _, true) => Some(Action::TaskDone(end.task)),
@@ -503,8 +505,8 @@
         // The senders of these requests repeat them.
         self.unconfirmed.clear();
         let is_own = value == lock_owner.as_bytes();
-        let contested = self.phase == Phase::CheckingLock && version != self.lock_version;
-        if contested && !is_own {
+        let lock_changed = self.phase == Phase::CheckingLock && version != self.lock_version;
+        if lock_changed && !is_own {
             return false;
         }
         self.lock_version = version;
@@ -681,10 +683,10 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        let first = job.stored_state.is_none();
+        let newly_stored = job.stored_state.is_none();
         let ended = change.state != State::Open;
         job.stored_state = Some(change.state);
-        if first {
+        if newly_stored {
             let entry = LogRecord::routine("job_stored").job(id);
             out.outputs.push(Output::Log(entry));
             if !ended {
--- a/src/dispatch/requests.rs
+++ b/src/dispatch/requests.rs
@@ -68,6 +68,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Requests {
     open: BTreeMap<u64, Request>,
+    /// The serial number of the last request.
     last_serial: u64,
 }
 
@@ -90,7 +91,7 @@
         ticket: Ticket,
         submission: Submission,
         route: &Route,
-        wait: Option<Span>,
+        time_limit: Option<Span>,
         now: Time,
         out: &mut Effects,
     ) {
@@ -107,7 +108,7 @@
             objective: route.objective(submission.critical_path()),
             submission,
         };
-        let limit = wait.unwrap_or(route.timeout);
+        let limit = time_limit.unwrap_or(route.timeout);
         let limit = Span((limit.0 as f64 * TIME_LIMIT_SHARE) as u64).min(MAX_ACCEPT_TIMEOUT);
         self.begin_request(ticket, job, Question::Accept(Box::new(record)), limit, now);
         self.send_due_requests(now, out);
@@ -145,8 +146,11 @@
         let mut expired = Vec::new();
         for (serial, request) in &mut self.requests.open {
             // A job that no coordinator can have accepted is refused early.
-            let idle = request.unconfirmed == 0 && now.since(request.began_at) >= REFUSAL_TIMEOUT;
-            if now >= request.deadline || idle && matches!(request.question, Question::Accept(_)) {
+            let refusable =
+                request.unconfirmed == 0 && now.since(request.began_at) >= REFUSAL_TIMEOUT;
+            if now >= request.deadline
+                || refusable && matches!(request.question, Question::Accept(_))
+            {
                 expired.push(*serial);
                 continue;
             }
@@ -227,14 +231,16 @@
             let message = Message::Verdict { serial, verdict };
             return out.messages.push((from.clone(), message));
         }
-        let act = self
+        let action = self
             .coordinator
             .on_request(from, serial, job, question, now, out);
-        if let Some(act) = act {
-            self.apply_actions(vec![act], now, out);
+        if let Some(action) = action {
+            self.apply_actions(vec![action], now, out);
         }
     }
 
+    /// Returns the state of a stored job as its caller sees it, or `None` if the job isn't stored here or a change of
+    /// its state isn't yet.
     fn job_state(&self, job: JobId) -> Option<JobState> {
         let state = self.coordinator.stored_state(job)?.into();
         let queued = state == JobState::Running && !self.entry.has_started(job);
--- a/src/dispatch/route.rs
+++ b/src/dispatch/route.rs
@@ -22,7 +22,8 @@
     pub limits: Limits,
 }
 
-/// A queue: the requests that submit jobs to it, and how these jobs run.
+/// A queue as callers know it: the requests that submit jobs to it, and how these jobs run. The tasks that wait at a rack
+/// are in [`queue::Queue`](super::queue::Queue).
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// Its name.
@@ -65,7 +66,7 @@
     pub max_header_bytes: usize,
     /// The greatest size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// How long a request's headers may take to arrive; its body is bounded alike.
+    /// How long a request's headers may take to arrive, and how long its body may.
     pub header_timeout: Span,
     /// How long an idle connection stays open.
     pub idle_timeout: Span,
