--- a/src/dispatch/endpoint.rs
+++ b/src/dispatch/endpoint.rs
@@ -78,7 +78,7 @@
 /// How long an endpoint that refuses a start as unwell gets no new task.
 const UNWELL_PAUSE: Span = Span::millis(500);
 
-/// How long an endpoint that reports no room gets no new task. The next poll tells what runs there.
+/// How long an endpoint that reports no room gets no new task. The next poll lists what runs there.
 const FULL_PAUSE: Span = Span::millis(30);
 
 /// How many runs must fail in a row, of different jobs, before the endpoint is ejected. About one in five hundred
@@ -130,24 +130,24 @@
         /// The task's batch, if the owner knows it.
         batch: Option<Handle>,
     },
-    /// A run makes no progress.
+    /// A run makes no progress within its stall timeout.
     Stalled(TaskId, Handle),
     /// A run that was no longer wanted has ended.
     Discarded(TaskId),
     /// Another owner has a higher fencing token.
     Fenced,
-    /// Another endpoint answers at the address.
+    /// Another endpoint, or this one under a new name, answers at the address.
     Replaced,
 }
 
 /// Whether an endpoint can be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// Newly claimed: it may have runs that the owner doesn't know.
+    /// Newly claimed or restarted, or it lists runs that the owner doesn't know: it gets no tasks yet.
     Claimed,
-    /// Accepts tasks.
+    /// It answers, and the owner knows all of its runs. [`State::accepts_tasks`] says whether it gets tasks.
     Open,
-    /// Doesn't answer.
+    /// It doesn't answer polls.
     Silent,
 }
 
@@ -166,7 +166,7 @@
     life: Life,
     /// When that life became known. Calls sent before may have reached a former life.
     life_since: Time,
-    /// Runs that expired while it is silent.
+    /// Runs that expired while it is silent: whether it crashed under them isn't known yet.
     unconfirmed_crashes: Vec<Crash>,
     /// The owner's fencing token.
     pub token: Token,
@@ -195,7 +195,8 @@
     last_end: u64,
     /// Ends that the endpoint must keep until they are stored.
     unstored_ends: BTreeSet<u64>,
-    /// Ends among these that it may forget once its lease has expired.
+    /// Late ends among these: their tasks were placed again before the ends were heard. The endpoint may forget them
+    /// once its lease has expired.
     late_ends: BTreeSet<u64>,
     acknowledged_end: u64,
     /// Whether a poll is needed although no run is known.
@@ -278,7 +279,7 @@
         }
     }
 
-    /// Adopts a run of the former owner.
+    /// Adds a run that the former owner started.
     pub fn adopt(&mut self, task: TaskId, mut execution: Execution, now: Time) {
         execution.phase = Phase::Running;
         // Its start may still be in transit. The run counts as present until the start's lease would have
@@ -355,8 +356,8 @@
     /// Returns a lease that ends `span` from now on the endpoint's clock, and records its expiry.
     fn grant_lease(&mut self, span: Span, now: Time) -> Option<u64> {
         let reading = self.reading?;
-        let until = reading.latest(now) + span.as_millis();
-        self.leases_end = self.leases_end.max(reading.surely_passed_at(until));
+        let until = reading.latest_clock(now) + span.as_millis();
+        self.leases_end = self.leases_end.max(reading.expiry(until));
         Some(until)
     }
 
@@ -368,9 +369,9 @@
         if self.pending_poll.is_some() || now < self.next_poll {
             return None;
         }
-        self.forget_late(now);
+        self.release_late_ends(now);
         let idle = self.executions.is_empty() && self.standing == Standing::Open;
-        let acknowledged = self.acknowledged_end >= self.forgettable();
+        let acknowledged = self.acknowledged_end >= self.last_forgettable_end();
         let reading_recent = self
             .reading
             .is_some_and(|r| now.since(r.received) < POLL_IDLE);
@@ -396,7 +397,7 @@
         };
         self.poll_wanted = false;
         self.pending_poll = Some(call);
-        self.acknowledged_end = self.forgettable();
+        self.acknowledged_end = self.last_forgettable_end();
         Some(Order::Poll {
             lease,
             token: self.token,
@@ -406,7 +407,7 @@
     }
 
     /// Returns the serial number up to which the endpoint may forget ends.
-    fn forgettable(&self) -> u64 {
+    fn last_forgettable_end(&self) -> u64 {
         self.unstored_ends
             .first()
             .map_or(self.last_end, |held| held - 1)
@@ -419,7 +420,7 @@
         }
     }
 
-    /// Lets the endpoint forget an end after its lease has expired. It gets no new task until then, so that the
+    /// Lets the endpoint forget a late end after its lease has expired. It gets no new task until then, so that the
     /// lease isn't extended.
     pub fn on_late_end_stored(&mut self, life: Life, serial: u64) {
         if life == self.life && self.unstored_ends.contains(&serial) {
@@ -428,7 +429,7 @@
     }
 
     /// Releases the late ends once the lease has expired.
-    fn forget_late(&mut self, now: Time) {
+    fn release_late_ends(&mut self, now: Time) {
         if !self.late_ends.is_empty() && now > self.leases_end {
             for serial in std::mem::take(&mut self.late_ends) {
                 self.unstored_ends.remove(&serial);
@@ -508,12 +509,12 @@
         self.remove_unlisted(&listed, sent, &mut events);
         let to_stop: Vec<_> = unknown.iter().cloned().collect();
         self.unknown_runs = unknown;
-        let clear = self.unknown_runs.is_empty();
-        self.standing = match clear {
+        let all_known = self.unknown_runs.is_empty();
+        self.standing = match all_known {
             true => Standing::Open,
             false => Standing::Claimed,
         };
-        self.next_poll = match (clear, self.unstored_ends.is_empty()) {
+        self.next_poll = match (all_known, self.unstored_ends.is_empty()) {
             (true, true) => now,
             // The list has an end, so that the endpoint answers without waiting.
             (true, false) => now + POLL_UNSTORED,
@@ -554,11 +555,12 @@
             .is_some_and(|execution| execution.run == run)
     }
 
+    /// Handles an end that a poll lists for the first time.
     fn process_end(&mut self, end: &Ended, events: &mut Vec<Event>, now: Time) {
         let Name::Known(task) = &end.task else {
             return;
         };
-        let ended = matches!(end.end, End::Done | End::Failed);
+        let has_result = matches!(end.end, End::Done | End::Failed);
         let event = |batch| Event::Ended {
             task: *task,
             run: end.run,
@@ -568,7 +570,7 @@
         };
         if !self.has_run(task, end.run) {
             // Another instance started it and died before it learned of this end.
-            if ended {
+            if has_result {
                 self.unstored_ends.insert(end.serial);
                 events.push(event(None));
             }
@@ -582,7 +584,7 @@
             End::Failed => self.record_failure(task.job.0, now),
             _ => {}
         }
-        if execution.stored && ended {
+        if execution.stored && has_result {
             self.unstored_ends.insert(end.serial);
             events.push(event(Some(execution.batch)));
             return;
@@ -598,8 +600,8 @@
     /// Removes runs that were confirmed before the poll was sent and that its answer doesn't list.
     fn remove_unlisted(&mut self, listed: &HashSet<TaskId>, sent: Time, events: &mut Vec<Event>) {
         let unlisted = |(task, execution): (&TaskId, &Execution)| {
-            let settled = execution.answered_at.is_some_and(|at| at < sent);
-            (settled && !listed.contains(task)).then_some(*task)
+            let confirmed = execution.answered_at.is_some_and(|at| at < sent);
+            (confirmed && !listed.contains(task)).then_some(*task)
         };
         let unlisted: Vec<TaskId> = self.executions.iter().filter_map(unlisted).collect();
         for task in unlisted {
@@ -701,9 +703,9 @@
                 Standing::Open if self.backoff.is_first() => now,
                 _ => now + self.backoff.delay(&self.listing.id),
             };
-            let heard = now.since(self.last_answer) < ANSWER_GRACE;
+            let answered = now.since(self.last_answer) < ANSWER_GRACE;
             self.standing = match self.standing {
-                Standing::Open if !heard => Standing::Silent,
+                Standing::Open if !answered => Standing::Silent,
                 other => other,
             };
         }
@@ -717,6 +719,7 @@
         }
     }
 
+    /// Removes all runs as ended without a result.
     fn remove_all(&mut self, events: &mut Vec<Event>) {
         let tasks: Vec<TaskId> = self.executions.keys().copied().collect();
         for task in tasks {
@@ -789,7 +792,7 @@
             return Reaction::Yield;
         }
         if execution.duplicate_possible && refusal == Refusal::Old {
-            // An earlier copy of the start was accepted, and its run may have ended. The next poll tells.
+            // An earlier copy of the start was accepted, and its run may have ended. The next poll lists its state.
             execution.phase = Phase::Running;
             execution.answered_at = Some(now);
             self.next_poll = now;
--- a/src/dispatch/endpoint/clock.rs
+++ b/src/dispatch/endpoint/clock.rs
@@ -17,13 +17,14 @@
 
 impl Reading {
     /// Returns the latest time that the clock may show now, in milliseconds.
-    pub(super) fn latest(&self, now: Time) -> u64 {
+    pub(super) fn latest_clock(&self, now: Time) -> u64 {
         self.clock + now.since(self.sent).as_millis()
     }
 
-    /// Returns when the clock has passed `at` (in milliseconds) for certain.
-    pub(super) fn surely_passed_at(&self, at: u64) -> Time {
-        let ahead = at.saturating_sub(self.clock) as f64 * 1_000.0 / (1.0 - MAX_CLOCK_LAG);
-        self.received + Span(ahead as u64 + 1_000)
+    /// Returns when a deadline on the clock, in milliseconds, has passed for certain, even if the clock is slow.
+    pub(super) fn expiry(&self, deadline: u64) -> Time {
+        let remaining =
+            deadline.saturating_sub(self.clock) as f64 * 1_000.0 / (1.0 - MAX_CLOCK_LAG);
+        self.received + Span(remaining as u64 + 1_000)
     }
 }
--- a/src/dispatch/endpoint/life.rs
+++ b/src/dispatch/endpoint/life.rs
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Returns the tasks here whose neighbours of other jobs are all cleared.
+    /// Returns the suspected tasks here beside which no run of another job can be to blame for a crash.
     ///
     /// Nothing starts beside a strong suspect, so other runs beside it have survived longer. A weak suspect may
     /// be joined by a task that crashes its first endpoint, so no other job may run beside it. A run that may not
@@ -128,6 +128,7 @@
         sole.map(|(task, _)| *task).collect()
     }
 
+    /// Reports the crashes that were in doubt: the endpoint has restarted or was replaced.
     fn confirm_crashes(&mut self) -> Vec<Event> {
         self.unconfirmed_crashes
             .drain(..)
@@ -159,12 +160,12 @@
     /// Returns the number of runs here whose tasks are suspects.
     pub fn count_suspects(&self) -> usize {
         let executions = self.executions.values();
-        let doubtful = executions.filter(|execution| execution.suspicion.is_present());
-        doubtful.count()
+        let suspected = executions.filter(|execution| execution.suspicion.is_present());
+        suspected.count()
     }
 
-    /// Returns whether a wanted run here belongs to a strong suspect. It runs alone, as its neighbours would be
-    /// lost with it and become suspects too.
+    /// Returns whether a wanted run here belongs to a strong suspect. Nothing starts beside
+    /// it, as such runs would be lost with it and become suspects too.
     pub fn has_strong_suspect(&self) -> bool {
         let mut executions = self.executions.values();
         executions.any(|run| run.suspicion.is_strong() && run.fate == Fate::Restart)
--- a/src/dispatch/entry.rs
+++ b/src/dispatch/entry.rs
@@ -43,7 +43,7 @@
 use crate::prelude::*;
 
 /// How long an instance may still have runs of a batch after it was lost, or was found without the batch. It
-/// starts nothing once it hasn't heard the entry for 600 ms, and its runs are stopped or their leases lapse
+/// starts nothing once it hasn't heard the entry for 600 ms, and its runs are stopped or their leases expire
 /// within another second; the rest allows for the endpoints' clocks. Tasks placed earlier could run twice.
 const LOST_BATCH_DELAY: Span = Span::millis(1_700);
 
@@ -54,12 +54,12 @@
 /// Age after which an unfinished batch is audited at its owner: a message may have been lost with a session.
 const BATCH_AUDIT_AGE: Span = Span::millis(700);
 
-/// Bounds of the retry delay for callers that are refused for lack of capacity. Between them it follows the estimated
-/// wait; a stagger comes on top, see [`Entry::refuse`].
+/// Bounds of the retry delay for refused callers. Between them it follows the estimated duration of the job; a stagger
+/// comes on top, see [`Entry::refuse`].
 const RETRY_DELAY_RANGE: (Span, Span) = (Span::seconds(1), Span::seconds(4));
 
 /// The answer to a job that was given up after it may have started. The retry delay covers the stop of its runs,
-/// in the worst case until their leases have lapsed.
+/// in the worst case until their leases have expired.
 const GIVEN_UP: Answer = Answer::GivenUp {
     again: RETRY_DELAY_RANGE.0,
 };
@@ -71,12 +71,14 @@
 /// later is refused. Otherwise the backlog of a short overload would make all later jobs late.
 pub(super) const USEFUL_FACTOR: f64 = 3.0;
 
-/// Share of the estimated wait and work that must fit within a caller's time limit for its job to be accepted.
+/// Share of the estimated duration that must fit within a job's time limit: with less time the job is refused, or given
+/// up later. Estimates may be too high.
 const ESTIMATE_SHARE: f64 = 0.8;
 
 /// A job in progress.
 #[derive(Debug)]
 struct Job {
+    /// The callers that wait for its answer.
     tickets: Vec<Ticket>,
     submission: Rc<Submission>,
     service: String,
@@ -89,7 +91,7 @@
     useful_until: Time,
     /// When its callers stop waiting.
     deadline: Time,
-    steps: Vec<Progress>,
+    steps: Vec<StepState>,
     batches: BTreeMap<u64, SentBatch>,
     /// Tasks that are in no batch.
     unplaced: Vec<UnplacedTasks>,
@@ -105,12 +107,13 @@
     route: String,
 }
 
-/// The progress of a step.
+/// The state of a step.
 #[derive(Debug, Clone)]
-struct Progress {
+struct StepState {
     /// The tasks that aren't done. With a count instead, a task that two batches report would count twice, and
     /// the job could be answered as completed too early.
     remaining: BTreeSet<u32>,
+    /// Whether its tasks have been placed, or wait in [`Job::unplaced`].
     placed: bool,
 }
 
@@ -313,13 +316,13 @@
         }
     }
 
-    /// Accepts a job and places its first steps, or refuses it at once. `wait` is the caller's own time limit.
+    /// Accepts a job and places its first steps, or refuses it at once. `time_limit` is the caller's own.
     pub fn submit(
         &mut self,
         ticket: Ticket,
         submission: Submission,
         route: &Route,
-        wait: Option<Span>,
+        time_limit: Option<Span>,
         now: Time,
         out: &mut Effects,
     ) {
@@ -330,13 +333,13 @@
             self.by_ticket.insert(ticket, id);
             return;
         }
-        let chain = submission.critical_path();
+        let critical_path = submission.critical_path();
         // A caller's own limit may exceed the queue's timeout, to allow for more work.
-        let limit = wait.unwrap_or(route.timeout);
+        let limit = time_limit.unwrap_or(route.timeout);
         if let Some(reason) = unsupported_feature(&submission, route) {
             return self.refuse(ticket, id, &reason, Span(0), out);
         }
-        let objective = route.objective(chain);
+        let objective = route.objective(critical_path);
         let useful = Span((objective.0 as f64 * USEFUL_FACTOR) as u64);
         let needed = self.estimate_duration(&submission, &route.service);
         let Some(needed) = needed else {
@@ -348,11 +351,11 @@
                 out,
             );
         };
-        let must_wait = needed > chain;
+        let must_wait = needed > critical_path;
         if needed.0 as f64 * ESTIMATE_SHARE > limit.0 as f64 || must_wait && needed > useful {
             return self.refuse(ticket, id, "it would end too late", needed, out);
         }
-        let steps = submission.steps.iter().map(|step| Progress {
+        let steps = submission.steps.iter().map(|step| StepState {
             remaining: (0..step.count).collect(),
             placed: false,
         });
@@ -386,19 +389,22 @@
         self.advance(id, now, out);
     }
 
-    /// Refuses a job of which nothing was started. Its caller may retry after about `wait`, the estimated wait.
+    /// Refuses a job of which nothing was started. Its caller may retry after about `retry_after`, within
+    /// [`RETRY_DELAY_RANGE`].
     pub(super) fn refuse(
         &mut self,
         ticket: Ticket,
         id: JobId,
         reason: &str,
-        wait: Span,
+        retry_after: Span,
         out: &mut Effects,
     ) {
         // Staggers the retries of callers that are refused at the same moment.
         self.refusals = self.refusals.wrapping_add(1);
         let spread = u64::from(self.refusals % 4) * 500_000;
-        let again = wait.max(RETRY_DELAY_RANGE.0).min(RETRY_DELAY_RANGE.1);
+        let again = retry_after
+            .max(RETRY_DELAY_RANGE.0)
+            .min(RETRY_DELAY_RANGE.1);
         let again = Span(again.0 + spread);
         let record = LogRecord::new("job_refused").job(id).with("reason", reason);
         out.outputs
@@ -573,10 +579,11 @@
             if job.given_up {
                 continue;
             }
-            let chain = job.submission.critical_path().0 as f64 * ESTIMATE_SHARE;
-            let hopeless =
-                |unplaced: &UnplacedTasks| unplaced.not_before + Span(chain as u64) > job.deadline;
-            if job.unplaced.iter().any(hopeless) {
+            let duration = job.submission.critical_path().0 as f64 * ESTIMATE_SHARE;
+            let misses_deadline = |unplaced: &UnplacedTasks| {
+                unplaced.not_before + Span(duration as u64) > job.deadline
+            };
+            if job.unplaced.iter().any(misses_deadline) {
                 overdue.push(*id);
                 continue;
             }
@@ -588,7 +595,7 @@
             ready.extend(due.into_iter().map(|unplaced| (*id, unplaced)));
         }
         for id in overdue {
-            self.give_up(id, "its time has passed or can't be met", now, out);
+            self.give_up(id, "its deadline has passed or can't be met", now, out);
             // At the deadline the answer no longer waits for the owners' replies.
             let expired = self.jobs.get(&id).is_some_and(|job| now >= job.deadline);
             if expired {
@@ -602,7 +609,7 @@
                 preferred_rack,
                 ..
             } = unplaced;
-            match self.is_stranded(id, step) {
+            match self.is_unrunnable(id, step) {
                 true => self.give_up(id, "no endpoint can run it", now, out),
                 false => self.place(id, step, tasks, preferred_rack, now, out),
             }
@@ -611,7 +618,7 @@
 
     /// Returns whether a caller waits for a step that no endpoint can run any more, since data centres were
     /// evacuated or endpoints were removed. Without this check its job would be kept until the deadline.
-    fn is_stranded(&self, id: JobId, step: u32) -> bool {
+    fn is_unrunnable(&self, id: JobId, step: u32) -> bool {
         let Some(job) = self.jobs.get(&id).filter(|job| !job.stored) else {
             return false;
         };
--- a/src/dispatch/entry/batches.rs
+++ b/src/dispatch/entry/batches.rs
@@ -79,7 +79,7 @@
                 self.give_up(id, reason, now, out);
                 return stored.then_some(id);
             }
-            Outcome::Hopeless => self.give_up(id, "its time can't be met", now, out),
+            Outcome::Hopeless => self.give_up(id, "it can't end in time", now, out),
             Outcome::Dropped => self.give_up(id, "given up", now, out),
         }
         None
@@ -132,7 +132,7 @@
             return self.give_up(id, "given up", now, out);
         }
         // A rack that changed its owner may still have runs, until the next owner stops them. In the other cases
-        // the delay lets the owner's next heartbeat arrive, or the tasks could bounce back and forth.
+        // the delay lets the owner's next heartbeat arrive, or the tasks could go to the same owner over and over.
         let (not_before, preferred_rack) = match (cause, started) {
             (Cause::Lost, true) => (now + LOST_BATCH_DELAY, None),
             (Cause::Lost, false) | (Cause::Unfit, _) => (now + RETURNED_TASK_DELAY, None),
--- a/src/dispatch/entry/ending.rs
+++ b/src/dispatch/entry/ending.rs
@@ -81,9 +81,9 @@
         let record = LogRecord::routine("job_answered").job(id);
         let record = record.with("answer", format!("{answer:?}"));
         let record = record.with("age_ms", now.since(job.arrived_at));
-        let on_time = if now <= job.due_at { "on time" } else { "late" };
+        let objective = if now <= job.due_at { "on time" } else { "late" };
         out.outputs
-            .push(Output::Log(record.with("objective", on_time)));
+            .push(Output::Log(record.with("objective", objective)));
         for ticket in job.tickets {
             self.by_ticket.remove(&ticket);
             out.outputs.push(Output::Answer(ticket, answer));
--- a/src/dispatch/entry/rack.rs
+++ b/src/dispatch/entry/rack.rs
@@ -88,10 +88,10 @@
     let fits = |rack: &Rack| usable(rack) && rack.service == service && rack.can_run(step);
     let holds_data = |rack: &Rack| step.affinity.as_ref() == Some(&rack.name);
     let preferred = preferred_rack.filter(|id| racks.get(id).is_some_and(&fits));
-    let local = racks
+    let with_data = racks
         .iter()
         .find(|(_, rack)| holds_data(rack) && fits(rack));
-    let chosen = preferred.or(local.map(|(id, _)| *id)).or_else(|| {
+    let best = preferred.or(with_data.map(|(id, _)| *id)).or_else(|| {
         let fit = racks.iter().filter(|(_, rack)| fits(rack));
         let key = |id: &RackId, rack: &Rack| {
             let fitting = rack.count_fitting(&step.need);
@@ -110,10 +110,10 @@
         let best = fit.min_by_key(|(id, rack)| key(id, rack));
         best.map(|(id, _)| *id)
     })?;
-    if let Some(rack) = racks.get_mut(&chosen) {
+    if let Some(rack) = racks.get_mut(&best) {
         rack.reserve(step);
     }
-    Some(chosen)
+    Some(best)
 }
 
 impl Rack {
@@ -124,6 +124,7 @@
         !self.evacuated && labelled && self.endpoint_sizes.iter().any(|size| size.fits(&step.need))
     }
 
+    /// Returns whether an instance owns the rack.
     fn is_owned_by(&self, instance: &Instance) -> bool {
         self.owner.as_ref().is_some_and(|o| o.name == *instance)
     }
--- a/src/dispatch/entry/stored.rs
+++ b/src/dispatch/entry/stored.rs
@@ -9,8 +9,8 @@
 use super::{
     super::{
         durable::record::{
-            Progress as Stored, //
-            StepProgress,
+            Progress,
+            StepProgress, //
         },
         id::{
             JobId,
@@ -21,8 +21,8 @@
     },
     Entry,
     Job,
-    Progress,
     SentBatch,
+    StepState,
     UnplacedTasks,
     UNLIMITED, //
 };
@@ -34,12 +34,12 @@
         &mut self,
         id: JobId,
         accepted: &AcceptedJob,
-        stored: &Stored,
+        progress: &Progress,
         at: Time,
         now: Time,
     ) {
-        let steps = accepted.submission.steps.iter().zip(&stored.steps);
-        let steps = steps.map(|(step, ends)| Progress {
+        let steps = accepted.submission.steps.iter().zip(&progress.steps);
+        let steps = steps.map(|(step, ends)| StepState {
             remaining: (0..step.count).filter(|i| !ends.done.contains(i)).collect(),
             placed: false,
         });
@@ -57,7 +57,7 @@
             submission: Rc::new(accepted.submission.clone()),
             batches: BTreeMap::new(),
             unplaced: Vec::new(),
-            started: stored.steps.iter().any(has_started),
+            started: progress.steps.iter().any(has_started),
             given_up: false,
             failed: false,
             stored: true,
@@ -180,6 +180,7 @@
 }
 
 impl SentBatch {
+    /// Returns whether the batch holds a task.
     fn contains(&self, task: TaskId) -> bool {
         self.step == task.step && self.tasks.contains(&task.index)
     }
