--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -83,8 +83,8 @@
 /// Interval between audits of batches that have been outstanding for long.
 const AUDIT_INTERVAL: Span = Span::millis(250);
 
-/// Gap between two steps after which an instance treats all that it holds as lapsed. It ticks every few
-/// milliseconds; its peers take over what it owned after [`member::HEARTBEAT_TIMEOUT`].
+/// Gap between two steps after which an instance drops all that it owns. It ticks every few milliseconds, so a longer
+/// gap means that its process was paused; its peers take over what it owned after [`member::HEARTBEAT_TIMEOUT`].
 const MAX_STEP_GAP: Span = Span::millis(450);
 
 /// Interval between checks for members that have been silent too long: a tenth of the heartbeat interval.
@@ -142,7 +142,7 @@
     pub waiting_tasks: usize,
     /// Task runs in progress on its endpoints.
     pub runs: usize,
-    /// Endpoints that accept tasks.
+    /// Endpoints that answer and have no unknown runs; some of them may get no tasks for other reasons.
     pub open_endpoints: usize,
     /// Racks that it owns.
     pub racks: usize,
@@ -272,8 +272,8 @@
             .is_some_and(|since| now.since(since) >= DRAIN_ACCEPT_PERIOD)
     }
 
-    /// Returns whether the drain is complete: all jobs and requests are answered, and callers that came after the
-    /// instance had stopped accepting jobs had time to be refused.
+    /// Returns whether the drain is complete: all jobs and requests are answered, no batch runs here, and callers
+    /// that came after the instance had stopped accepting jobs had time to be refused.
     fn is_drained(&self, now: Time) -> bool {
         let elapsed =
             |since| now.since(since) >= DRAIN_ACCEPT_PERIOD + CONNECTION_GRACE + CONNECTION_GRACE;
@@ -370,6 +370,7 @@
         }
     }
 
+    /// Passes an input to the component that handles it.
     fn on_input(&mut self, now: Time, input: Input, out: &mut Effects) {
         match input {
             Input::Submitted(arrival) => self.on_submission(*arrival, now, out),
@@ -386,8 +387,8 @@
                 self.send_due_requests(now, out);
             }
             Input::StoreReplied { call, reply } => {
-                let acts = self.coordinator.on_store_reply(call, reply, now, out);
-                self.apply_actions(acts, now, out);
+                let actions = self.coordinator.on_store_reply(call, reply, now, out);
+                self.apply_actions(actions, now, out);
                 self.call_store(now, out);
             }
             Input::Cancelled(job) => {
@@ -446,7 +447,7 @@
             host,
             path,
             submission,
-            wait,
+            wait: time_limit,
         } = arrival;
         let Some(configuration) = &self.configuration else {
             return out.outputs.push(Output::Answer(ticket, Answer::Unready));
@@ -462,9 +463,10 @@
         }
         if !submission.best_effort {
             let route = route.clone();
-            return self.submit_stored(ticket, submission, &route, wait, now, out);
+            return self.submit_stored(ticket, submission, &route, time_limit, now, out);
         }
-        self.entry.submit(ticket, submission, route, wait, now, out);
+        self.entry
+            .submit(ticket, submission, route, time_limit, now, out);
     }
 
     /// Puts a configuration in force, unless the current one is as new.
@@ -558,10 +560,10 @@
         out: &mut Effects,
     ) {
         let claims = self.members.claim_changes();
-        let movable = |(_, heartbeat): &(Sender, Heartbeat)| {
+        let has_movable = |(_, heartbeat): &(Sender, Heartbeat)| {
             heartbeat.rooms.iter().any(|vacancy| vacancy.movable > 0)
         };
-        let movable = heartbeats.iter().any(movable);
+        let any_movable = heartbeats.iter().any(has_movable);
         for (from, heartbeat) in heartbeats {
             if !self.check_sender(&from, now, out) {
                 continue;
@@ -594,7 +596,7 @@
         if self.members.claim_changes() != claims {
             self.update_ownership(now, out);
         }
-        if movable {
+        if any_movable {
             self.request_waiting_tasks(now, out);
         }
     }
@@ -651,6 +653,7 @@
         heard.is_some_and(|at| now.since(at) > MAX_SENDER_SILENCE)
     }
 
+    /// Handles a message of a peer, or one of this instance to itself.
     fn on_message(&mut self, from: &Contact, message: Message, now: Time, out: &mut Effects) {
         match message {
             Message::Members(contacts) => {
@@ -669,11 +672,11 @@
                 done,
                 started,
             } => {
-                let failed = self
+                let failed_job = self
                     .entry
                     .on_batch_ended(serial, outcome, done, started, now, out);
-                if let Some(act) = failed.and_then(|job| self.coordinator.fail_job(job)) {
-                    self.apply_actions(vec![act], now, out);
+                if let Some(action) = failed_job.and_then(|job| self.coordinator.fail_job(job)) {
+                    self.apply_actions(vec![action], now, out);
                     self.call_store(now, out);
                 }
             }
@@ -704,7 +707,7 @@
                 self.entry
                     .on_batch_moved(serial, to.clone(), moves, now, out);
                 if owner_lost {
-                    // The new owner was given up before the move was heard, so no other event takes the batch back.
+                    // The new owner was declared lost before the move was heard, so no other event takes the batch back.
                     self.entry.on_owner_lost(&to, now, out);
                 }
             }
@@ -735,8 +738,8 @@
                 let batch = end.batch.as_ref().filter(|(entry, _)| entry == own);
                 let batch = batch.map(|(_, serial)| *serial);
                 let batch = batch.filter(|serial| self.entry.has_batch(*serial));
-                let act = self.coordinator.on_run_end(from, &end, batch, out);
-                self.apply_actions(act.into_iter().collect(), now, out);
+                let action = self.coordinator.on_run_end(from, &end, batch, out);
+                self.apply_actions(action.into_iter().collect(), now, out);
                 self.call_store(now, out);
             }
             Message::Noted {
@@ -751,8 +754,8 @@
     /// Drops everything that peers have taken over, after the process was paused for longer than they wait.
     fn on_process_pause(&mut self, now: Time, out: &mut Effects) {
         out.outputs.push(Output::Log(LogRecord::new("awoke")));
-        let acts = self.coordinator.release_all(out);
-        self.apply_actions(acts, now, out);
+        let actions = self.coordinator.release_all(out);
+        self.apply_actions(actions, now, out);
         self.owner.reset(&self.identity.contact.name);
         for member in self.members.expire_all(now) {
             out.outputs.push(Output::BeginSession {
--- a/src/dispatch/announcement.rs
+++ b/src/dispatch/announcement.rs
@@ -31,8 +31,8 @@
 /// The interval between heartbeats with the room of all racks, since one with a change may have been lost.
 const FULL_ROOM_INTERVAL: Span = Span::millis(500);
 
-/// The most closely watched members that can be sent room every [`ROOM_INTERVAL`]. With more of them the interval grows, which
-/// bounds the rate of heartbeats.
+/// The largest number of closely watched members to which changed room is sent every [`ROOM_INTERVAL`]. With more of them the
+/// interval grows, which bounds the rate of heartbeats.
 const MAX_FULL_RATE_MEMBERS: u64 = 8;
 
 /// Members that aren't watched closely to which heartbeats are sent in one tick.
@@ -107,16 +107,16 @@
     /// Returns the status that heartbeats announce.
     fn own_status(&self, now: Time) -> Status {
         let claim = |(rack, token)| Claim { rack, token };
-        let ceded = self.handed_over.iter().map(|(claim, _)| *claim);
+        let handed_over = self.handed_over.iter().map(|(claim, _)| *claim);
         Status {
             epoch: self.epoch,
             configuration: self.document_version(Document::Configuration),
             roster: self.document_version(Document::Roster),
             evacuation: self.evacuation.clone(),
-            reading: self.reader.is_fresh(now),
+            reading: self.reader.has_read_recently(now),
             draining: self.is_draining(),
             share: self.identity.share,
-            racks: self.owner.racks().map(claim).chain(ceded).collect(),
+            racks: self.owner.racks().map(claim).chain(handed_over).collect(),
             shards: self.coordinator.coordinations(),
             pending: self.entry.pending_by_route().into_iter().collect(),
             absences: self.members.absences(),
@@ -185,8 +185,8 @@
         );
         let due = now.since(self.announced_at) >= HEARTBEAT_INTERVAL;
         let since = now.since(self.rooms_sent_at);
-        let turned = since >= ROOM_INTERVAL && self.owner.has_spare_cpu_changes(now);
-        let changed = turned || since >= interval && self.owner.has_room_changes(now);
+        let spare_cpu_changed = since >= ROOM_INTERVAL && self.owner.has_spare_cpu_changes(now);
+        let changed = spare_cpu_changed || since >= interval && self.owner.has_room_changes(now);
         if !due && !changed {
             return;
         }
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Requests waiting tasks from the owner of the busiest rack, for each own rack with room and nothing waiting.
+    /// Requests waiting tasks from the owner of the busiest rack, for each own rack with spare CPU.
     pub(super) fn request_waiting_tasks(&mut self, now: Time, out: &mut Effects) {
         if self.is_draining() {
             return;
--- a/src/dispatch/member.rs
+++ b/src/dispatch/member.rs
@@ -168,7 +168,7 @@
 
     /// Checks the incarnation and session of a message's sender, and updates the member. `own` is this instance's incarnation.
     ///
-    /// A suspended process may send messages long after they were written. These carry a session that the receiver has ended,
+    /// A process that was paused may send messages long after they were written. These carry a session that the receiver has ended,
     /// so they must be dropped.
     pub fn check_sender(&mut self, from: &Sender, own: u64, now: Time) -> SenderCheck {
         self.add(&from.contact, now);
@@ -185,8 +185,9 @@
             return SenderCheck::Stale;
         };
         let older = from.incarnation < member.incarnation;
-        let for_earlier_life = from.receiver_incarnation != 0 && from.receiver_incarnation != own;
-        if older || for_earlier_life {
+        let for_earlier_incarnation =
+            from.receiver_incarnation != 0 && from.receiver_incarnation != own;
+        if older || for_earlier_incarnation {
             return SenderCheck::Stale;
         }
         let restarted = from.incarnation > member.incarnation;
@@ -231,8 +232,8 @@
             difference.min(offset + (since as f64 * MAX_CLOCK_DRIFT) as i64)
         });
         member.clock_offset = Some(offset);
-        let left = Time((sent.0 as i64 + offset).max(1) as u64);
-        member.last_heard = member.last_heard.max(Some(left));
+        let sent_here = Time((sent.0 as i64 + offset).max(1) as u64);
+        member.last_heard = member.last_heard.max(Some(sent_here));
     }
 
     /// Handles a heartbeat that was sent at `sent` on its sender's clock.
@@ -348,13 +349,13 @@
         absences.map(|(absence, _)| absence.clone()).collect()
     }
 
-    /// Marks all live members as lost, and returns them. Called after this process was suspended.
+    /// Marks all live members as lost, and returns them. Called after this process was paused.
     pub fn expire_all(&mut self, now: Time) -> Vec<Member> {
         for member in self.members.values_mut() {
             member.last_heard = None;
         }
         let lost = self.expire(now);
-        // This process was suspended; the members didn't fail, so their loss isn't announced.
+        // This process was paused; the members didn't fail, so their loss isn't announced.
         self.absences.clear();
         lost
     }
--- a/src/dispatch/message.rs
+++ b/src/dispatch/message.rs
@@ -230,7 +230,7 @@
     /// The session, which grows each time that one side declares the other lost. Messages of earlier sessions are
     /// void.
     pub session: u32,
-    /// When this was sent, on the sender's clock: a message that was delayed proves no recent life.
+    /// When this was sent, on the sender's clock: a delayed message doesn't prove that the sender is alive now.
     pub sent: Time,
 }
 
@@ -412,7 +412,7 @@
         /// The serial number of the end there.
         serial: u64,
         /// Whether the task was placed again before this end was heard. The endpoint may then forget the end only
-        /// once its lease has lapsed, when the end no longer matters.
+        /// once its lease has expired, when the end no longer matters.
         late: bool,
     },
 }
@@ -496,7 +496,8 @@
     Standing(JobState),
     /// There is no such job.
     Unknown,
-    /// The receiver doesn't coordinate the shard, or hasn't loaded it yet; nothing was done.
+    /// The receiver doesn't coordinate the shard, hasn't loaded it yet, or is still storing the job whose state was asked
+    /// for; nothing was done.
     Unready,
 }
 
--- a/src/dispatch/message/call.rs
+++ b/src/dispatch/message/call.rs
@@ -37,7 +37,7 @@
         /// The owner's fencing token.
         token: Token,
     },
-    /// List the runs in progress and those that have ended.
+    /// List the runs in progress and those that have ended, and extend the leases of all runs (a long poll).
     Poll {
         /// When the leases of the endpoint's runs end, on its clock, in milliseconds; `None` doesn't renew them.
         lease: Option<u64>,
@@ -58,7 +58,7 @@
         /// The endpoint's clock, in milliseconds.
         clock: u64,
     },
-    /// The runs that the endpoint lists.
+    /// The reply to a poll: the runs that the endpoint lists.
     Looked(Lists),
     /// The endpoint refused the order.
     Refused {
@@ -69,9 +69,9 @@
     },
     /// The endpoint did nothing because it's unhealthy.
     Unwell,
-    /// The endpoint has restarted since it was listed.
+    /// A process with another name answers at the address: the endpoint has restarted or was replaced.
     Reborn,
-    /// The endpoint found the order malformed, or its reply is; the text tells why.
+    /// The endpoint found the order malformed, or its reply is malformed; the text says why.
     Malformed(String),
     /// No byte of the order was sent.
     Unsent,
@@ -99,7 +99,7 @@
     Fenced,
     /// The run, or a higher one of the task, was started or stopped there before.
     Old,
-    /// The lease in the order had already lapsed.
+    /// The lease in the order had already expired.
     Late,
     /// It lacks free resources.
     Full,
@@ -149,7 +149,7 @@
     Failed,
     /// It was stopped.
     Stopped,
-    /// Its lease lapsed.
+    /// Its lease expired.
     Lapsed,
     /// Any other way.
     Other,
--- a/src/dispatch/message/heartbeat.rs
+++ b/src/dispatch/message/heartbeat.rs
@@ -23,18 +23,18 @@
 /// much processor time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Whether the sender monitors the receiver as a neighbour and expects its heartbeats.
+    /// Whether the sender watches the receiver closely, and so needs frequent heartbeats from it.
     pub watching: bool,
     /// The sender's status.
     pub status: Status,
-    /// The free resources of the sender's racks, where they have changed.
+    /// The free resources of the sender's racks: of all, or only of those where they have changed.
     pub rooms: Vec<Vacancy>,
 }
 
 /// The status of a member.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The highest epoch of a claim that it has heard.
+    /// The highest epoch of a claim that it has made or heard.
     pub epoch: Epoch,
     /// The version of its configuration.
     pub configuration: u64,
@@ -42,13 +42,13 @@
     pub roster: u64,
     /// The evacuated data centres that it knows.
     pub evacuation: Evacuation,
-    /// Whether it reads the list of endpoints from the store.
+    /// Whether it has recently read the list of endpoints from the store.
     pub reading: bool,
     /// Whether it is draining.
     pub draining: bool,
     /// Its processor share, in thousandths of a core; racks are distributed in proportion to it.
     pub share: u32,
-    /// The racks that it owns.
+    /// The racks that it owns, and those that it has just handed over.
     pub racks: Vec<Claim>,
     /// The shards of stored jobs that it coordinates.
     pub shards: Vec<Coordination>,
@@ -58,7 +58,7 @@
     pub absences: Vec<Absence>,
 }
 
-/// An incarnation of a member that a neighbour has declared lost.
+/// An incarnation of a member that another member has declared lost.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Absence {
     /// The member.
--- a/src/dispatch/message/suspicion.rs
+++ b/src/dispatch/message/suspicion.rs
@@ -43,7 +43,7 @@
         self.crashes >= min_crashes
     }
 
-    /// Returns whether the suspicion is strong enough for the task to run alone on an endpoint.
+    /// Returns whether the suspicion is strong enough that nothing may start beside the task on its endpoint.
     ///
     /// A single endpoint that stopped answering isn't enough: a network partition silences many at once, and giving
     /// each of their tasks an endpoint of its own would waste the remaining capacity.
@@ -51,7 +51,7 @@
         self.crashes + self.refusals > 0 || self.silences > 1
     }
 
-    /// Withdraws one silence, after an endpoint that had stopped answering was heard again.
+    /// Removes one silence: its endpoint was heard again, or was found to have crashed and counts as such.
     pub fn clear_silence(&mut self) {
         self.silences = self.silences.saturating_sub(1);
         self.refusals = self.refusals.min(self.silences);
--- a/src/dispatch/owner.rs
+++ b/src/dispatch/owner.rs
@@ -1,8 +1,8 @@
 //! Ownership of racks: an owner alone starts, stops and polls the endpoints of its racks.
 
 mod answer;
+mod cancelled;
 mod ends;
-mod given_up;
 mod handover;
 mod place;
 mod probe;
@@ -19,7 +19,7 @@
 
 pub use self::probe::Availability;
 use self::{
-    given_up::GivenUp,
+    cancelled::CancelledBatches,
     probe::Probe, //
 };
 use super::{
@@ -69,8 +69,8 @@
     /// Whether its free room has changed since the last update to other instances.
     room_changed: bool,
     /// The number of its endpoints that accepted tasks at the last update.
-    reported_open: usize,
-    /// Whether it had space for other racks' tasks at the last update.
+    reported_accepting: usize,
+    /// Whether one of its endpoints had spare CPU for other racks' tasks at the last update.
     reported_spare_cpu: bool,
     /// When its queue is reviewed next, unless an event calls for an earlier review.
     next_review: Time,
@@ -98,15 +98,18 @@
     /// Indices of tasks that are done. Reports name them, as tasks that were returned in a lost message must not
     /// count as done.
     done: Vec<u32>,
+    /// Whether a start of one of its tasks may have been sent.
     started: bool,
 }
 
 /// The state of a task that is not done.
 #[derive(Debug, Clone)]
 struct TaskState {
+    /// The number of its next run.
     next: Run,
+    /// The number of its failed runs.
     failures: u32,
-    /// How often it was moved away from an endpoint where it stalled.
+    /// How often a run of it was stopped because it had stalled.
     restarts: u32,
     /// Evidence that the task crashes endpoints.
     suspicion: Suspicion,
@@ -155,7 +158,7 @@
     live_entries: HashSet<Instance>,
     /// Entries that had a heartbeat and lost it.
     lost_entries: HashSet<Instance>,
-    given_up: GivenUp,
+    cancelled: CancelledBatches,
     /// Data centres where no task may start.
     evacuated: BTreeSet<String>,
     /// Tasks that wait until it is clear whether endpoints crashed under them, with the time at which they are
@@ -169,12 +172,12 @@
     rack_changes: u64,
 }
 
-/// The effects that an owner asks for.
+/// What a step of the dispatcher asks for.
 #[derive(Debug, Default)]
 pub struct Effects {
     /// Calls, log records and other outputs.
     pub outputs: Vec<Output>,
-    /// Messages to entries, including this instance's own.
+    /// Messages to instances, this one included.
     pub messages: Vec<(Contact, Message)>,
 }
 
@@ -226,7 +229,7 @@
             endpoints: Vec::new(),
             queue: Queue::default(),
             room_changed: true,
-            reported_open: 0,
+            reported_accepting: 0,
             reported_spare_cpu: false,
             next_review: Time::default(),
         };
@@ -260,10 +263,10 @@
     }
 
     fn assignments_of(&self, rack: RackId) -> Vec<Handle> {
-        let of = |(handle, assignment): (&Handle, &Assignment)| {
+        let on_rack = |(handle, assignment): (&Handle, &Assignment)| {
             (assignment.batch.rack == rack).then_some(*handle)
         };
-        let mut handles: Vec<Handle> = self.assignments.iter().filter_map(of).collect();
+        let mut handles: Vec<Handle> = self.assignments.iter().filter_map(on_rack).collect();
         handles.sort_unstable();
         handles
     }
@@ -313,7 +316,7 @@
         for state in self.endpoints.values_mut() {
             state.delisted = true;
         }
-        let mut renewed = Vec::new();
+        let mut life_events = Vec::new();
         for listing in listings {
             let Some(rack) = self.racks.get_mut(&listing.rack_id()) else {
                 continue;
@@ -327,7 +330,7 @@
                 }
                 state.update_listing(listing.clone());
                 let events = state.update_life(listing.life, now);
-                renewed.push((listing.id.clone(), events));
+                life_events.push((listing.id.clone(), events));
                 continue;
             }
             let mut state = State::new(listing.clone(), rack.token, now);
@@ -335,7 +338,7 @@
             self.endpoints.insert(listing.id.clone(), state);
             rack.endpoints.push(listing.id.clone());
         }
-        for (id, events) in renewed {
+        for (id, events) in life_events {
             self.handle_events(&id, events, now, out);
         }
         let idle = |state: &State| state.delisted && state.executions.is_empty();
@@ -362,6 +365,7 @@
         }
     }
 
+    /// Removes an endpoint and closes the connections to it.
     fn remove_endpoint(&mut self, id: &Endpoint, out: &mut Effects) {
         out.log(LogRecord::new("endpoint_gone").with("endpoint", id.as_str()));
         if let Some(state) = self.endpoints.get(id) {
@@ -409,6 +413,7 @@
         self.add_assignment(entry, batch, tasks, false, now);
     }
 
+    /// Adds a batch and queues its tasks.
     fn add_assignment(
         &mut self,
         entry: &Contact,
@@ -461,7 +466,7 @@
     pub fn cancel(&mut self, entry: &Contact, serial: u64, now: Time, out: &mut Effects) {
         let key = (entry.name.clone(), serial);
         let Some(handle) = self.by_entry.get(&key).copied() else {
-            self.given_up.add(key, now);
+            self.cancelled.add(key, now);
             return out.send(entry, Message::Unknown(vec![serial]));
         };
         let started = self.drop_assignment(handle, out);
@@ -488,10 +493,10 @@
         if self.live_entries.remove(entry) {
             self.lost_entries.insert(entry.clone());
         }
-        let of = |(handle, assignment): (&Handle, &Assignment)| {
+        let of_entry = |(handle, assignment): (&Handle, &Assignment)| {
             (assignment.entry.name == *entry).then_some(*handle)
         };
-        let mut handles: Vec<Handle> = self.assignments.iter().filter_map(of).collect();
+        let mut handles: Vec<Handle> = self.assignments.iter().filter_map(of_entry).collect();
         handles.sort_unstable();
         for handle in handles {
             let job = self.assignments[&handle].batch.job;
@@ -513,6 +518,7 @@
         assignment.started
     }
 
+    /// Stops the current run of a task if it belongs to the given batch. `fate` says what happens to the task then.
     fn stop_run(&mut self, task: TaskId, handle: Handle, fate: Fate, out: &mut Effects) {
         let Some(id) = self.run_locations.get(&task).cloned() else {
             return;
@@ -536,6 +542,7 @@
         }
     }
 
+    /// Sends an order to an endpoint under a new call ID.
     fn call_endpoint(
         &mut self,
         id: &Endpoint,
@@ -553,6 +560,7 @@
         CallId(self.last_call)
     }
 
+    /// Sends an order to an endpoint. The timeout includes the time that a poll waits there.
     fn send_call(
         &mut self,
         call: CallId,
@@ -581,6 +589,7 @@
         });
     }
 
+    /// Ends a batch: stops its remaining runs and reports the outcome to its entry.
     fn finish(&mut self, handle: Handle, outcome: Outcome, out: &mut Effects) {
         let report = self.assignments.get(&handle).map(|assignment| {
             let serial = assignment.batch.serial;
@@ -647,6 +656,7 @@
         task_state.map_or_else(Suspicion::default, |task_state| task_state.suspicion)
     }
 
+    /// Returns the batch as it is handed over, with the times left until its deadlines.
     fn into_held(self, now: Time) -> HeldBatch {
         let mut batch = self.batch;
         batch.slack = (self.due > now).then(|| self.due.since(now));
--- a/src/dispatch/owner/answer.rs
+++ b/src/dispatch/owner/answer.rs
@@ -79,7 +79,7 @@
             }
             (Purpose::Poll, Reply::Refused { refusal, .. }) => {
                 state.on_poll_refused(call, now);
-                fenced(refusal)
+                fencing_events(refusal)
             }
             (Purpose::Start(task, run), Reply::Refused { refusal, .. }) => {
                 return self.on_start_refused(&id, task, run, refusal, now, out);
@@ -89,7 +89,7 @@
                 Vec::new()
             }
             (Purpose::Stop(_, _), Reply::Refused { refusal, .. }) if refusal == Refusal::Fenced => {
-                fenced(refusal)
+                fencing_events(refusal)
             }
             (Purpose::Stop(Name::Known(task), run), _) => {
                 state.on_stopped(&task, run, now);
@@ -115,6 +115,7 @@
         self.call_endpoint(id, order, Purpose::Stop(task, run), false, out);
     }
 
+    /// Handles a refused start.
     pub(super) fn on_start_refused(
         &mut self,
         id: &Endpoint,
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Handles a call that failed, timed out or got a malformed answer.
+    /// Handles a call that failed or timed out, or whose answer is malformed or comes from another or an unhealthy process.
     pub(super) fn on_unanswered(
         &mut self,
         call: CallId,
@@ -348,13 +349,14 @@
         }
     }
 
+    /// Logs a run that ended without a result.
     fn log_lost(&self, id: &Endpoint, task: TaskId, out: &mut Effects) {
         let record = LogRecord::new("run_gone").job(task.job);
         let record = record.with("task", task.to_string());
         out.log(record.with("endpoint", id.as_str()));
     }
 
-    /// Restarts a stalled task on another endpoint, and ejects the endpoint if none of its runs makes progress.
+    /// Stops a stalled run so that its task starts again, and ejects the endpoint if none of its runs makes progress.
     ///
     /// Without this a stalled run would hold its room until its caller's deadline, while its endpoint gets more
     /// tasks.
@@ -395,6 +397,7 @@
         self.remove_endpoint(id, out);
     }
 
+    /// Removes a task that is done from its batch, and ends the batch after its last task.
     pub(super) fn on_task_done(&mut self, task: TaskId, handle: Handle, out: &mut Effects) {
         let Some(assignment) = self.assignments.get_mut(&handle) else {
             return;
@@ -407,6 +410,7 @@
         }
     }
 
+    /// Counts a failed run of a task, and queues the task again unless its attempts are used up.
     pub(super) fn on_task_failed(
         &mut self,
         id: &Endpoint,
@@ -443,7 +447,8 @@
     }
 }
 
-fn fenced(refusal: Refusal) -> Vec<Event> {
+/// Returns the event of a refusal because of the fencing token, or none for other refusals.
+fn fencing_events(refusal: Refusal) -> Vec<Event> {
     match refusal {
         Refusal::Fenced => vec![Event::Fenced],
         _ => Vec::new(),
--- a/src/dispatch/owner/cancelled.rs
+++ b/src/dispatch/owner/cancelled.rs
@@ -15,12 +15,12 @@
 
 /// Recently cancelled batches, oldest first.
 #[derive(Debug, Default)]
-pub(super) struct GivenUp {
+pub(super) struct CancelledBatches {
     order: VecDeque<(Time, Key)>,
-    known: HashSet<Key>,
+    keys: HashSet<Key>,
 }
 
-impl GivenUp {
+impl CancelledBatches {
     /// Adds a batch, and removes those that are too old to arrive.
     pub(super) fn add(&mut self, key: Key, now: Time) {
         while self
@@ -29,16 +29,16 @@
             .is_some_and(|(at, _)| now.since(*at) >= MAX_HANDOVER)
         {
             if let Some((_, old)) = self.order.pop_front() {
-                self.known.remove(&old);
+                self.keys.remove(&old);
             }
         }
-        if self.known.insert(key.clone()) {
+        if self.keys.insert(key.clone()) {
             self.order.push_back((now, key));
         }
     }
 
     /// Returns whether a batch was cancelled recently.
     pub(super) fn contains(&self, key: &Key) -> bool {
-        self.known.contains(key)
+        self.keys.contains(key)
     }
 }
--- a/src/dispatch/owner/ends.rs
+++ b/src/dispatch/owner/ends.rs
@@ -18,7 +18,7 @@
 const REPORT_INTERVAL: Span = Span::millis(500);
 
 impl Owner {
-    /// Records an end that must be stored if its job is, and removes the task from its batch.
+    /// Records an end that must be stored if its job is stored, and removes the task from its batch.
     pub(super) fn on_run_ended(
         &mut self,
         mut end: RunEnd,
@@ -53,9 +53,9 @@
     /// last report is too old.
     pub fn take_ends_to_report(&mut self, now: Time) -> Vec<RunEnd> {
         let mut due = Vec::new();
-        for (end, at) in self.unstored_ends.values_mut() {
-            if at.is_none_or(|at| now.since(at) >= REPORT_INTERVAL) {
-                *at = Some(now);
+        for (end, reported_at) in self.unstored_ends.values_mut() {
+            if reported_at.is_none_or(|at| now.since(at) >= REPORT_INTERVAL) {
+                *reported_at = Some(now);
                 due.push(end.clone());
             }
         }
--- a/src/dispatch/owner/handover.rs
+++ b/src/dispatch/owner/handover.rs
@@ -22,7 +22,7 @@
         },
         queue::Waiting, //
     },
-    given_up::Key,
+    cancelled::Key,
     Effects,
     Owner,
     TaskState, //
@@ -116,7 +116,7 @@
             });
             let tasks = held.batch.tasks.iter().copied().zip(states).collect();
             let key = (held.entry.name.clone(), held.batch.serial);
-            if self.given_up.contains(&key) || self.lost_entries.contains(&held.entry.name) {
+            if self.cancelled.contains(&key) || self.lost_entries.contains(&held.entry.name) {
                 unwanted.push(key);
             }
             self.announce_moved(&held, out);
--- a/src/dispatch/owner/place.rs
+++ b/src/dispatch/owner/place.rs
@@ -121,8 +121,8 @@
             }
             let (need, label) = (assignment.batch.need, assignment.batch.label.as_ref());
             let task = assignment.task_id(waiting.index);
-            let absent = !self.live_entries.contains(&assignment.entry.name);
-            if absent || self.run_locations.contains_key(&task) {
+            let entry_lost = !self.live_entries.contains(&assignment.entry.name);
+            if entry_lost || self.run_locations.contains_key(&task) {
                 continue;
             }
             let same = |(n, l, _): &&Misfit| *n == need && l.as_ref() == label;
@@ -154,7 +154,7 @@
             self.poll_stale(id, now);
         }
         for (handle, tasks) in unfit {
-            self.send_tasks_back(handle, tasks, Cause::Unfit, out);
+            self.return_tasks(handle, tasks, Cause::Unfit, out);
         }
         hopeless.dedup();
         for handle in hopeless {
@@ -235,7 +235,7 @@
             other && state.can_run(&batch.need, batch.label.as_ref())
         };
         let avoided = failed_on.filter(|id| states.clone().any(|state| alternative(state, id)));
-        let neighbours = |state: &State| {
+        let runs_at_risk = |state: &State| {
             if suspicion.is_strong() {
                 state.executions.len()
             } else if suspicion.is_present() {
@@ -246,7 +246,7 @@
         };
         let best = states.filter(fits);
         let best = best.filter(|state| Some(&state.listing.id) != avoided);
-        let best = best.min_by_key(|state| (neighbours(state), state.free.cpu))?;
+        let best = best.min_by_key(|state| (runs_at_risk(state), state.free.cpu))?;
         Some(best.listing.id.clone())
     }
 
--- a/src/dispatch/owner/probe.rs
+++ b/src/dispatch/owner/probe.rs
@@ -22,7 +22,7 @@
 };
 use crate::prelude::*;
 
-/// Time between probes of a rack. Leases of a dead owner expire within half a second of its silence.
+/// Time between probes of a rack. Leases of a dead owner expire within half a second after it is declared lost.
 const PROBE_INTERVAL: Span = Span::millis(100);
 
 /// Timeout of a probe.
@@ -32,7 +32,9 @@
 #[derive(Debug)]
 pub(super) struct Probe {
     pending: HashSet<CallId>,
+    /// The number of endpoints that have listed their runs.
     answered: usize,
+    /// Whether an endpoint lists a run or has refused the token.
     running: bool,
     /// When the next probe may be sent.
     next_probe: Time,
--- a/src/dispatch/owner/room.rs
+++ b/src/dispatch/owner/room.rs
@@ -27,19 +27,21 @@
 };
 use crate::prelude::*;
 
-/// An endpoint has space for other racks' tasks if at least one part in this many of its CPU is free.
+/// The divisor of an endpoint's CPU that gives the least free part at which it has spare CPU for other racks' tasks.
 const MIN_FREE_DIVISOR: u64 = 4;
 
 impl Owner {
     /// Returns whether the room of a rack has changed since the last update.
     pub fn has_room_changes(&self, now: Time) -> bool {
         let mut racks = self.racks.values();
-        racks.any(|rack| rack.room_changed || rack.reported_open != self.count_open(rack, now))
+        racks.any(|rack| {
+            rack.room_changed || rack.reported_accepting != self.count_accepting(rack, now)
+        })
     }
 
-    /// Returns whether a rack has filled up, or has space again, since the last update.
+    /// Returns whether a rack has run out of spare CPU, or has some again, since the last update.
     ///
-    /// Other instances send tasks to racks with space. Such a change is sent early, so that tasks don't queue at
+    /// Other instances send tasks to racks with spare CPU. Such a change is sent early, so that tasks don't queue at
     /// a full rack while others are idle.
     pub fn has_spare_cpu_changes(&self, now: Time) -> bool {
         let mut racks = self.racks.values();
@@ -53,7 +55,7 @@
     }
 
     /// Returns the number of a rack's endpoints that accept tasks.
-    pub(super) fn count_open(&self, rack: &Rack, now: Time) -> usize {
+    pub(super) fn count_accepting(&self, rack: &Rack, now: Time) -> usize {
         let states = rack
             .endpoints
             .iter()
@@ -65,7 +67,7 @@
     /// sent.
     pub fn take_room_updates(&mut self, all: bool, now: Time) -> Vec<Vacancy> {
         let due = |rack: &Rack| {
-            all || rack.room_changed || rack.reported_open != self.count_open(rack, now)
+            all || rack.room_changed || rack.reported_accepting != self.count_accepting(rack, now)
         };
         let racks = self.racks.iter().filter(|(_, rack)| due(rack));
         let rooms: Vec<Vacancy> = racks
@@ -77,7 +79,7 @@
             if let Some(rack) = self.racks.get_mut(&vacancy.rack) {
                 rack.reported_spare_cpu = has_spare_cpu;
                 rack.room_changed = false;
-                rack.reported_open = vacancy.free.len();
+                rack.reported_accepting = vacancy.free.len();
             }
         }
         rooms
@@ -94,7 +96,7 @@
     fn vacancy(&self, id: RackId, rack: &Rack, now: Time) -> Vacancy {
         let states = rack.endpoints.iter();
         let states = states.filter_map(|id| self.endpoints.get(id));
-        let takes = states.filter(|state| state.accepts_tasks(now));
+        let accepting = states.filter(|state| state.accepts_tasks(now));
         let movable = |w: &Waiting| {
             self.assignments
                 .get(&w.batch)
@@ -102,13 +104,13 @@
         };
         Vacancy {
             rack: id,
-            free: takes.map(|state| state.free).collect(),
+            free: accepting.map(|state| state.free).collect(),
             movable: rack.queue.iter().filter(movable).count() as u32,
             backlog: rack.queue.work(),
         }
     }
 
-    /// Returns the racks with space, and the free room of their endpoints that have some.
+    /// Returns the racks with spare CPU, and the free room of their endpoints that have some.
     ///
     /// Queued tasks of these racks don't fit there; smaller ones that are queued at other racks may.
     pub fn racks_with_spare_cpu(&self, now: Time) -> Vec<(RackId, Vec<Resources>)> {
@@ -138,7 +140,7 @@
         let Some(rack) = self.racks.get(&from) else {
             return;
         };
-        let mut given: BTreeMap<Handle, Vec<u32>> = BTreeMap::new();
+        let mut returned: BTreeMap<Handle, Vec<u32>> = BTreeMap::new();
         let waiting: Vec<Waiting> = rack.queue.iter().collect();
         for waiting in waiting {
             let Some(assignment) = self.assignments.get(&waiting.batch) else {
@@ -155,15 +157,18 @@
                 continue;
             };
             room.subtract(&need);
-            given.entry(waiting.batch).or_default().push(waiting.index);
+            returned
+                .entry(waiting.batch)
+                .or_default()
+                .push(waiting.index);
         }
-        for (handle, tasks) in given {
-            self.send_tasks_back(handle, tasks, Cause::Room(to), out);
+        for (handle, tasks) in returned {
+            self.return_tasks(handle, tasks, Cause::Room(to), out);
         }
     }
 
     /// Returns queued tasks of a batch, none of which runs, to its entry.
-    pub(super) fn send_tasks_back(
+    pub(super) fn return_tasks(
         &mut self,
         handle: Handle,
         tasks: Vec<u32>,
--- a/src/dispatch/owner/suspects.rs
+++ b/src/dispatch/owner/suspects.rs
@@ -1,10 +1,10 @@
 //! Tasks that crash their endpoints.
 //!
 //! A task may crash every endpoint that starts it, and would empty a data centre if it were started again without
-//! limit. So the tasks that ran on a crashed endpoint are suspects, and each goes on alone: harmless ones end
-//! there and are cleared. A job fails when a second endpoint crashes under its task. A crash may be confirmed
-//! only after its tasks have gone on beside each other; a task that shared both crashes with another gets one
-//! more run.
+//! limit. So the tasks that ran on a crashed endpoint are suspects. Each starts again where the fewest runs are, and
+//! nothing starts beside it: a harmless task ends there and is cleared. A job fails when a second endpoint crashes
+//! under its task. The crash of a silent endpoint is confirmed late, when its tasks may already share their next
+//! endpoint; a task that shared both crashes with another suspect gets one more run.
 
 use super::{
     super::{
@@ -34,6 +34,7 @@
 const MAX_HOLD: Span = Span::seconds(6);
 
 impl Owner {
+    /// Returns the state of an unfinished task of a batch.
     fn task_mut(&mut self, task: TaskId, handle: Handle) -> Option<&mut TaskState> {
         let assignment = self.assignments.get_mut(&handle)?;
         assignment.tasks.get_mut(&task.index)
--- a/src/dispatch/ownership.rs
+++ b/src/dispatch/ownership.rs
@@ -194,7 +194,7 @@
         free
     }
 
-    /// Remembers the claims of an owner that was lost.
+    /// Records the claims of an owner that was lost.
     pub(super) fn add_former_owner(&mut self, owner: &Instance, claims: &[Claim], now: Time) {
         for claim in claims {
             let former = FormerOwner {
--- a/src/dispatch/reader.rs
+++ b/src/dispatch/reader.rs
@@ -29,18 +29,18 @@
 
 /// How long after its last read an instance counts as a reader. It's longer than the interval between reads, and short enough
 /// for another instance to start reading before tasks may no longer go to a leaving endpoint.
-const FRESH_FOR: Span = Span::millis(1_200);
+const READ_VALIDITY: Span = Span::millis(1_200);
 
 /// The extra delay of each further instance before it starts to read when there are too few readers. Instances that are preferred
 /// to it have announced by then that they read.
-const TURN_DELAY: Span = Span::millis(100);
+const START_DELAY_STEP: Span = Span::millis(100);
 
 /// The longest delay before an instance starts to read, however many are preferred to it.
-const MAX_TURN_DELAY: Span = Span::millis(400);
+const MAX_START_DELAY: Span = Span::millis(400);
 
 /// The most endpoints in a change that is sent to others. After a larger change these fetch the whole list in pieces, so that the
 /// reader doesn't send it to all of them at once.
-const MAX_CHANGE: usize = 200;
+const MAX_CHANGED_ENDPOINTS: usize = 200;
 
 /// Decides whether this instance reads the list of endpoints from the store.
 #[derive(Debug, Default)]
@@ -60,8 +60,9 @@
     }
 
     /// Returns whether it has read recently, which makes it count as a reader.
-    pub(super) fn is_fresh(&self, now: Time) -> bool {
-        self.last_read.is_some_and(|at| now.since(at) < FRESH_FOR)
+    pub(super) fn has_read_recently(&self, now: Time) -> bool {
+        self.last_read
+            .is_some_and(|at| now.since(at) < READ_VALIDITY)
     }
 
     /// Decides whether to read, when `ahead` other instances are preferred to this one and `reading` of them read.
@@ -72,8 +73,8 @@
             return;
         }
         let since = *self.too_few_since.get_or_insert(now);
-        let delay = Span(TURN_DELAY.0 * (ahead + 1).saturating_sub(READERS) as u64);
-        self.reads |= now.since(since) >= delay.min(MAX_TURN_DELAY);
+        let delay = Span(START_DELAY_STEP.0 * (ahead + 1).saturating_sub(READERS) as u64);
+        self.reads |= now.since(since) >= delay.min(MAX_START_DELAY);
     }
 }
 
@@ -148,7 +149,7 @@
     /// Sends the changes of the list of endpoints to the members of the data centre that don't read it.
     pub(super) fn send_roster_change(&self, earlier: &Roster, out: &mut Effects) {
         let change = self.roster.changes_since(earlier);
-        if change.changed.len() + change.removed.len() > MAX_CHANGE {
+        if change.changed.len() + change.removed.len() > MAX_CHANGED_ENDPOINTS {
             return;
         }
         let needs_changes = |member: &&Member| {
--- a/src/dispatch/roster.rs
+++ b/src/dispatch/roster.rs
@@ -12,9 +12,9 @@
 /// again within that time.
 const GRACE_PERIOD: Span = Span::millis(2_300);
 
-/// An entry of the list of endpoints.
+/// An entry of the cache.
 #[derive(Debug, Clone, PartialEq)]
-struct Entry {
+struct CachedListing {
     listing: Listing,
     /// When its row went missing during an outage or just after one.
     missing_since: Option<Time>,
@@ -27,7 +27,7 @@
 /// until its endpoint has had time to write it.
 #[derive(Debug, Default)]
 pub struct Cache {
-    entries: BTreeMap<Endpoint, Entry>,
+    entries: BTreeMap<Endpoint, CachedListing>,
     version: u64,
     store: Store,
     changed: bool,
@@ -46,7 +46,7 @@
 }
 
 impl Cache {
-    /// Records that a call to the store failed.
+    /// Records that a call to the store failed: entries that go missing are kept from now on.
     pub fn on_store_failure(&mut self) {
         self.store = Store::Unavailable;
     }
@@ -79,7 +79,7 @@
             let missing_since = old_entries
                 .remove(&listing.id)
                 .and_then(|entry| entry.missing_since);
-            let entry = Entry {
+            let entry = CachedListing {
                 listing: listing.clone(),
                 missing_since,
             };
@@ -90,7 +90,7 @@
     /// Adds or replaces an entry whose row has changed.
     pub fn set(&mut self, listing: Listing, version: u64) {
         let id = listing.id.clone();
-        let entry = Entry {
+        let entry = CachedListing {
             listing,
             missing_since: None,
         };
--- a/src/dispatch/timeout.rs
+++ b/src/dispatch/timeout.rs
@@ -2,7 +2,7 @@
 
 use crate::prelude::*;
 
-/// The shortest timeout: many round trips within a data centre, so that slightly late answers are no failures.
+/// The shortest timeout: many round trips within a data centre, so that slightly late answers don't count as failures.
 const MIN_TIMEOUT: Span = Span::millis(60);
 
 /// The longest timeout: less than half of a lease, so that a poll can be repeated before the lease expires.
