--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -2,6 +2,10 @@
 //!
 //! [`Dispatcher::step`] takes an [`Input`] and returns the [`Output`]s to carry out. It uses no sockets, clocks
 //! or threads, so tests can replay events in any order.
+//!
+//! An instance has three roles. As the [`entry`] of a job it accepts the job from its caller, places its tasks on racks
+//! and answers. As the [`owner`] of racks it runs the tasks on their endpoints. As the coordinator of shards of stored
+//! jobs ([`durable`]) it keeps these jobs in the store and runs them as their entry.
 
 mod announcement;
 mod coordination;
--- a/src/dispatch/durable.rs
+++ b/src/dispatch/durable.rs
@@ -54,7 +54,7 @@
 const LOCK_CHECK_PERIOD: Span = Span::seconds(30);
 
 /// How long an instance doesn't claim a shard again after another one took it over. Without the delay, the two sides of a
-/// network partition would take it from each other by turns, and each takeover pauses its jobs for [`shard::TAKEOVER_DELAY`].
+/// network partition would take it from each other by turns, and each takeover pauses its jobs for `TAKEOVER_DELAY`.
 const RECLAIM_DELAY: Span = Span::seconds(8);
 
 /// An action that the dispatcher takes on a job or one of its tasks.
@@ -145,7 +145,7 @@
         shards.into_iter().flat_map(release).collect()
     }
 
-    /// Requires locks to be confirmed for [`LOCK_CHECK_PERIOD`] from now on.
+    /// Requires locks to be confirmed for `LOCK_CHECK_PERIOD` from now on.
     ///
     /// Called when a member was lost or coordinates the same shard: it may be alive and take shards over.
     pub fn require_lock_checks(&mut self, now: Time) {
--- a/src/dispatch/entry.rs
+++ b/src/dispatch/entry.rs
@@ -97,7 +97,8 @@
     unplaced: Vec<UnplacedTasks>,
     /// Whether a start of a task may have been sent to an endpoint.
     started: bool,
-    /// Whether it was given up: it is answered once all owners have dropped its batches.
+    /// Whether it was given up. If nothing of it may have started, it's answered only once all owners have dropped its
+    /// batches.
     given_up: bool,
     /// Whether a task has used up its attempts.
     failed: bool,
--- a/src/dispatch/message/heartbeat.rs
+++ b/src/dispatch/message/heartbeat.rs
@@ -96,7 +96,7 @@
     pub token: Token,
 }
 
-/// The free resources and the backlog of a rack.
+/// The room of a rack, that is the free resources of its endpoints, and its backlog.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Vacancy {
     /// The rack.
--- a/src/dispatch/owner.rs
+++ b/src/dispatch/owner.rs
@@ -72,7 +72,7 @@
     reported_accepting: usize,
     /// Whether one of its endpoints had spare CPU for other racks' tasks at the last update.
     reported_spare_cpu: bool,
-    /// When its queue is reviewed next, unless an event calls for an earlier review.
+    /// When its queue is reviewed next for tasks that can start, unless an event calls for an earlier review.
     next_review: Time,
 }
 
--- a/src/dispatch/owner/room.rs
+++ b/src/dispatch/owner/room.rs
@@ -1,4 +1,5 @@
-//! Free room of racks as reported to other instances, and tasks that move between racks.
+//! The room of racks, that is the free resources of their endpoints, as reported to other instances, and tasks that move
+//! between racks.
 
 use std::collections::BTreeMap;
 
