--- a/src/dispatch/durable/shard.rs
+++ b/src/dispatch/durable/shard.rs
@@ -544,7 +544,8 @@
         true
     }
 
-    /// Handles a page of rows. After the last page the shard is held and its open jobs are run. Returns whether the shard is kept.
+    /// Handles a page of rows. After the last page the shard is held, and its open jobs are run after [`TAKEOVER_DELAY`].
+    /// Returns whether the shard is kept.
     pub(super) fn on_rows(
         &mut self,
         id: ShardId,
--- a/src/dispatch/endpoint/life.rs
+++ b/src/dispatch/endpoint/life.rs
@@ -164,8 +164,8 @@
         suspected.count()
     }
 
-    /// Returns whether a wanted run here belongs to a strong suspect. Nothing starts beside
-    /// it, as such runs would be lost with it and become suspects too.
+    /// Returns whether a wanted run here belongs to a strong suspect. Nothing starts beside it, as such
+    /// runs would be lost with it and become suspects too.
     pub fn has_strong_suspect(&self) -> bool {
         let mut executions = self.executions.values();
         executions.any(|run| run.suspicion.is_strong() && run.fate == Fate::Restart)
--- a/src/dispatch/member.rs
+++ b/src/dispatch/member.rs
@@ -168,8 +168,8 @@
 
     /// Checks the incarnation and session of a message's sender, and updates the member. `own` is this instance's incarnation.
     ///
-    /// A process that was paused may send messages long after they were written. These carry a session that the receiver has ended,
-    /// so they must be dropped.
+    /// A process that was paused may send messages long after they were written. These carry a session that the receiver has
+    /// ended, so they must be dropped.
     pub fn check_sender(&mut self, from: &Sender, own: u64, now: Time) -> SenderCheck {
         self.add(&from.contact, now);
         let known = self.members.get(&from.contact.name);
--- a/src/dispatch/queue.rs
+++ b/src/dispatch/queue.rs
@@ -34,7 +34,7 @@
     /// The priority of its job's queue; zero goes first.
     priority: u32,
     /// The work of its whole job, in core-milliseconds.
-    job: u64,
+    job_work: u64,
     /// When it must start, or had to start, to be on time.
     due: Time,
     batch: Handle,
@@ -64,6 +64,7 @@
 }
 
 impl Rank {
+    /// Returns the urgency at a time.
     fn urgency(&self, now: Time) -> Urgency {
         match self.due {
             due if due > now => Urgency::OnTime,
@@ -72,16 +73,18 @@
         }
     }
 
+    /// Returns the position of the task with this rank at a time.
     fn position(&self, waiting: Waiting, now: Time) -> Position {
         let urgency = self.urgency(now);
-        let (priority, job) = match urgency {
+        let (priority, job_work) = match urgency {
+            // Overdue tasks are ordered by their due times alone.
             Urgency::Overdue => (0, 0),
             _ => (self.priority, self.job),
         };
         Position {
             urgency,
             priority,
-            job,
+            job_work,
             due: self.due,
             batch: waiting.batch,
             index: waiting.index,
@@ -97,7 +100,7 @@
         }
     }
 
-    /// Returns when its urgency changes.
+    /// Returns when its urgency changes, or `None` if it stays.
     fn changes_at(&self) -> Option<Time> {
         match self.urgency {
             Urgency::OnTime => Some(self.due),
@@ -111,7 +114,8 @@
 ///
 /// Under overload, an order by due time alone would make every task late, each by a little. So late tasks go
 /// behind those that can still be on time. Within each group the priority decides, and then the smallest job goes
-/// first, which serves the most callers with the available room.
+/// first, which serves the most callers with the available room. Tasks that are overdue for long go before all others,
+/// by their due times.
 #[derive(Debug, Default)]
 pub struct Queue {
     positions: BTreeMap<Position, Rank>,
