--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -2,6 +2,10 @@
 //!
 //! [`Dispatcher::step`] takes an [`Input`] and returns the [`Output`]s to carry out. It uses no sockets, clocks
 //! or threads, so tests can replay events in any order.
+//!
+//! An instance has three roles. As the [`entry`] of a job it accepts the job from its caller, places its tasks on racks
+//! and answers. As the [`owner`] of racks it runs the tasks on their endpoints. As the coordinator of shards of stored
+//! jobs ([`durable`]) it keeps these jobs in the store and runs them as their entry.
 
 mod announcement;
 mod coordination;
@@ -56,9 +60,9 @@
         Heartbeat,
         Input,
         Listing,
+        LogRecord,
         Message,
         Output,
-        Record,
         Roster,
         Sender, //
     },
@@ -83,8 +87,8 @@
 /// Interval between audits of batches that have been outstanding for long.
 const AUDIT_INTERVAL: Span = Span::millis(250);
 
-/// Gap between two steps after which an instance treats all that it holds as lapsed. It ticks every few
-/// milliseconds; its peers take over what it owned after [`member::HEARTBEAT_TIMEOUT`].
+/// Gap between two steps after which an instance drops all that it owns. It ticks every few milliseconds, so a longer
+/// gap means that its process was paused; its peers take over what it owned after [`member::HEARTBEAT_TIMEOUT`].
 const MAX_STEP_GAP: Span = Span::millis(450);
 
 /// Interval between checks for members that have been silent too long: a tenth of the heartbeat interval.
@@ -142,7 +146,7 @@
     pub waiting_tasks: usize,
     /// Task runs in progress on its endpoints.
     pub runs: usize,
-    /// Endpoints that accept tasks.
+    /// Endpoints that answer and have no unknown runs; some of them may get no tasks for other reasons.
     pub open_endpoints: usize,
     /// Racks that it owns.
     pub racks: usize,
@@ -162,7 +166,7 @@
     entry: Entry,
     owner: Owner,
     /// Shards of stored jobs that this instance coordinates.
-    durable: Coordinator,
+    coordinator: Coordinator,
     /// Callers' requests about stored jobs that wait for the coordinator's answer.
     requests: Requests,
     documents: Documents,
@@ -170,7 +174,7 @@
     evacuation: Evacuation,
     roster: Roster,
     has_roster: bool,
-    reading: Reader,
+    reader: Reader,
     /// The owner and token of each rack that another instance owns.
     rack_owners: Rc<HashMap<RackId, (Instance, Token)>>,
     /// The change counters of the members' claims and of the own ones that `rack_owners` was built from.
@@ -210,7 +214,7 @@
                 identity.centre.as_str(),
             ),
             owner: Owner::new(&identity.contact.name),
-            durable: Coordinator::new(format!(
+            coordinator: Coordinator::new(format!(
                 "{} {}",
                 identity.contact.name, identity.incarnation
             )),
@@ -222,7 +226,7 @@
             evacuation: Evacuation::default(),
             roster: Roster::default(),
             has_roster: false,
-            reading: Reader::default(),
+            reader: Reader::default(),
             rack_owners: Rc::default(),
             claim_counts: None,
             former_owners: BTreeMap::new(),
@@ -272,8 +276,8 @@
             .is_some_and(|since| now.since(since) >= DRAIN_ACCEPT_PERIOD)
     }
 
-    /// Returns whether the drain is complete: all jobs and requests are answered, and callers that came after the
-    /// instance had stopped accepting jobs had time to be refused.
+    /// Returns whether the drain is complete: all jobs and requests are answered, no batch runs here, and callers
+    /// that came after the instance had stopped accepting jobs had time to be refused.
     fn is_drained(&self, now: Time) -> bool {
         let elapsed =
             |since| now.since(since) >= DRAIN_ACCEPT_PERIOD + CONNECTION_GRACE + CONNECTION_GRACE;
@@ -370,6 +374,7 @@
         }
     }
 
+    /// Passes an input to the component that handles it.
     fn on_input(&mut self, now: Time, input: Input, out: &mut Effects) {
         match input {
             Input::Submitted(arrival) => self.on_submission(*arrival, now, out),
@@ -386,8 +391,8 @@
                 self.send_due_requests(now, out);
             }
             Input::StoreReplied { call, reply } => {
-                let acts = self.durable.on_store_reply(call, reply, now, out);
-                self.apply_actions(acts, now, out);
+                let actions = self.coordinator.on_store_reply(call, reply, now, out);
+                self.apply_actions(actions, now, out);
                 self.call_store(now, out);
             }
             Input::Cancelled(job) => {
@@ -395,7 +400,9 @@
                     self.broadcast(Message::CancelJob(job), out);
                 }
             }
-            Input::Configured(configuration) => self.configure(*configuration, "store", out),
+            Input::Configured(configuration) => {
+                self.apply_configuration(*configuration, "store", out)
+            }
             Input::Evacuated(evacuation) => self.apply_evacuation(evacuation, "store", now, out),
             Input::EvacuationChanged(change) => {
                 if let Some(evacuation) = self.evacuation.with_change(&change) {
@@ -407,7 +414,7 @@
                 self.apply_roster(roster, now, out);
                 self.send_roster_change(&earlier, out);
             }
-            Input::RosterRead(done) => self.reading.on_read(done, now),
+            Input::RosterRead(done) => self.reader.on_read(done, now),
             Input::MembersFound(contacts) => {
                 for contact in contacts {
                     self.on_member_found(&contact, now, out);
@@ -428,7 +435,7 @@
             }
             Input::Drain => {
                 self.draining_since.get_or_insert(now);
-                out.outputs.push(Output::Log(Record::new("draining")));
+                out.outputs.push(Output::Log(LogRecord::new("draining")));
                 self.announced_at = Time::default();
                 self.on_tick(now, out);
             }
@@ -444,7 +451,7 @@
             host,
             path,
             submission,
-            wait,
+            wait: time_limit,
         } = arrival;
         let Some(configuration) = &self.configuration else {
             return out.outputs.push(Output::Answer(ticket, Answer::Unready));
@@ -460,18 +467,19 @@
         }
         if !submission.best_effort {
             let route = route.clone();
-            return self.submit_stored(ticket, submission, &route, wait, now, out);
+            return self.submit_stored(ticket, submission, &route, time_limit, now, out);
         }
-        self.entry.submit(ticket, submission, route, wait, now, out);
+        self.entry
+            .submit(ticket, submission, route, time_limit, now, out);
     }
 
     /// Puts a configuration in force, unless the current one is as new.
-    fn configure(&mut self, configuration: Configuration, from: &str, out: &mut Effects) {
+    fn apply_configuration(&mut self, configuration: Configuration, from: &str, out: &mut Effects) {
         let current = self.configuration.as_ref().map(|c| c.version);
         if current.is_some_and(|current| current >= configuration.version) {
             return;
         }
-        let record = Record::new("configuration_applied").with("version", configuration.version);
+        let record = LogRecord::new("configuration_applied").with("version", configuration.version);
         out.outputs.push(Output::Log(record.with("from", from)));
         let same_services = self
             .configuration
@@ -502,7 +510,7 @@
         let returned = previous.centres.difference(centres);
         let returned = returned.map(|centre| ("centre_returned", centre));
         for (event, centre) in evacuated.chain(returned) {
-            let record = Record::new(event).with("centre", centre.as_str());
+            let record = LogRecord::new(event).with("centre", centre.as_str());
             let record = record.with("version", self.evacuation.version);
             out.outputs.push(Output::Log(record.with("from", from)));
         }
@@ -542,7 +550,7 @@
             return;
         }
         if self.members.add(contact, now) {
-            let record = Record::new("member_found").with("member", contact.name.as_str());
+            let record = LogRecord::new("member_found").with("member", contact.name.as_str());
             out.outputs.push(Output::Log(record));
             self.send_heartbeats(slice::from_ref(&contact.name), &[], now, out);
         }
@@ -556,10 +564,10 @@
         out: &mut Effects,
     ) {
         let claims = self.members.claim_changes();
-        let movable = |(_, heartbeat): &(Sender, Heartbeat)| {
+        let has_movable = |(_, heartbeat): &(Sender, Heartbeat)| {
             heartbeat.rooms.iter().any(|vacancy| vacancy.movable > 0)
         };
-        let movable = heartbeats.iter().any(movable);
+        let any_movable = heartbeats.iter().any(has_movable);
         for (from, heartbeat) in heartbeats {
             if !self.check_sender(&from, now, out) {
                 continue;
@@ -584,7 +592,7 @@
             }
             if is_live && !was_live {
                 self.startup.on_member_heard(self.members.get(name), now);
-                self.durable.recheck_empty();
+                self.coordinator.recheck_empty();
                 self.introduce(&from.contact, now, out);
             }
         }
@@ -592,7 +600,7 @@
         if self.members.claim_changes() != claims {
             self.update_ownership(now, out);
         }
-        if movable {
+        if any_movable {
             self.request_waiting_tasks(now, out);
         }
     }
@@ -609,7 +617,7 @@
             .check_sender(from, self.identity.incarnation, now)
         {
             SenderCheck::Stale => {
-                let record = Record::new("messages_stale").with("member", name.as_str());
+                let record = LogRecord::new("messages_stale").with("member", name.as_str());
                 out.outputs.push(Output::Log(record));
                 return false;
             }
@@ -619,7 +627,7 @@
                     self.former_owners
                         .retain(|_, former| former.owner.as_ref() != Some(name));
                 }
-                let record = Record::new("session_begun").with("member", name.as_str());
+                let record = LogRecord::new("session_begun").with("member", name.as_str());
                 let record = record.with("session", from.session);
                 out.outputs.push(Output::Log(record));
                 self.owner.drop_entry(name, out);
@@ -649,6 +657,7 @@
         heard.is_some_and(|at| now.since(at) > MAX_SENDER_SILENCE)
     }
 
+    /// Handles a message of a peer, or one of this instance to itself.
     fn on_message(&mut self, from: &Contact, message: Message, now: Time, out: &mut Effects) {
         match message {
             Message::Members(contacts) => {
@@ -667,11 +676,11 @@
                 done,
                 started,
             } => {
-                let failed = self
+                let failed_job = self
                     .entry
                     .on_batch_ended(serial, outcome, done, started, now, out);
-                if let Some(act) = failed.and_then(|job| self.durable.fail_job(job)) {
-                    self.apply_actions(vec![act], now, out);
+                if let Some(action) = failed_job.and_then(|job| self.coordinator.fail_job(job)) {
+                    self.apply_actions(vec![action], now, out);
                     self.call_store(now, out);
                 }
             }
@@ -702,7 +711,7 @@
                 self.entry
                     .on_batch_moved(serial, to.clone(), moves, now, out);
                 if owner_lost {
-                    // The new owner was given up before the move was heard, so no other event takes the batch back.
+                    // The new owner was declared lost before the move was heard, so no other event takes the batch back.
                     self.entry.on_owner_lost(&to, now, out);
                 }
             }
@@ -733,8 +742,8 @@
                 let batch = end.batch.as_ref().filter(|(entry, _)| entry == own);
                 let batch = batch.map(|(_, serial)| *serial);
                 let batch = batch.filter(|serial| self.entry.has_batch(*serial));
-                let act = self.durable.on_run_end(from, &end, batch, out);
-                self.apply_actions(act.into_iter().collect(), now, out);
+                let action = self.coordinator.on_run_end(from, &end, batch, out);
+                self.apply_actions(action.into_iter().collect(), now, out);
                 self.call_store(now, out);
             }
             Message::Noted {
@@ -748,9 +757,9 @@
 
     /// Drops everything that peers have taken over, after the process was paused for longer than they wait.
     fn on_process_pause(&mut self, now: Time, out: &mut Effects) {
-        out.outputs.push(Output::Log(Record::new("awoke")));
-        let acts = self.durable.release_all(out);
-        self.apply_actions(acts, now, out);
+        out.outputs.push(Output::Log(LogRecord::new("awoke")));
+        let actions = self.coordinator.release_all(out);
+        self.apply_actions(actions, now, out);
         self.owner.reset(&self.identity.contact.name);
         for member in self.members.expire_all(now) {
             out.outputs.push(Output::BeginSession {
@@ -773,7 +782,7 @@
         self.expired_at = now;
         for member in self.members.expire(now) {
             let name = member.contact.name.clone();
-            let record = Record::new("member_lost").with("member", name.as_str());
+            let record = LogRecord::new("member_lost").with("member", name.as_str());
             let heard = member.last_heard.unwrap_or(now);
             out.outputs
                 .push(Output::Log(record.with("silent_ms", now.since(heard))));
@@ -786,7 +795,7 @@
             self.add_former_owner(&name, &claims, now);
             self.owner.drop_entry(&name, out);
             self.entry.on_owner_lost(&name, now, out);
-            self.durable.require_lock_checks(now);
+            self.coordinator.require_lock_checks(now);
         }
     }
 
--- a/src/dispatch/owner/handover.rs
+++ b/src/dispatch/owner/handover.rs
@@ -16,13 +16,13 @@
             Handover,
             HeldBatch,
             Listing,
+            LogRecord,
             Message,
-            Record,
             TransferredRun, //
         },
         queue::Waiting, //
     },
-    given_up::Key,
+    cancelled::Key,
     Effects,
     Owner,
     TaskState, //
@@ -80,7 +80,7 @@
         for id in &ids {
             self.remove_endpoint_state(id);
         }
-        let record = Record::new("rack_handed_over").with("rack", rack.to_string());
+        let record = LogRecord::new("rack_handed_over").with("rack", rack.to_string());
         out.log(record.with("to", to.name.as_str()));
         Some(Handover {
             rack,
@@ -116,7 +116,7 @@
             });
             let tasks = held.batch.tasks.iter().copied().zip(states).collect();
             let key = (held.entry.name.clone(), held.batch.serial);
-            if self.given_up.contains(&key) || self.lost_entries.contains(&held.entry.name) {
+            if self.cancelled.contains(&key) || self.lost_entries.contains(&held.entry.name) {
                 unwanted.push(key);
             }
             self.announce_moved(&held, out);
@@ -183,7 +183,7 @@
             let Some(assignment) = self.assignments.get(&handle) else {
                 continue;
             };
-            let record = Record::new("batch_abandoned").job(assignment.batch.job);
+            let record = LogRecord::new("batch_abandoned").job(assignment.batch.job);
             out.log(record.with("entry", key.0.as_str()));
             // The entry may be alive and have only begun a new session with this instance.
             assignment.return_to_entry(out);
--- a/src/dispatch/owner/probe.rs
+++ b/src/dispatch/owner/probe.rs
@@ -22,7 +22,7 @@
 };
 use crate::prelude::*;
 
-/// Time between probes of a rack. Leases of a dead owner expire within half a second of its silence.
+/// Time between probes of a rack. Leases of a dead owner expire within half a second after it is declared lost.
 const PROBE_INTERVAL: Span = Span::millis(100);
 
 /// Timeout of a probe.
@@ -32,7 +32,9 @@
 #[derive(Debug)]
 pub(super) struct Probe {
     pending: HashSet<CallId>,
+    /// The number of endpoints that have listed their runs.
     answered: usize,
+    /// Whether an endpoint lists a run or has refused the token.
     running: bool,
     /// When the next probe may be sent.
     next_probe: Time,
@@ -40,11 +42,11 @@
 
 /// Whether a rack can be taken over from a silent owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Availability {
     /// Nothing runs there.
     Free,
     /// Not known yet, or its owner still extends leases there, or no endpoint can be reached.
-    Wait,
+    Unconfirmed,
 }
 
 impl Owner {
@@ -61,15 +63,15 @@
         listings: &[Listing],
         now: Time,
         out: &mut Effects,
-    ) -> Verdict {
+    ) -> Availability {
         if let Some(probe) = self.probes.get(&rack) {
             let complete = probe.pending.is_empty();
             if complete && probe.answered > 0 && !probe.running {
                 self.probes.remove(&rack);
-                return Verdict::Free;
+                return Availability::Free;
             }
             if !complete || now < probe.next_probe {
-                return Verdict::Wait;
+                return Availability::Unconfirmed;
             }
         }
         let mut probe = Probe {
@@ -88,18 +90,18 @@
                 call,
                 endpoint: listing.id.clone(),
                 address: listing.address.clone(),
-                order: Order::Look {
+                order: Order::Poll {
                     lease: None,
                     token,
-                    seen: 0,
+                    acknowledged: 0,
                     wait: Span(0),
                 },
                 timeout: PROBE_TIMEOUT,
-                fresh: false,
+                new_connection: false,
             });
         }
         self.probes.insert(rack, probe);
-        Verdict::Wait
+        Availability::Unconfirmed
     }
 
     /// Records an endpoint's reply to a probe. One that rejects the token has another owner.
--- a/src/dispatch/owner/suspects.rs
+++ b/src/dispatch/owner/suspects.rs
@@ -1,10 +1,10 @@
 //! Tasks that crash their endpoints.
 //!
 //! A task may crash every endpoint that starts it, and would empty a data centre if it were started again without
-//! limit. So the tasks that ran on a crashed endpoint are suspects, and each goes on alone: harmless ones end
-//! there and are cleared. A job fails when a second endpoint crashes under its task. A crash may be confirmed
-//! only after its tasks have gone on beside each other; a task that shared both crashes with another gets one
-//! more run.
+//! limit. So the tasks that ran on a crashed endpoint are suspects. Each starts again where the fewest runs are, and
+//! nothing starts beside it: a harmless task ends there and is cleared. A job fails when a second endpoint crashes
+//! under its task. The crash of a silent endpoint is confirmed late, when its tasks may already share their next
+//! endpoint; a task that shared both crashes with another suspect gets one more run.
 
 use super::{
     super::{
@@ -14,8 +14,8 @@
             TaskId, //
         },
         message::{
+            LogRecord,
             Outcome,
-            Record,
             Suspicion, //
         },
         queue::Handle, //
@@ -34,6 +34,7 @@
 const MAX_HOLD: Span = Span::seconds(6);
 
 impl Owner {
+    /// Returns the state of an unfinished task of a batch.
     fn task_mut(&mut self, task: TaskId, handle: Handle) -> Option<&mut TaskState> {
         let assignment = self.assignments.get_mut(&handle)?;
         assignment.tasks.get_mut(&task.index)
@@ -96,11 +97,11 @@
         suspicion.crashes += 1;
         suspicion.sole_crashes += u32::from(sole);
         if silent {
-            suspicion.on_endpoint_heard();
+            suspicion.clear_silence();
         }
         let suspicion = *suspicion;
         self.update_suspicion(&task, suspicion);
-        let record = Record::new("run_crashed").job(task.job);
+        let record = LogRecord::new("run_crashed").job(task.job);
         let record = record.with("task", task.to_string());
         let record = record.with("endpoint", id.as_str());
         let record = record.with("crashes", suspicion.crashes);
@@ -126,7 +127,7 @@
         let Some(task_state) = self.task_mut(task, handle) else {
             return;
         };
-        task_state.suspicion.on_endpoint_heard();
+        task_state.suspicion.clear_silence();
         let suspicion = task_state.suspicion;
         self.update_suspicion(&task, suspicion);
         self.release_task(task, handle, now);
--- a/src/dispatch/requests.rs
+++ b/src/dispatch/requests.rs
@@ -13,10 +13,10 @@
         Contact,
         JobState,
         Knowledge,
+        LogRecord,
         Message,
         Output,
         Question,
-        Record,
         Ticket,
         Verdict, //
     },
@@ -68,6 +68,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Requests {
     open: BTreeMap<u64, Request>,
+    /// The serial number of the last request.
     last_serial: u64,
 }
 
@@ -90,7 +91,7 @@
         ticket: Ticket,
         submission: Submission,
         route: &Route,
-        wait: Option<Span>,
+        time_limit: Option<Span>,
         now: Time,
         out: &mut Effects,
     ) {
@@ -107,7 +108,7 @@
             objective: route.objective(submission.critical_path()),
             submission,
         };
-        let limit = wait.unwrap_or(route.timeout);
+        let limit = time_limit.unwrap_or(route.timeout);
         let limit = Span((limit.0 as f64 * TIME_LIMIT_SHARE) as u64).min(MAX_ACCEPT_TIMEOUT);
         self.begin_request(ticket, job, Question::Accept(Box::new(record)), limit, now);
         self.send_due_requests(now, out);
@@ -145,8 +146,11 @@
         let mut expired = Vec::new();
         for (serial, request) in &mut self.requests.open {
             // A job that no coordinator can have accepted is refused early.
-            let idle = request.unconfirmed == 0 && now.since(request.began_at) >= REFUSAL_TIMEOUT;
-            if now >= request.deadline || idle && matches!(request.question, Question::Accept(_)) {
+            let refusable =
+                request.unconfirmed == 0 && now.since(request.began_at) >= REFUSAL_TIMEOUT;
+            if now >= request.deadline
+                || refusable && matches!(request.question, Question::Accept(_))
+            {
                 expired.push(*serial);
                 continue;
             }
@@ -170,7 +174,7 @@
             let Some(request) = self.requests.open.remove(&serial) else {
                 continue;
             };
-            let record = Record::new("request_unanswered").job(request.job);
+            let record = LogRecord::new("request_unanswered").job(request.job);
             out.outputs.push(Output::Log(record));
             let answer = match (&request.question, request.unconfirmed) {
                 (Question::Accept(_), 1..) => Answer::GivenUp { again: RETRY_DELAY },
@@ -227,16 +231,18 @@
             let message = Message::Verdict { serial, verdict };
             return out.messages.push((from.clone(), message));
         }
-        let act = self
-            .durable
+        let action = self
+            .coordinator
             .on_request(from, serial, job, question, now, out);
-        if let Some(act) = act {
-            self.apply_actions(vec![act], now, out);
+        if let Some(action) = action {
+            self.apply_actions(vec![action], now, out);
         }
     }
 
+    /// Returns the state of a stored job as its caller sees it, or `None` if the job isn't stored here or a change of
+    /// its state isn't yet.
     fn job_state(&self, job: JobId) -> Option<JobState> {
-        let state = self.durable.stored_state(job)?.into();
+        let state = self.coordinator.stored_state(job)?.into();
         let queued = state == JobState::Running && !self.entry.has_started(job);
         Some(if queued { JobState::Queued } else { state })
     }
@@ -244,8 +250,8 @@
     /// Returns a rejection for a new job that can't end in useful time, before anything of it is stored.
     fn check_capacity(&self, job: JobId, record: &AcceptedJob) -> Option<Verdict> {
         // Jobs that a former coordinator accepted must stay accepted; they're known once the shard is loaded.
-        let held = self.durable.knowledge(job.shard()) == Some(Knowledge::Held);
-        if !held || self.durable.contains(job) {
+        let held = self.coordinator.knowledge(job.shard()) == Some(Knowledge::Held);
+        if !held || self.coordinator.contains(job) {
             return None;
         }
         let needed = self
