--- a/src/trace/line.rs
+++ b/src/trace/line.rs
@@ -56,7 +56,7 @@
 
 impl Line {
     /// Returns the value of a field if it is a string.
-    pub fn text(&self, field: &str) -> Option<&str> {
+    pub fn string_field(&self, field: &str) -> Option<&str> {
         self.fields.get(field).and_then(Value::as_str)
     }
 
@@ -65,7 +65,9 @@
         if let Some(Id(id)) = self.job {
             return id == job;
         }
-        let digits = self.text("task").and_then(|task| task.split('.').next());
+        let digits = self
+            .string_field("task")
+            .and_then(|task| task.split('.').next());
         digits.is_some_and(|digits| digits.parse() == Ok(job))
     }
 
--- a/src/trace/scope.rs
+++ b/src/trace/scope.rs
@@ -45,9 +45,11 @@
         self.first_ms = self.first_ms.min(line.time_ms);
         self.last_ms = self.last_ms.max(line.time_ms);
         self.instances.insert(line.instance.to_string());
-        let named = ["owner", "entry"].iter().filter_map(|f| line.text(f));
+        let named = ["owner", "entry"]
+            .iter()
+            .filter_map(|f| line.string_field(f));
         self.instances.extend(named.map(str::to_owned));
-        let endpoint = line.text("endpoint").map(str::to_owned);
+        let endpoint = line.string_field("endpoint").map(str::to_owned);
         self.endpoints.extend(endpoint);
         if STORED_JOB_EVENTS.contains(&line.event.as_str()) {
             self.shard = Some(self.job.shard().to_string());
@@ -69,13 +71,13 @@
         if self.shard.is_some() && line.event.starts_with(STORE_EVENT_PREFIX) {
             return true;
         }
-        if let Some(endpoint) = line.text("endpoint") {
+        if let Some(endpoint) = line.string_field("endpoint") {
             return self.endpoints.contains(endpoint) || self.reached_no_endpoint();
         }
-        if let Some(shard) = line.text("shard") {
+        if let Some(shard) = line.string_field("shard") {
             return self.shard.as_deref() == Some(shard);
         }
-        let rack = line.text("rack").is_some();
+        let rack = line.string_field("rack").is_some();
         self.involves_instance(line) || rack && self.reached_no_endpoint()
     }
 
@@ -90,7 +92,7 @@
     ///
     /// Lines about racks are matched by instance, since the rack names in batch events aren't unique across data centres.
     fn involves_instance(&self, line: &Line) -> bool {
-        let named = ["member", "to"].iter().filter_map(|f| line.text(f));
+        let named = ["member", "to"].iter().filter_map(|f| line.string_field(f));
         named
             .chain([line.instance.as_str()])
             .any(|name| self.instances.contains(name))
