--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -169,7 +169,7 @@
         let Ok(body) = serde_json::to_vec(start) else {
             return End::Withheld;
         };
-        let idle = lock(&self.pool).take(address);
+        let idle = lock(&self.pool).take_idle(address);
         let connection = match idle {
             Some(connection) => Ok(connection),
             None => Connection::open(address).await,
--- a/src/http.rs
+++ b/src/http.rs
@@ -226,7 +226,7 @@
     }
 
     /// Removes and returns the most recently used connection to an address that is open and hasn't expired.
-    pub fn take(&mut self, address: &str) -> Option<Connection> {
+    pub fn take_idle(&mut self, address: &str) -> Option<Connection> {
         let idle = self.idle.get_mut(address)?;
         let now = Instant::now();
         while let Some((idle_since, connection)) = idle.pop() {
@@ -258,7 +258,7 @@
     }
 
     /// Closes the idle connections to an address.
-    pub fn remove(&mut self, address: &str) {
+    pub fn close_idle(&mut self, address: &str) {
         self.idle.remove(address);
     }
 
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -6,10 +6,10 @@
 pub mod heartbeats;
 pub mod hub;
 pub mod inbox;
+pub mod job_store;
 pub mod journal;
 pub mod metrics;
 pub mod peers;
-pub mod rows;
 
 use std::{
     net::SocketAddr,
@@ -42,9 +42,9 @@
         now,
         Hub, //
     },
+    job_store::JobStore,
     journal::Journal,
-    peers::Peers,
-    rows::JobStore,
+    peers::Peers, //
 };
 use crate::{
     clock::unix_millis,
@@ -92,13 +92,13 @@
 }
 
 async fn serve(settings: Settings) -> Result<(), Error> {
-    let caller_listener = listen("callers", settings.callers)?;
-    let ready_listener = listen("readiness", settings.ready)?;
-    let peer_listener = listen("peers", settings.peers)?;
-    let metrics_address = SocketAddr::new(settings.ready.ip(), METRICS_PORT);
+    let caller_listener = listen("callers", settings.caller_address)?;
+    let ready_listener = listen("readiness", settings.readiness_address)?;
+    let peer_listener = listen("peers", settings.peer_address)?;
+    let metrics_address = SocketAddr::new(settings.readiness_address.ip(), METRICS_PORT);
     let contact = Contact {
         name: settings.name.clone(),
-        address: settings.peers.to_string(),
+        address: settings.peer_address.to_string(),
     };
     let identity = Identity {
         contact: contact.clone(),
@@ -107,7 +107,7 @@
         share: settings.share,
         epoch: Epoch(unix_millis() / 1_000),
     };
-    let heartbeat_socket = UdpSocket::bind(settings.peers).await;
+    let heartbeat_socket = UdpSocket::bind(settings.peer_address).await;
     let heartbeat_socket = heartbeat_socket.map_err(|source| Error::Listen {
         what: "heartbeats",
         address: contact.address.clone(),
@@ -115,7 +115,7 @@
     })?;
     let journal = Journal::open(settings.name.clone())?;
     let dispatcher = Dispatcher::new(identity.clone(), now());
-    let peers = Peers::new(identity, settings.peers.ip());
+    let peers = Peers::new(identity, settings.peer_address.ip());
     let heartbeats = Heartbeats::new(heartbeat_socket);
     let hub = Hub::new(
         dispatcher,
@@ -123,11 +123,15 @@
         EndpointClient::new(),
         peers,
         heartbeats,
-        JobStore::new(settings.store.clone()),
+        JobStore::new(settings.store_address.clone()),
     );
     let record = Record::new("started").with("centre", settings.centre.as_str());
     hub.log(&record.with("peers", contact.address.as_str()));
-    spawn_local(front::serve(hub.clone(), caller_listener, settings.sockets));
+    spawn_local(front::serve(
+        hub.clone(),
+        caller_listener,
+        settings.max_sockets,
+    ));
     spawn_local(front::serve_health(hub.clone(), ready_listener));
     match listen("metrics", metrics_address) {
         Ok(listener) => {
@@ -138,7 +142,7 @@
     }
     spawn_local(peers::serve(hub.clone(), peer_listener));
     spawn_local(heartbeats::serve(hub.clone()));
-    let store = settings.store.clone();
+    let store = settings.store_address.clone();
     spawn_local(feeds::follow_operator_table(hub.clone(), store.clone()));
     spawn_local(feeds::follow_endpoints(hub.clone(), store.clone()));
     let seeds = seed_contacts(&settings);
@@ -156,7 +160,7 @@
 
 /// Returns the other instances among the seeds. A seed goes by its address until it sends its name.
 fn seed_contacts(settings: &Settings) -> Vec<Contact> {
-    let own = settings.peers.to_string();
+    let own = settings.peer_address.to_string();
     let others = settings.seeds.iter().filter(|seed| **seed != own);
     let contact = |seed: &String| {
         let name = seed.parse::<Instance>().ok()?;
--- a/src/instance/calls.rs
+++ b/src/instance/calls.rs
@@ -83,7 +83,7 @@
 
     /// Closes the idle connections to an endpoint.
     pub fn close_idle(&self, address: &str) {
-        self.pool.borrow_mut().remove(address);
+        self.pool.borrow_mut().close_idle(address);
     }
 }
 
@@ -105,7 +105,7 @@
             hub.endpoints.close_idle(address);
             None
         }
-        false => hub.endpoints.pool.borrow_mut().take(address),
+        false => hub.endpoints.pool.borrow_mut().take_idle(address),
     };
     if idle.is_none() {
         hub.metrics.count_connection();
--- a/src/instance/feeds.rs
+++ b/src/instance/feeds.rs
@@ -170,14 +170,14 @@
     /// Reads a whole table. The version is that of the first page, so that later changes are read again from there.
     async fn fetch_table(&mut self, table: &str) -> Result<(Vec<Row>, u64), Failure> {
         let first = self
-            .fetch_page(&store::table_path(table, None), Span(0))
+            .fetch_page(&store::build_table_path(table, None), Span(0))
             .await?;
         let version = first.version;
         let (mut rows, mut more) = (first.rows, first.more);
         while more {
             let after = rows.last().map(|row| row.key.clone());
             let next = self
-                .fetch_page(&store::table_path(table, after.as_deref()), Span(0))
+                .fetch_page(&store::build_table_path(table, after.as_deref()), Span(0))
                 .await?;
             more = next.more && !next.rows.is_empty();
             rows.extend(next.rows);
@@ -195,7 +195,7 @@
             return self.fetch_table(table).await;
         };
         let page = self
-            .fetch_page(&store::feed_path(table, after, POLL_WAIT), POLL_WAIT)
+            .fetch_page(&store::build_feed_path(table, after, POLL_WAIT), POLL_WAIT)
             .await?;
         Ok((page.rows, page.version))
     }
@@ -256,12 +256,12 @@
     let exists = |row: &&Row| row.content != Content::Deleted;
     if let Some(version) = whole {
         let rows = rows.iter().filter(exists);
-        let centres = rows.filter_map(|row| record::evacuated_centre(&row.key));
+        let centres = rows.filter_map(|row| record::parse_evacuation_key(&row.key));
         let centres = centres.map(str::to_owned).collect();
         return hub.handle(Input::Evacuated(Evacuation { version, centres }));
     }
     for row in rows {
-        if let Some(centre) = record::evacuated_centre(&row.key) {
+        if let Some(centre) = record::parse_evacuation_key(&row.key) {
             hub.handle(Input::EvacuationChanged(Change {
                 centre: centre.to_owned(),
                 evacuated: exists(&row),
--- a/src/instance/front.rs
+++ b/src/instance/front.rs
@@ -334,7 +334,7 @@
     };
     if rest.is_empty() && request.method() == Method::GET {
         let pending = hub.with_dispatcher(|dispatcher| dispatcher.count_pending(&route.name));
-        return json_response(StatusCode::OK, ingress::queue_body(pending));
+        return json_response(StatusCode::OK, ingress::encode_pending_count(pending));
     }
     let Ok(id) = rest.parse::<JobId>() else {
         let text = "the path must end in a job ID of 16 hexadecimal digits";
@@ -343,7 +343,7 @@
     match *request.method() {
         Method::POST => submit(hub, request, &route, id, host, path).await,
         Method::GET if hub.with_dispatcher(|d| d.has_job(id)) => {
-            json_response(StatusCode::OK, ingress::state_body(JobState::Running))
+            json_response(StatusCode::OK, ingress::encode_state(JobState::Running))
         }
         Method::GET => query_stored_job(hub, id, Question::State).await,
         Method::DELETE => {
@@ -430,11 +430,11 @@
 fn answer_response(answer: Answer) -> Response<Full<Bytes>> {
     match answer {
         Answer::Completed => {
-            json_response(StatusCode::OK, ingress::state_body(JobState::Completed))
+            json_response(StatusCode::OK, ingress::encode_state(JobState::Completed))
         }
-        Answer::Failed => json_response(StatusCode::OK, ingress::state_body(JobState::Failed)),
-        Answer::Accepted => json_response(StatusCode::OK, ingress::state_body(JobState::Queued)),
-        Answer::Standing(state) => json_response(StatusCode::OK, ingress::state_body(state)),
+        Answer::Failed => json_response(StatusCode::OK, ingress::encode_state(JobState::Failed)),
+        Answer::Accepted => json_response(StatusCode::OK, ingress::encode_state(JobState::Queued)),
+        Answer::Standing(state) => json_response(StatusCode::OK, ingress::encode_state(state)),
         Answer::Unknown => error_response(StatusCode::GONE, "unknown job"),
         Answer::GivenUp { again } => {
             let text = "the job can't finish in time; some of its tasks may have run and are being stopped";
@@ -479,7 +479,7 @@
 }
 
 fn error_response(status: StatusCode, text: &str) -> Response<Full<Bytes>> {
-    json_response(status, ingress::error_body(text))
+    json_response(status, ingress::encode_error(text))
 }
 
 fn json_response(status: StatusCode, body: Vec<u8>) -> Response<Full<Bytes>> {
--- a/src/instance/hub.rs
+++ b/src/instance/hub.rs
@@ -20,11 +20,11 @@
 
 use super::{
     calls::EndpointClient,
-    heartbeats::Heartbeats, //
+    heartbeats::Heartbeats,
+    job_store::JobStore,
     journal::Journal,
     metrics::Metrics,
-    peers::Peers,
-    rows::JobStore,
+    peers::Peers, //
 };
 use crate::{
     dispatch::{
--- a/src/instance/job_store.rs
+++ b/src/instance/job_store.rs
@@ -81,11 +81,11 @@
         let (method, path, body) = match request {
             StoreRequest::Read { shard, after } => {
                 let part = shard.to_string();
-                let path = store::range_path(record::JOB_TABLE, &part, after.as_deref());
+                let path = store::build_range_path(record::JOB_TABLE, &part, after.as_deref());
                 (Method::GET, path, Vec::new())
             }
             StoreRequest::Find { shard, key } => {
-                let path = store::row_path(record::JOB_TABLE, &shard.to_string(), key);
+                let path = store::build_row_path(record::JOB_TABLE, &shard.to_string(), key);
                 (Method::GET, path, Vec::new())
             }
             StoreRequest::Write {
@@ -100,7 +100,7 @@
                 (Method::POST, path, body)
             }
         };
-        let idle = self.pool.borrow_mut().take(&self.address);
+        let idle = self.pool.borrow_mut().take_idle(&self.address);
         let request = http::build_json_request(method, &self.address, &path, Bytes::from(body));
         let answer = http::exchange(idle, &self.address, request).await;
         let (reply, connection) = answer.ok()?;
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -167,7 +167,7 @@
 }
 
 /// Encodes a job's state.
-pub fn state_body(state: JobState) -> Vec<u8> {
+pub fn encode_state(state: JobState) -> Vec<u8> {
     let state = match state {
         JobState::Queued => "queued",
         JobState::Running => "running",
@@ -179,12 +179,12 @@
 }
 
 /// Encodes the number of a queue's jobs of which no task has started.
-pub fn queue_body(pending: u32) -> Vec<u8> {
+pub fn encode_pending_count(pending: u32) -> Vec<u8> {
     encode(&QueueBody { pending })
 }
 
 /// Encodes why a request was not served.
-pub fn error_body(error: &str) -> Vec<u8> {
+pub fn encode_error(error: &str) -> Vec<u8> {
     encode(&ErrorBody { error })
 }
 
--- a/src/platform/record.rs
+++ b/src/platform/record.rs
@@ -109,7 +109,7 @@
 }
 
 /// Returns the data centre that a row of the operator's table evacuates, or `None` if it isn't such a row.
-pub fn evacuated_centre(key: &str) -> Option<&str> {
+pub fn parse_evacuation_key(key: &str) -> Option<&str> {
     key.strip_prefix(EVACUATION_PREFIX)
 }
 
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -26,17 +26,17 @@
     /// The instance's IP address.
     pub ip: String,
     /// The address at which callers connect.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// The address at which the platform checks readiness.
-    pub ready: SocketAddr,
+    pub readiness_address: SocketAddr,
     /// The address at which peers connect and heartbeats arrive.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Addresses of some peers, which may have left.
     pub seeds: Vec<String>,
     /// The address of the store.
-    pub store: String,
+    pub store_address: String,
     /// The most sockets that may be open at once.
-    pub sockets: usize,
+    pub max_sockets: usize,
     /// The instance's share of the processor, in thousandths of a core.
     pub share: u32,
     /// The time between SIGTERM and SIGKILL.
@@ -141,15 +141,15 @@
         name,
         centre: file.zone,
         ip: file.ip,
-        callers: file.listen_addrs.front,
-        ready: file.listen_addrs.ready,
-        peers: peers.ok_or_else(|| Fault::new("port_range", "has no port for peers"))?,
+        caller_address: file.listen_addrs.front,
+        readiness_address: file.listen_addrs.ready,
+        peer_address: peers.ok_or_else(|| Fault::new("port_range", "has no port for peers"))?,
         seeds: match file.listen_addrs.control {
             Some(_) => file.seeds,
             None => Vec::new(),
         },
-        store: file.platform.address,
-        sockets: file.limits.max_fds.saturating_sub(RESERVED_DESCRIPTORS),
+        store_address: file.platform.address,
+        max_sockets: file.limits.max_fds.saturating_sub(RESERVED_DESCRIPTORS),
         share: (file.limits.cpu_share * file.limits.cores * 1_000.0) as u32,
         grace: Span(grace),
     })
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -210,7 +210,7 @@
 }
 
 /// Returns the path that reads the rows of one part of a table, from its beginning or after the key `after`.
-pub fn range_path(table: &str, part: &str, after: Option<&str>) -> String {
+pub fn build_range_path(table: &str, part: &str, after: Option<&str>) -> String {
     let from = after.map_or(String::new(), |key| {
         format!("&from={}%20", utf8_percent_encode(key, ESCAPED))
     });
@@ -218,20 +218,20 @@
 }
 
 /// Returns the path that reads one row.
-pub fn row_path(table: &str, part: &str, key: &str) -> String {
+pub fn build_row_path(table: &str, part: &str, key: &str) -> String {
     let key = utf8_percent_encode(key, ESCAPED);
     // A range excludes the key `target`.
     format!("/api/rows-get?table={table}&part={part}&from={key}&target={key}%20")
 }
 
 /// Returns the path that reads a table's rows, from its beginning or after the key `after`.
-pub fn table_path(table: &str, after: Option<&str>) -> String {
+pub fn build_table_path(table: &str, after: Option<&str>) -> String {
     // A range includes the key `from`; no key lies between `after` and `after` with a space.
-    range_path(table, "", after)
+    build_range_path(table, "", after)
 }
 
 /// Returns the path of a long poll for changes of a table after a version.
-pub fn feed_path(table: &str, after: u64, wait: Span) -> String {
+pub fn build_feed_path(table: &str, after: u64, wait: Span) -> String {
     let wait = wait.as_millis();
     format!("/api/rows-feed?table={table}&after={after}&wait_ms={wait}")
 }
--- a/src/table.rs
+++ b/src/table.rs
@@ -409,7 +409,7 @@
 
     /// Sends a request on a pooled connection, or on a new one where the pool has none.
     async fn send_request(&self, request: Request<Full<Bytes>>) -> Result<Reply, Failure> {
-        let pooled = lock(&self.pool).take(&self.address);
+        let pooled = lock(&self.pool).take_idle(&self.address);
         let mut connection = match pooled {
             Some(connection) => connection,
             None => Connection::open(&self.address).await?,
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -58,13 +58,13 @@
 #[test]
 fn settings_are_read() {
     let site = settings::parse(SETTINGS).unwrap();
-    assert_eq!(site.peers.port(), 7720);
-    assert_eq!((site.share, site.sockets), (250, 3_900));
+    assert_eq!(site.peer_address.port(), 7720);
+    assert_eq!((site.share, site.max_sockets), (250, 3_900));
     assert_eq!(site.grace, Span::seconds(6));
     assert!(site.seeds.is_empty());
     let control = SETTINGS.replace("front =", "control = \"10.1.0.13:8166\"\nfront =");
     let site = settings::parse(&control).unwrap();
-    assert_eq!((site.peers.port(), site.seeds.len()), (8166, 2));
+    assert_eq!((site.peer_address.port(), site.seeds.len()), (8166, 2));
     let fault = settings::parse(&SETTINGS.replace("address", "adress")).unwrap_err();
     assert!(fault.to_string().contains("platform"), "{fault}");
     let fault = settings::parse(&SETTINGS.replace("10.1.0.13:8167", "nowhere")).unwrap_err();
@@ -174,7 +174,7 @@
         (&Content::Deleted, true, 5)
     );
     assert_eq!(
-        store::table_path("servers", Some("i-1")),
+        store::build_table_path("servers", Some("i-1")),
         "/api/rows-get?table=servers&part=&from=i-1%20"
     );
     let configuration = json!({"version": 7, "routes": [{"name": "r", "hostname": "h", "prefix": "/p/",
@@ -332,7 +332,7 @@
             store::Outcome::Invalid, //
         ]
     );
-    let find = store::row_path("jobs", "shard-03", "lock");
+    let find = store::build_row_path("jobs", "shard-03", "lock");
     assert_eq!(
         find,
         "/api/rows-get?table=jobs&part=shard-03&from=lock&target=lock%20"
