--- a/src/instance.rs
+++ b/src/instance.rs
@@ -71,10 +71,10 @@
 /// retries only after a second.
 const BACKLOG: u32 = 4_096;
 
-/// Interval at which the dispatcher does what has become due: a tenth of its shortest timeout.
+/// Interval at which the dispatcher checks its timers.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How long before the platform kills the process a draining instance exits by itself.
+/// How long before the platform's SIGKILL a draining instance gives up the drain and exits by itself.
 const EXIT_MARGIN: Span = Span::millis(300);
 
 /// Runs an instance until it has drained after SIGTERM.
@@ -158,7 +158,7 @@
     drain_on_sigterm(&hub, settings.grace).await
 }
 
-/// Returns the other instances among the seeds. A seed goes by its address until it sends its name.
+/// Returns the other instances among the seeds. The address of a seed stands for its name until it sends the name.
 fn seed_contacts(settings: &Settings) -> Vec<Contact> {
     let own = settings.peer_address.to_string();
     let others = settings.seeds.iter().filter(|seed| **seed != own);
@@ -209,7 +209,7 @@
     }
 }
 
-/// Waits for SIGTERM, then until the instance has drained or its time to do so has passed.
+/// Waits for SIGTERM, drains the instance, and returns once it has drained or its time for that has passed.
 async fn drain_on_sigterm(hub: &Rc<Hub>, grace: Span) -> Result<(), Error> {
     let mut term = signal(SignalKind::terminate()).map_err(|source| Error::Thread {
         what: "signal",
--- a/src/instance/calls.rs
+++ b/src/instance/calls.rs
@@ -39,8 +39,9 @@
     prelude::*,
 };
 
-/// How long an idle connection to an endpoint may be reused. A connection that has silently failed costs the timeout
-/// of one order, but a new connection for each order would cost the endpoint and the instance more processor time.
+/// How long a connection to an endpoint may be idle and still be reused. A connection that has silently failed costs
+/// the timeout of one order, but a new connection for each order would cost the endpoint and the instance more processor
+/// time.
 const MAX_IDLE: Duration = Duration::from_secs(30);
 
 /// A client of the endpoints, with a pool of connections.
--- a/src/instance/feeds.rs
+++ b/src/instance/feeds.rs
@@ -55,14 +55,14 @@
 /// and [`RESPONSE_TIMEOUT`], and a change must be in force within two seconds.
 const POLL_WAIT: Span = Span::millis(1_000);
 
-/// How long a response of the store may take beyond the wait of a long poll: a hundred times its usual latency.
+/// How long a response of the store may take beyond the wait of a long poll.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Delay before a failed call is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Interval between reads of the endpoint table. A draining endpoint may get tasks for up to two seconds, and a
-/// heartbeat ends a long poll at once, so that shorter intervals only add calls.
+/// Interval between reads of the endpoint table. Without it, each row that an endpoint renews would end a long poll and
+/// cause the next call at once. A draining endpoint may get tasks for up to two seconds, which leaves time for it.
 const ENDPOINT_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Interval at which an instance checks whether it has become one of those that read the endpoint table.
@@ -138,7 +138,8 @@
         Some(reply)
     }
 
-    /// Counts a call, and logs when the store becomes unavailable and when it is back.
+    /// Counts a call, and logs when the store becomes unavailable and when it is back. A compacted history, status 410, is
+    /// no outage.
     fn report_outcome(&mut self, result: &Result<Bytes, Failure>) {
         self.hub.metrics.count_store_call(match result {
             Ok(_) => "done",
@@ -231,7 +232,8 @@
     }
 }
 
-/// Follows the operator's table for good: the configuration and the evacuations.
+/// Passes the configuration and the evacuations in the operator's table to the dispatcher, and their changes as long as
+/// the process runs.
 pub async fn follow_operator_table(hub: Rc<Hub>, address: String) {
     let mut client = Client::new(&hub, &address);
     let mut version = None;
@@ -287,7 +289,7 @@
     }
 }
 
-/// Follows the endpoint table for good, while the dispatcher wants this instance to read it.
+/// Passes the endpoint table and its changes to the dispatcher, while the dispatcher wants this instance to read it.
 pub async fn follow_endpoints(hub: Rc<Hub>, address: String) {
     let mut client = Client::new(&hub, &address);
     let cache = RefCell::new(Cache::default());
@@ -364,8 +366,8 @@
     }
 }
 
-/// Registers this instance in the store, then reads the other instances until one is found and whenever no peer is
-/// heard.
+/// Registers this instance in the store, then reads the table of instances until a read succeeds, and later whenever no
+/// peer is heard.
 pub async fn register_and_find_peers(
     hub: Rc<Hub>,
     address: String,
@@ -387,11 +389,11 @@
         hub.handle(Input::MembersFound(seeds.clone()));
         sleep(RETRY_DELAY).await;
     }
-    let mut found = false;
+    let mut has_read = false;
     loop {
-        if !found || hub.with_dispatcher(|dispatcher| dispatcher.is_alone()) {
+        if !has_read || hub.with_dispatcher(|dispatcher| dispatcher.is_alone()) {
             if let Ok((rows, _)) = client.fetch_table(record::INSTANCE_TABLE).await {
-                found = true;
+                has_read = true;
                 hub.handle(Input::MembersFound(read_contacts(&client, rows)));
             }
         }
--- a/src/instance/front.rs
+++ b/src/instance/front.rs
@@ -252,7 +252,7 @@
     }
 
     /// Waits until a connection that is being closed has had the header timeout to finish a request that it has sent
-    /// in part. Without this limit a partial request would keep the connection open for good. A complete request is
+    /// in part. Without this limit a partial request would keep the connection open forever. A complete request is
     /// served first.
     async fn wait_for_partial_request(&self, state: &Connection, since: Option<Time>) {
         loop {
@@ -437,11 +437,11 @@
         Answer::Standing(state) => json_response(StatusCode::OK, ingress::encode_state(state)),
         Answer::Unknown => error_response(StatusCode::GONE, "unknown job"),
         Answer::GivenUp { again } => {
-            let text = "the job can't finish in time; some of its tasks may have run and are being stopped";
+            let text = "no outcome in time; the job may have run, in part or as a whole";
             retry_later_response(StatusCode::GATEWAY_TIMEOUT, text, again)
         }
         Answer::Refused { again } => {
-            let text = "no task was started: the job can't be run in time";
+            let text = "no task was started: the job isn't supported, or can't be run in time";
             retry_later_response(StatusCode::SERVICE_UNAVAILABLE, text, again)
         }
         Answer::NoRoute => {
--- a/src/instance/heartbeats.rs
+++ b/src/instance/heartbeats.rs
@@ -23,8 +23,8 @@
 /// The longest datagram that is read, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 16 << 10;
 
-/// The most datagrams that are read before the dispatcher handles them. After a pause it must handle a backlog at
-/// once, because the newest heartbeats tell more than the oldest.
+/// The most datagrams that are read before the dispatcher handles them. After a pause of the process, a
+/// backlog is handled as one batch, so that its oldest heartbeats alone can't make peers count as lost.
 const MAX_BATCH_DATAGRAMS: usize = 256;
 
 /// A datagram as it is received. The order of the fields is the wire format.
@@ -34,7 +34,7 @@
     heartbeat: Heartbeat,
 }
 
-/// The heartbeat socket.
+/// Sends and receives the heartbeats of an instance on one socket.
 #[derive(Debug)]
 pub struct Heartbeats {
     socket: UdpSocket,
@@ -56,21 +56,21 @@
             Err(error) => return log_unsent(hub, "all", &error.to_string()),
         };
         let sent = now();
-        for to in to {
-            let address = match to.address.parse::<SocketAddr>() {
+        for peer in to {
+            let address = match peer.address.parse::<SocketAddr>() {
                 Ok(address) => address,
                 Err(error) => {
-                    log_unsent(hub, to.name.as_str(), &error.to_string());
+                    log_unsent(hub, peer.name.as_str(), &error.to_string());
                     continue;
                 }
             };
             // postcard has no separators between fields, so that the encoded sender and heartbeat make a `Datagram`.
-            match postcard::to_extend(&hub.peers.sender(&to.name, sent), Vec::new()) {
+            match postcard::to_extend(&hub.peers.sender(&peer.name, sent), Vec::new()) {
                 Ok(mut bytes) => {
                     bytes.extend_from_slice(&body);
                     self.socket.try_send_to(&bytes, address).ok();
                 }
-                Err(error) => log_unsent(hub, to.name.as_str(), &error.to_string()),
+                Err(error) => log_unsent(hub, peer.name.as_str(), &error.to_string()),
             }
         }
     }
@@ -102,7 +102,7 @@
     hub.log(&record.with("error", error));
 }
 
-/// Receives heartbeats for good, and passes them to the dispatcher.
+/// Receives heartbeats and passes them to the dispatcher, as long as the process runs.
 pub async fn serve(hub: Rc<Hub>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
--- a/src/instance/inbox.rs
+++ b/src/instance/inbox.rs
@@ -19,8 +19,9 @@
 ///
 /// An envelope whose acknowledgement was lost is sent again over a new connection, and must not count twice. Serials
 /// restart with every session and with every incarnation of the receiver. Envelopes for a former incarnation are
-/// therefore kept apart: if their serials counted, as many envelopes of the present session would be acknowledged and
-/// dropped, and jobs sent to a restarted instance would hang until their callers disconnect.
+/// therefore not recorded, and those whose sender knows no incarnation are recorded apart: if their serials counted, as
+/// many envelopes of the present session would be acknowledged and dropped, and jobs sent to a restarted instance would
+/// hang until their callers disconnect.
 #[derive(Debug)]
 pub struct Inbox {
     /// The incarnation of this instance.
--- a/src/instance/job_store.rs
+++ b/src/instance/job_store.rs
@@ -134,7 +134,7 @@
                     Content::Value(value) => value,
                     Content::Deleted => return None,
                     // Kept with an empty value: a page without rows would have no last key, and the same page would
-                    // be read for ever. The shard reports that the record is malformed.
+                    // be read forever. The shard reports that the record is malformed.
                     Content::Unreadable(_) => Vec::new(),
                 };
                 Some((row.key, value, row.version))
--- a/src/instance/journal.rs
+++ b/src/instance/journal.rs
@@ -25,7 +25,7 @@
 };
 
 /// The most routine lines per second; any more are counted and left out. A job writes four, so that a hundred jobs
-/// per second can be followed, with a reserve.
+/// per second fit twice.
 const MAX_ROUTINE_LINES_PER_SECOND: u32 = 800;
 
 /// The most other lines per second; any more are counted and left out.
@@ -46,9 +46,11 @@
     name: Instance,
     batch: Vec<u8>,
     writer: SyncSender<Vec<u8>>,
+    /// The second of the Unix time that the two counts are of.
     second: u64,
-    routine: u32,
-    lines: u32,
+    routine_lines: u32,
+    other_lines: u32,
+    /// Lines that were left out and not reported yet.
     left_out: u64,
 }
 
@@ -72,8 +74,8 @@
             batch: Vec::new(),
             writer,
             second: 0,
-            routine: 0,
-            lines: 0,
+            routine_lines: 0,
+            other_lines: 0,
             left_out: 0,
         })
     }
@@ -83,12 +85,12 @@
         let time = unix_millis();
         if time / 1_000 != self.second {
             self.second = time / 1_000;
-            (self.routine, self.lines) = (0, 0);
+            (self.routine_lines, self.other_lines) = (0, 0);
             self.log_left_out(time);
         }
         let (count, limit) = match record.routine {
-            true => (&mut self.routine, MAX_ROUTINE_LINES_PER_SECOND),
-            false => (&mut self.lines, MAX_OTHER_LINES_PER_SECOND),
+            true => (&mut self.routine_lines, MAX_ROUTINE_LINES_PER_SECOND),
+            false => (&mut self.other_lines, MAX_OTHER_LINES_PER_SECOND),
         };
         *count += 1;
         if *count > limit {
@@ -143,7 +145,7 @@
 fn write_batches(batches: &Receiver<Vec<u8>>) {
     let mut output = io::stdout();
     while let Ok(batch) = batches.recv() {
-        // Standard output is closed, and there is no other place to report that.
+        // An error means that standard output is closed, and there is no other place to report that.
         if output
             .write_all(&batch)
             .and_then(|()| output.flush())
--- a/src/instance/metrics.rs
+++ b/src/instance/metrics.rs
@@ -52,8 +52,8 @@
     start_latency: Histogram,
     connections: Counter,
     messages: Counter,
-    store: Family<KindLabel, Counter>,
-    malformed: Counter,
+    store_calls: Family<KindLabel, Counter>,
+    malformed_rows: Counter,
     events: Family<KindLabel, Counter>,
     standing: Family<KindLabel, Gauge>,
 }
@@ -80,8 +80,8 @@
             ),
             connections: r.add("connections", "Connections opened to endpoints"),
             messages: r.add("messages", "Messages to peers"),
-            store: r.add("store_calls", "Calls to the store"),
-            malformed: r.add(
+            store_calls: r.add("store_calls", "Calls to the store"),
+            malformed_rows: r.add(
                 "malformed_rows",
                 "Store rows skipped because they can't be read",
             ),
@@ -93,7 +93,7 @@
 
     /// Counts store rows that can't be used.
     pub fn count_malformed_rows(&self, count: usize) {
-        self.malformed.inc_by(count as u64);
+        self.malformed_rows.inc_by(count as u64);
     }
 
     /// Counts an answer to a caller, and observes its latency.
@@ -151,7 +151,7 @@
 
     /// Counts a call to the store by its result.
     pub fn count_store_call(&self, result: &'static str) {
-        self.store.get_or_create(&kind_label(result)).inc();
+        self.store_calls.get_or_create(&kind_label(result)).inc();
     }
 
     /// Counts a log line, also one that is left out.
--- a/src/instance/peers.rs
+++ b/src/instance/peers.rs
@@ -103,7 +103,7 @@
     task: Option<JoinHandle<()>>,
 }
 
-/// The links to peers, and the messages received from them.
+/// The links to peers, and the positions of the messages received from them.
 pub struct Peers {
     identity: Identity,
     /// The IP address of this instance.
@@ -170,7 +170,7 @@
         link.bytes = 0;
     }
 
-    /// Returns the sender of what is sent to a peer now, with the session that both are in.
+    /// Returns this instance as the sender of a message or heartbeat to a peer, with the session that both are in.
     pub fn sender(&self, to: &Instance, now: Time) -> Sender {
         let links = self.links.borrow();
         let link = links.get(to);
@@ -296,7 +296,8 @@
     }
 }
 
-/// Delivers a peer's messages for good: one envelope after the other, each until it is acknowledged.
+/// Delivers the messages to a peer as long as the process runs: one envelope after the other, each until it is
+/// acknowledged.
 async fn deliver_messages(hub: Rc<Hub>, name: Instance) {
     let mut connection: Option<Connection> = None;
     let Some(wake) = hub.peers.wake_signal(&name) else {
--- a/src/platform/order.rs
+++ b/src/platform/order.rs
@@ -39,7 +39,7 @@
     task: String,
     run: u32,
     spec: &'a str,
-    /// The lease, on the endpoint's clock: how long everything on it may run. It isn't the task's deadline.
+    /// When the lease ends, on the endpoint's clock: the endpoint then stops all its tasks. It isn't the task's deadline.
     deadline_ms: u64,
     fencing_token: u64,
 }
--- a/src/platform/record.rs
+++ b/src/platform/record.rs
@@ -76,7 +76,7 @@
     /// How much longer than its stretched work a job may take. It isn't a limit for the job as a whole.
     #[serde(default)]
     target_duration_ms: f64,
-    /// Timeouts from the adviser, if the queue has one.
+    /// Present if only endpoints that an adviser names may run the route's tasks, which isn't supported.
     #[serde(default)]
     advice: Option<serde::de::IgnoredAny>,
 }
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -27,7 +27,7 @@
     pub ip: String,
     /// The address at which callers connect.
     pub caller_address: SocketAddr,
-    /// The address at which the platform checks readiness.
+    /// The address at which the platform checks readiness and reads metrics.
     pub readiness_address: SocketAddr,
     /// The address at which peers connect and heartbeats arrive.
     pub peer_address: SocketAddr,
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -211,6 +211,7 @@
 
 /// Returns the path that reads the rows of one part of a table, from its beginning or after the key `after`.
 pub fn build_range_path(table: &str, part: &str, after: Option<&str>) -> String {
+    // A range includes the key `from`; no key lies between `after` and `after` with a space.
     let from = after.map_or(String::new(), |key| {
         format!("&from={}%20", utf8_percent_encode(key, ESCAPED))
     });
@@ -226,7 +227,6 @@
 
 /// Returns the path that reads a table's rows, from its beginning or after the key `after`.
 pub fn build_table_path(table: &str, after: Option<&str>) -> String {
-    // A range includes the key `from`; no key lies between `after` and `after` with a space.
     build_range_path(table, "", after)
 }
 
