--- a/src/record.rs
+++ b/src/record.rs
@@ -167,7 +167,7 @@
         let body = head
             .as_ref()
             .and_then(|(kind, schema)| read_body(*kind, *schema, &mut fields));
-        let name = fields.required("name", "the record's name", fields::read_name::<Service>);
+        let name = fields.read_required("name", "the record's name", fields::read_name::<Service>);
         let parts = head.zip(body).zip(name);
         // Without a valid schema and kind it is unknown which other fields are allowed.
         let mut faults = match &parts {
@@ -238,8 +238,8 @@
 
 /// Reads the kind and the schema.
 fn read_head(fields: &mut Fields<'_>) -> Option<(Kind, u64)> {
-    let kind = fields.required("kind", "service, pool or rule", fields::read_word::<Kind>);
-    let schema = fields.required("schema", "1 or 2", |value| match value.as_u64() {
+    let kind = fields.read_required("kind", "service, pool or rule", fields::read_word::<Kind>);
+    let schema = fields.read_required("schema", "1 or 2", |value| match value.as_u64() {
         Some(schema) if (1..=NEWEST_SCHEMA).contains(&schema) => Ok(schema),
         _ => Err((
             Code::Schema,
--- a/src/record/fields.rs
+++ b/src/record/fields.rs
@@ -62,7 +62,7 @@
     }
 
     /// Reads a required field; `expected` describes its value to the operator.
-    pub fn required<T>(
+    pub fn read_required<T>(
         &mut self,
         key: &'static str,
         expected: &str,
@@ -73,11 +73,11 @@
             self.add_fault(key, Code::Missing, format!("is missing; give {expected}"));
             return None;
         }
-        self.optional(key, read)
+        self.read_optional(key, read)
     }
 
     /// Reads an optional field.
-    pub fn optional<T>(
+    pub fn read_optional<T>(
         &mut self,
         key: &'static str,
         read: impl Fn(&Value) -> Result<T, ValueFault>,
@@ -92,7 +92,7 @@
     }
 
     /// Reads an optional list of distinct names. The path of a fault has the index of the element.
-    pub fn names<T>(&mut self, key: &'static str) -> Vec<T>
+    pub fn read_names<T>(&mut self, key: &'static str) -> Vec<T>
     where
         T: FromStr<Err: Display> + PartialEq,
     {
@@ -118,7 +118,7 @@
     }
 
     /// Reads an optional nested object.
-    pub fn object(&mut self, key: &'static str) -> Option<&'a Map<String, Value>> {
+    pub fn read_object(&mut self, key: &'static str) -> Option<&'a Map<String, Value>> {
         let object = self.value(key)?.as_object();
         if object.is_none() {
             self.add_fault(key, Code::Type, "is not an object; give {...}");
--- a/src/record/object.rs
+++ b/src/record/object.rs
@@ -59,7 +59,7 @@
 
 impl Seed<'_> {
     /// Returns the seed of the value of `key` in the object at this path.
-    fn at(&self, key: &str) -> Self {
+    fn child(&self, key: &str) -> Self {
         let path = match self.path.as_str() {
             "" => key.to_owned(),
             path => format!("{path}.{key}"),
@@ -110,7 +110,7 @@
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut items: A) -> Result<Value, A::Error> {
         let mut list = Vec::new();
-        while let Some(item) = items.next_element_seed(self.at(&format!("[{}]", list.len())))? {
+        while let Some(item) = items.next_element_seed(self.child(&format!("[{}]", list.len())))? {
             list.push(item);
         }
         Ok(list.into())
@@ -119,7 +119,7 @@
     fn visit_map<A: MapAccess<'de>>(self, mut fields: A) -> Result<Value, A::Error> {
         let mut map = Map::new();
         while let Some(key) = fields.next_key::<String>()? {
-            let seed = self.at(&key);
+            let seed = self.child(&key);
             if map.contains_key(&key) {
                 let fault = Fault::new(&seed.path, Code::Twice, "is a duplicate; remove it");
                 self.faults.borrow_mut().push(fault);
--- a/src/record/pool.rs
+++ b/src/record/pool.rs
@@ -64,16 +64,18 @@
 impl Body {
     /// Reads schema 1, which has a flag `open`.
     pub(super) fn read_v1(fields: &mut Fields<'_>) -> Option<Self> {
-        let open = fields.optional("open", fields::read_bool).unwrap_or(true);
+        let open = fields
+            .read_optional("open", fields::read_bool)
+            .unwrap_or(true);
         let state = if open { State::Open } else { State::Closed };
         Some(Self { state, least: None })
     }
 
     /// Reads schema 2, which has a state and the least hardware.
     pub(super) fn read_v2(fields: &mut Fields<'_>) -> Option<Self> {
-        let state = fields.optional("state", fields::read_word::<State>);
+        let state = fields.read_optional("state", fields::read_word::<State>);
         let path = fields.path("least");
-        let least = fields.object("least").map(|map| {
+        let least = fields.read_object("least").map(|map| {
             let mut inner = Fields::new(map, path);
             let hardware = read_hardware(&mut inner);
             fields.add_faults(inner.finish());
@@ -95,7 +97,7 @@
 
 fn read_hardware(fields: &mut Fields<'_>) -> Hardware {
     let mut read_count = |key, max, unit| {
-        let count = fields.optional(key, fields::read_whole(0..=max, unit));
+        let count = fields.read_optional(key, fields::read_whole(0..=max, unit));
         u32::try_from(count.unwrap_or(0)).unwrap_or(u32::MAX)
     };
     Hardware {
--- a/src/record/rule.rs
+++ b/src/record/rule.rs
@@ -45,9 +45,9 @@
 impl Body {
     /// Reads schema 1, which has at most one data centre and no quotas.
     pub(super) fn read_v1(fields: &mut Fields<'_>) -> Option<Self> {
-        let service = fields.required("service", "the name of a service", fields::read_name);
-        let centre = fields.optional("centre", fields::read_name);
-        let spill = fields.optional("spill", fields::read_bool);
+        let service = fields.read_required("service", "the name of a service", fields::read_name);
+        let centre = fields.read_optional("centre", fields::read_name);
+        let spill = fields.read_optional("spill", fields::read_bool);
         Some(Self {
             service: service?,
             centres: centre.into_iter().collect(),
@@ -58,13 +58,13 @@
 
     /// Reads schema 2, which has data centres in order and quotas of teams.
     pub(super) fn read_v2(fields: &mut Fields<'_>) -> Option<Self> {
-        let service = fields.required("service", "the name of a service", fields::read_name);
-        let centres: Vec<Centre> = fields.names("centres");
+        let service = fields.read_required("service", "the name of a service", fields::read_name);
+        let centres: Vec<Centre> = fields.read_names("centres");
         if centres.len() > MAX_CENTRES {
             let detail = format!("give {MAX_CENTRES} data centres at most");
             fields.add_fault("centres", Code::Range, detail);
         }
-        let spill = fields.optional("spill", fields::read_bool);
+        let spill = fields.read_optional("spill", fields::read_bool);
         let quotas = read_quotas(fields);
         Some(Self {
             service: service?,
@@ -91,7 +91,7 @@
 
 fn read_quotas(fields: &mut Fields<'_>) -> BTreeMap<Team, Quota> {
     let mut quotas = BTreeMap::new();
-    let Some(map) = fields.object("quotas") else {
+    let Some(map) = fields.read_object("quotas") else {
         return quotas;
     };
     for (team, value) in map {
@@ -112,8 +112,8 @@
         return None;
     };
     let mut inner = Fields::new(map, fields.path(key));
-    let weight = inner.optional("weight", fields::read_whole(1..=MAX_WEIGHT, "shares"));
-    let outstanding = inner.optional(
+    let weight = inner.read_optional("weight", fields::read_whole(1..=MAX_WEIGHT, "shares"));
+    let outstanding = inner.read_optional(
         "outstanding",
         fields::read_whole(0..=MAX_OUTSTANDING, "tasks"),
     );
--- a/src/record/service.rs
+++ b/src/record/service.rs
@@ -47,10 +47,10 @@
 impl Body {
     /// Reads schema 1, which has one pool, a deadline in seconds that is also the lease, and a flag `idempotent`.
     pub(super) fn read_v1(fields: &mut Fields<'_>) -> Option<Self> {
-        let pool = fields.required("pool", "the name of a pool", fields::read_name);
+        let pool = fields.read_required("pool", "the name of a pool", fields::read_name);
         let seconds = fields::read_whole(1..=MAX_DEADLINE_SECONDS, "seconds");
-        let deadline = fields.required("deadline", "a whole number of seconds", seconds);
-        let idempotent = fields.optional("idempotent", fields::read_bool);
+        let deadline = fields.read_required("deadline", "a whole number of seconds", seconds);
+        let idempotent = fields.read_optional("idempotent", fields::read_bool);
         let tasks = read_tasks(fields);
         let deadline = Span::seconds(deadline?);
         Some(Self {
@@ -68,14 +68,14 @@
     /// Reads schema 2, which has pools in order, a class, and a deadline and a lease in milliseconds.
     pub(super) fn read_v2(fields: &mut Fields<'_>) -> Option<Self> {
         let pools = read_pools(fields);
-        let class = fields.optional("class", fields::read_word::<Class>);
+        let class = fields.read_optional("class", fields::read_word::<Class>);
         let read_millis = || fields::read_whole(1..=MAX_DEADLINE_SECONDS * 1_000, "milliseconds");
-        let deadline = fields.required(
+        let deadline = fields.read_required(
             "deadline_ms",
             "a whole number of milliseconds",
             read_millis(),
         );
-        let lease = fields.optional("lease_ms", read_millis());
+        let lease = fields.read_optional("lease_ms", read_millis());
         let tasks = read_tasks(fields);
         let deadline = deadline?;
         let lease = lease.unwrap_or(deadline);
@@ -117,12 +117,12 @@
 
 fn read_tasks(fields: &mut Fields<'_>) -> u32 {
     let read = fields::read_whole(1..=MAX_TASKS, "tasks");
-    let tasks = fields.optional("tasks", read).unwrap_or(DEFAULT_TASKS);
+    let tasks = fields.read_optional("tasks", read).unwrap_or(DEFAULT_TASKS);
     u32::try_from(tasks).unwrap_or(u32::MAX)
 }
 
 fn read_pools(fields: &mut Fields<'_>) -> Vec<Pool> {
-    let pools = fields.names("pools");
+    let pools = fields.read_names("pools");
     let count = fields
         .value("pools")
         .map(|v| v.as_array().map_or(1, Vec::len));
--- a/src/record/set.rs
+++ b/src/record/set.rs
@@ -151,7 +151,7 @@
                 _ => return Err(Error::UnknownSchema),
             }
         }
-        Ok(make_route(service, revision, pools, body, rule))
+        Ok(assemble_route(service, revision, pools, body, rule))
     }
 }
 
@@ -164,7 +164,8 @@
     }
 }
 
-fn make_route(
+/// Assembles a route from a service's record, its open pools and its rule.
+fn assemble_route(
     service: &Service,
     revision: Revision,
     pools: Vec<Pool>,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -101,17 +101,17 @@
 
     fn read(reader: &mut Reader) -> Option<Self> {
         // All values are read before `?` returns at the first missing one, so that all faults are reported.
-        let name = reader.required("instance", "name", NAME_HINT);
-        let centre = reader.required("instance", "data_centre", NAME_HINT);
-        let callers = reader.required("listen", "callers", ADDRESS_HINT);
-        let peers = reader.required("listen", "peers", ADDRESS_HINT);
-        let platform = reader.required("platform", "address", ADDRESS_HINT);
-        let data_centres = reader.optional("platform", "data_centres", CENTRES_HINT);
-        let operators = reader.operators();
+        let name = reader.read_required("instance", "name", NAME_HINT);
+        let centre = reader.read_required("instance", "data_centre", NAME_HINT);
+        let callers = reader.read_required("listen", "callers", ADDRESS_HINT);
+        let peers = reader.read_required("listen", "peers", ADDRESS_HINT);
+        let platform = reader.read_required("platform", "address", ADDRESS_HINT);
+        let data_centres = reader.read_optional("platform", "data_centres", CENTRES_HINT);
+        let operators = reader.read_operators();
         let limits = Limits::read(reader);
         let timing = Timing::read(reader);
-        let log = reader.optional("log", "level", LEVEL_HINT);
-        let file: Option<PathBuf> = reader.optional("log", "file", "allowed is a path");
+        let log = reader.read_optional("log", "level", LEVEL_HINT);
+        let file: Option<PathBuf> = reader.read_optional("log", "file", "allowed is a path");
         if file.as_ref().is_some_and(|f| f.as_os_str().is_empty()) {
             reader.add_fault(Fault::new("log", "file", "is empty; allowed is a path"));
         }
@@ -214,38 +214,50 @@
         let defaults = Self::default();
         let mut read_size = |key, default, range: [usize; 2]| {
             let [min, max] = range.map(Size);
-            reader.in_range(SECTION, key, Size(default), min..=max).0
+            reader
+                .read_in_range(SECTION, key, Size(default), min..=max)
+                .0
         };
         let headers = read_size("headers", defaults.header_bytes, [1 << 10, 1 << 20]);
         let body = read_size("body", defaults.body_bytes, [1 << 10, 64 << 20]);
         let bytes = read_size("bytes", defaults.job_bytes, [64 << 10, 16 << 30]);
         let kept = read_size("kept", defaults.kept_answer_bytes, [64 << 10, 16 << 30]);
         let limits = Self {
-            connections: reader.in_range(SECTION, "connections", defaults.connections, 1..=65_536),
+            connections: reader.read_in_range(
+                SECTION,
+                "connections",
+                defaults.connections,
+                1..=65_536,
+            ),
             header_bytes: headers,
             body_bytes: body,
-            jobs: reader.in_range(SECTION, "jobs", defaults.jobs, 1..=1_000_000),
+            jobs: reader.read_in_range(SECTION, "jobs", defaults.jobs, 1..=1_000_000),
             job_bytes: bytes,
-            waiting_tasks: reader.in_range(
+            waiting_tasks: reader.read_in_range(
                 SECTION,
                 "waiting",
                 defaults.waiting_tasks,
                 1..=1_000_000,
             ),
-            tasks_per_endpoint: reader.in_range(
+            tasks_per_endpoint: reader.read_in_range(
                 SECTION,
                 "outstanding",
                 defaults.tasks_per_endpoint,
                 1..=1_024,
             ),
             kept_answer_bytes: kept,
-            writes_per_second: reader.in_range(
+            writes_per_second: reader.read_in_range(
                 SECTION,
                 "writes",
                 defaults.writes_per_second,
                 1..=100_000,
             ),
-            ring_capacity: reader.in_range(SECTION, "ring", defaults.ring_capacity, 16..=65_536),
+            ring_capacity: reader.read_in_range(
+                SECTION,
+                "ring",
+                defaults.ring_capacity,
+                16..=65_536,
+            ),
         };
         if limits.body_bytes > limits.job_bytes {
             let problem = format!(
@@ -308,7 +320,7 @@
         let defaults = Self::default();
         let mut read_span = |key, default, range: [u64; 2]| {
             let [min, max] = range.map(Span::millis);
-            reader.in_range(SECTION, key, default, min..=max)
+            reader.read_in_range(SECTION, key, default, min..=max)
         };
         let timing = Self {
             heartbeat_interval: read_span("heartbeat", defaults.heartbeat_interval, [50, 60_000]),
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -65,7 +65,7 @@
     }
 
     /// Reads a required value; `allowed` describes the valid values to the operator.
-    pub(super) fn required<T: FromStr>(
+    pub(super) fn read_required<T: FromStr>(
         &mut self,
         section: &str,
         key: &str,
@@ -75,11 +75,11 @@
             self.add_fault(Fault::new(section, key, format!("is missing; {allowed}")));
             return None;
         }
-        self.optional(section, key, allowed)
+        self.read_optional(section, key, allowed)
     }
 
     /// Reads an optional value; `allowed` describes the valid values to the operator.
-    pub(super) fn optional<T: FromStr>(
+    pub(super) fn read_optional<T: FromStr>(
         &mut self,
         section: &str,
         key: &str,
@@ -94,7 +94,7 @@
     }
 
     /// Reads an optional value within a range, and returns the default if it is absent or invalid.
-    pub(super) fn in_range<T>(
+    pub(super) fn read_in_range<T>(
         &mut self,
         section: &str,
         key: &str,
@@ -118,7 +118,7 @@
     }
 
     /// Reads the operators with their tokens. Faults don't contain tokens, which are secrets.
-    pub(super) fn operators(&mut self) -> Vec<(Operator, String)> {
+    pub(super) fn read_operators(&mut self) -> Vec<(Operator, String)> {
         let mut operators: Vec<(Operator, String)> = Vec::new();
         for (name, token) in self.pairs(key::OPERATORS) {
             let new_fault = |problem: String| Fault::new(key::OPERATORS, &name, problem);
@@ -208,12 +208,12 @@
             .then_some("a section is written [name], on a line of its own");
     }
     if line.ends_with('\\') {
-        return Some("a value can't go on in the next line");
+        return Some("a value can't continue on the next line; remove the '\\' at the end");
     }
     match line.find(['=', ':']) {
-        Some(0) => Some("there is no key before the sign"),
+        Some(0) => Some("the key is missing; a setting is written key = value"),
         Some(index) if line[index..].starts_with('=') => None,
-        Some(_) => Some("a key may hold no ':'; a setting is written key = value"),
+        Some(_) => Some("a key can't contain ':'; a setting is written key = value"),
         None => Some("a setting is written key = value"),
     }
 }
