--- a/src/caller.rs
+++ b/src/caller.rs
@@ -99,7 +99,8 @@
 /// Interval between two checks for open connections at shutdown.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The body sent to a connection above the limit. Its request isn't read, so the outcome is unknown.
+/// The body sent to a connection above the limit. Its request is discarded unread and starts nothing, but an earlier one
+/// with the same key may have run, so the outcome is unknown.
 const OVERLOAD_BODY: &str = "{\"outcome\":\"unknown\",\"reason\":\"busy\",\
     \"detail\":\"too many connections; nothing was read\",\"retry_after_ms\":500}";
 
@@ -117,7 +118,7 @@
     pub settings: Arc<Settings>,
     /// The metrics.
     pub metrics: Arc<Metrics>,
-    /// The state that the decision thread publishes.
+    /// The state that the decisions thread publishes.
     pub status: Arc<decision::Status>,
     /// Becomes true when the instance has drained and its threads are to end.
     pub shutdown: watch::Receiver<bool>,
@@ -134,7 +135,7 @@
     waiters: RefCell<HashMap<message::Request, oneshot::Sender<Output>>>,
 }
 
-/// Serves callers until the decision thread ends, then waits until the last answers are sent.
+/// Serves callers until the decisions thread ends, then waits until the last answers are sent.
 pub async fn serve(
     context: Context,
     listener: TcpListener,
@@ -214,7 +215,7 @@
             Output::Answer(request, _) | Output::Report(request, _) => *request,
             _ => return,
         };
-        // The receiver is gone if the caller has disconnected.
+        // Sending fails if the caller has disconnected.
         if let Some(waiter) = self.waiters.borrow_mut().remove(&request) {
             waiter.send(output).ok();
         }
@@ -323,7 +324,7 @@
         });
         match answer.await {
             Some(Output::Answer(_, answer)) => self.reply(&answer),
-            // This request started nothing, but an earlier one with its key may have run.
+            // Refused without a look-up of its key: an earlier request with it may have run.
             _ => {
                 let mut answer = self.refusal();
                 if key.is_some() && !first {
@@ -334,7 +335,8 @@
         }
     }
 
-    /// Returns the refusal of a request that didn't reach the decision thread.
+    /// Returns the refusal of a request that got no output of the decisions thread: the ring to it was full, or the
+    /// instance has shut down.
     fn refusal(&self) -> Answer {
         if *self.context.shutdown.borrow() {
             let detail = "this instance has shut down; try another one";
@@ -373,7 +375,7 @@
         }
     }
 
-    /// Sends an input to the decision thread and waits for its output. Returns `None` if the ring is full or the
+    /// Sends an input to the decisions thread and waits for its output. Returns `None` if the ring is full or the
     /// instance has shut down.
     async fn send_input(&self, input: impl FnOnce(message::Request) -> Input) -> Option<Output> {
         if *self.context.shutdown.borrow() {
@@ -481,7 +483,7 @@
     reply
 }
 
-/// Returns a reply with an error that was found before the decision thread was involved.
+/// Returns a reply with an error that was found before the decisions thread was involved.
 fn error_reply(status: StatusCode, detail: &str) -> Reply {
     json_reply(status, serde_json::json!({ "detail": detail }).to_string())
 }
--- a/src/caller/admin.rs
+++ b/src/caller/admin.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Tells whether the request confirms a cut of a service's capacity.
+    /// Returns whether the request confirms a cut of a service's capacity.
     fn parse_confirm(&self) -> Result<bool, String> {
         match self.query.get("confirm").map(String::as_str) {
             None => Ok(false),
@@ -248,7 +248,7 @@
             Some(Output::Report(_, report)) => report_reply(&report),
             _ => error_reply(
                 StatusCode::SERVICE_UNAVAILABLE,
-                "the instance is overloaded or has shut down; nothing took effect",
+                "the instance is overloaded or has shut down; repeat a change with the same poplarknot-operation",
             ),
         }
     }
--- a/src/cli/admin.rs
+++ b/src/cli/admin.rs
@@ -148,7 +148,7 @@
     }
 }
 
-/// Tells whether a retry can't change the reply.
+/// Returns whether a retry can't change the reply.
 fn is_final(reply: &Reply) -> bool {
     !reply.status.is_server_error() && reply.status.as_u16() != 429
 }
--- a/src/cli/submit.rs
+++ b/src/cli/submit.rs
@@ -173,7 +173,7 @@
 }
 
 impl Attempts {
-    /// Records the result of a request, and tells whether it's final.
+    /// Records the result of a request, and returns whether it's final.
     fn record(&mut self, address: &str, result: Result<Reply, Failure>) -> bool {
         match result {
             Err(Failure::Unsent(why)) => self.unsent.push(why),
@@ -229,7 +229,7 @@
         })
     }
 
-    /// Tells whether the instance refused for a reason that may not apply to another instance.
+    /// Returns whether the instance refused for a reason that may not apply to another instance.
     fn is_transient(&self) -> bool {
         let transient = matches!(
             self.reason,
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -63,11 +63,11 @@
         )));
     }
     let tracer = Tracer::new(job).with_context_span(context_span);
-    let story = tracer.with_logs(logs.into_iter().map(to_source)).run()?;
-    warn(&story);
+    let trace = tracer.with_logs(logs.into_iter().map(to_source)).run()?;
+    warn(&trace);
     match matches.opt_present("json") {
-        true => print(&story.raw()),
-        false => print(&story.to_string()),
+        true => print(&trace.raw()),
+        false => print(&trace.to_string()),
     }
 }
 
@@ -78,16 +78,16 @@
     }
 }
 
-/// Warns on standard error of lines that may be missing.
-fn warn(story: &Trace) {
-    for skip in &story.skipped {
-        eprintln!("poplarknot: {skip}");
+/// Warns on standard error of lines that may be missing from the trace.
+fn warn(trace: &Trace) {
+    for skipped in &trace.skipped {
+        eprintln!("poplarknot: {skipped}");
     }
-    for gap in &story.gaps {
+    for gap in &trace.gaps {
         eprintln!("poplarknot: {gap}");
     }
-    if story.unsearched_lines > 0 {
-        let lines = story.unsearched_lines;
+    if trace.unsearched_lines > 0 {
+        let lines = trace.unsearched_lines;
         eprintln!(
             "poplarknot: {lines} early lines of a stream were not searched for context; give the logs as files instead"
         );
--- a/src/decision.rs
+++ b/src/decision.rs
@@ -47,7 +47,7 @@
 /// The most inputs that are handled before the status is published.
 const MAX_BATCH_LEN: usize = 256;
 
-/// The status of the core that the callers thread reads without a message.
+/// The status of the core, which the callers thread reads without sending an input.
 #[derive(Debug, Default)]
 pub struct Status {
     /// Whether the instance is ready for submissions.
@@ -273,8 +273,8 @@
             ejected: stats.ejected as u32,
             outstanding: stats.outstanding as u32,
             waiting: stats.waiting as u32,
-            kept: stats.keys as u32,
-            kept_bytes: stats.bytes as u64,
+            kept_answers: stats.keys as u32,
+            kept_answer_bytes: stats.bytes as u64,
             revision: stats.revision,
             peers: stats.instances as u32 - 1,
         });
--- a/src/endpoint/wire.rs
+++ b/src/endpoint/wire.rs
@@ -40,7 +40,7 @@
     pub running: u32,
     /// The number of tasks that wait for a slot.
     pub queued: u32,
-    /// The incarnation of the endpoint: drawn anew at each start, never reused.
+    /// The incarnation of the endpoint: a new one at each start of its process, never reused.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub incarnation: Option<Incarnation>,
 }
--- a/src/error.rs
+++ b/src/error.rs
@@ -23,7 +23,7 @@
     Read {
         /// The file.
         path: String,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
     /// A file can't be written.
@@ -31,7 +31,7 @@
     Write {
         /// The file.
         path: String,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
     /// The settings are wrong.
@@ -53,11 +53,11 @@
     /// A listener can't be opened.
     #[error("can't listen for {what} at {address}: {source}")]
     Listen {
-        /// Who connects to it.
+        /// What connects to it or arrives at it.
         what: &'static str,
         /// The address.
         address: String,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
     /// A thread or its runtime can't be started.
@@ -65,14 +65,14 @@
     Thread {
         /// The thread's purpose.
         what: &'static str,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
     /// The process has a logger already.
     #[error("the log is already initialized")]
     LogInitialized,
-    /// No instance could be reached, so nothing was run or changed.
-    #[error("no instance could be reached, so nothing was run or changed:{}", format_lines(.0))]
+    /// No instance could be reached or, for a read, gave an answer. Nothing was run or changed.
+    #[error("no instance could be reached or gave an answer; nothing was run or changed:{}", format_lines(.0))]
     Unreachable(Vec<String>),
     /// No answer came to a submission that may have arrived.
     #[error("the answer was lost, and the tasks may have run:{}", format_lines(.0))]
--- a/src/http.rs
+++ b/src/http.rs
@@ -185,7 +185,7 @@
 ) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = method;
-    // Paths are built from validated names, so parsing doesn't fail.
+    // Paths are built from validated or percent-encoded names, so parsing doesn't fail.
     *request.uri_mut() = path.parse().unwrap_or_default();
     if let Ok(host) = address.parse() {
         request.headers_mut().insert(hyper::header::HOST, host);
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -110,9 +110,9 @@
     /// The number of tasks that wait for an endpoint.
     pub waiting: u32,
     /// The number of answers kept for resubmissions.
-    pub kept: u32,
+    pub kept_answers: u32,
     /// The size of the kept answers in bytes.
-    pub kept_bytes: u64,
+    pub kept_answer_bytes: u64,
     /// The revision of the configuration in force.
     pub revision: Revision,
     /// The number of peers that are alive.
@@ -130,18 +130,18 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Request {
+struct RequestLabels {
     outcome: Label<Outcome>,
     class: Label<Class>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Refusal {
+struct RefusalLabels {
     reason: Label<Reason>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Kind {
+struct MessageLabels {
     kind: Label<Message>,
 }
 
@@ -149,8 +149,8 @@
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    requests: Family<Request, Counter>,
-    refusals: Family<Refusal, Counter>,
+    requests: Family<RequestLabels, Counter>,
+    refusals: Family<RefusalLabels, Counter>,
     job_seconds: Histogram,
     response_ratio: Histogram,
     starts: Counter,
@@ -164,8 +164,8 @@
     ejected: Gauge,
     outstanding: Gauge,
     waiting: Gauge,
-    kept: Gauge,
-    kept_bytes: Gauge,
+    kept_answers: Gauge,
+    kept_answer_bytes: Gauge,
     revision: Gauge,
     peers: Gauge,
 }
@@ -208,8 +208,8 @@
             ejected: r.add("endpoints_ejected", "Endpoints that are ejected"),
             outstanding: r.add("tasks_outstanding", "Tasks started and not ended"),
             waiting: r.add("tasks_waiting", "Tasks that wait for an endpoint"),
-            kept: r.add("answers_kept", "Answers kept for resubmissions"),
-            kept_bytes: r.add("answers_kept_bytes", "Bytes of the kept answers"),
+            kept_answers: r.add("answers_kept", "Answers kept for resubmissions"),
+            kept_answer_bytes: r.add("answers_kept_bytes", "Bytes of the kept answers"),
             revision: r.add("configuration_revision", "The revision in force"),
             peers: r.add("peers_alive", "Peers that are alive"),
             registry,
@@ -218,14 +218,14 @@
 
     /// Counts an answer to a submission, and a refusal if the job was not run.
     pub fn count_answer(&self, outcome: Outcome, reason: Reason, class: Class) {
-        let request = Request {
+        let request = RequestLabels {
             outcome: Label(outcome),
             class: Label(class),
         };
         self.requests.get_or_create(&request).inc();
         if outcome == Outcome::NotRun {
             let reason = Label(reason);
-            self.refusals.get_or_create(&Refusal { reason }).inc();
+            self.refusals.get_or_create(&RefusalLabels { reason }).inc();
         }
     }
 
@@ -273,8 +273,9 @@
         self.ejected.set(gauges.ejected.into());
         self.outstanding.set(gauges.outstanding.into());
         self.waiting.set(gauges.waiting.into());
-        self.kept.set(gauges.kept.into());
-        self.kept_bytes.set(to_gauge_value(gauges.kept_bytes));
+        self.kept_answers.set(gauges.kept_answers.into());
+        self.kept_answer_bytes
+            .set(to_gauge_value(gauges.kept_answer_bytes));
         self.revision.set(to_gauge_value(gauges.revision.0));
         self.peers.set(gauges.peers.into());
     }
@@ -290,8 +291,8 @@
 }
 
 /// Returns the counter of each kind, in the order of [`Message::ALL`].
-fn message_counters(family: &Family<Kind, Counter>) -> [Counter; Message::ALL.len()] {
-    Message::ALL.map(|kind| family.get_or_create_owned(&Kind { kind: Label(kind) }))
+fn message_counters(family: &Family<MessageLabels, Counter>) -> [Counter; Message::ALL.len()] {
+    Message::ALL.map(|kind| family.get_or_create_owned(&MessageLabels { kind: Label(kind) }))
 }
 
 /// Converts a value for a gauge; one that is too large becomes the largest.
--- a/src/ring.rs
+++ b/src/ring.rs
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Sends an item and waits while the ring is full. The item is dropped if the receiver is gone.
+    /// Sends an item and waits while the ring is full. The item is dropped if the receiver was dropped.
     ///
     /// Tasks that receive from a ring use [`Self::try_send`] instead, except where the other thread never waits for
     /// theirs: else two threads with full rings would wait for each other.
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -130,14 +130,14 @@
     let (shutdown, shutting_down) = watch::channel(false);
     let (drained, has_drained) = oneshot::channel();
     let (control, from_control) = ring::channel(CONTROL_RING_CAPACITY);
-    let (caller_in, from_callers) = ring::channel(capacity);
-    let (endpoint_in, from_endpoints) = ring::channel(capacity);
-    let (platform_in, from_platform) = ring::channel(capacity);
-    let (peer_in, from_peers) = ring::channel(capacity);
-    let (to_callers, caller_out) = ring::channel(capacity);
-    let (to_endpoints, endpoint_out) = ring::channel(capacity);
-    let (to_platform, platform_out) = ring::channel(capacity);
-    let (to_peers, peer_out) = ring::channel(capacity);
+    let (caller_inputs, from_callers) = ring::channel(capacity);
+    let (endpoint_inputs, from_endpoints) = ring::channel(capacity);
+    let (platform_inputs, from_platform) = ring::channel(capacity);
+    let (peer_inputs, from_peers) = ring::channel(capacity);
+    let (to_callers, caller_outputs) = ring::channel(capacity);
+    let (to_endpoints, endpoint_outputs) = ring::channel(capacity);
+    let (to_platform, platform_outputs) = ring::channel(capacity);
+    let (to_peers, peer_outputs) = ring::channel(capacity);
     let receivers = decision::Receivers {
         callers: from_callers,
         endpoints: from_endpoints,
@@ -162,15 +162,22 @@
     let (peer_settings, peer_metrics) = (settings.clone(), metrics.clone());
     let (endpoint_shutdown, platform_shutdown) = (shutting_down.clone(), shutting_down.clone());
     let threads = vec![
-        // These two end by themselves after the decision thread, once the last answers are sent.
+        // These two end by themselves after the decisions thread, once the last answers are sent.
         spawn_thread("callers", move || async move {
             if let Some(callers) = into_tokio(callers) {
-                caller::serve(context, callers, caller_out, caller_in).await;
+                caller::serve(context, callers, caller_outputs, caller_inputs).await;
             }
         })?,
         spawn_thread("peers", move || async move {
             if let Some(peers) = into_tokio(peers) {
-                peer::serve(peer_settings, peer_metrics, peers, peer_out, peer_in).await;
+                peer::serve(
+                    peer_settings,
+                    peer_metrics,
+                    peers,
+                    peer_outputs,
+                    peer_inputs,
+                )
+                .await;
             }
         })?,
         spawn_thread("endpoints", move || {
@@ -180,8 +187,8 @@
                     endpoint_settings,
                     clock,
                     endpoint_metrics,
-                    endpoint_out,
-                    endpoint_in,
+                    endpoint_outputs,
+                    endpoint_inputs,
                 ),
             )
         })?,
@@ -191,8 +198,8 @@
                 table::serve(
                     platform_settings,
                     platform_metrics,
-                    platform_out,
-                    platform_in,
+                    platform_outputs,
+                    platform_inputs,
                 ),
             )
         })?,
@@ -210,14 +217,14 @@
     control: &ring::Sender<Input>,
     mut drained: oneshot::Receiver<()>,
 ) -> Result<(), Error> {
-    let mut term = signal_stream(SignalKind::terminate())?;
-    let mut int = signal_stream(SignalKind::interrupt())?;
-    wait_for_signal(&mut term, &mut int).await;
+    let mut terminate = signal_stream(SignalKind::terminate())?;
+    let mut interrupt = signal_stream(SignalKind::interrupt())?;
+    wait_for_signal(&mut terminate, &mut interrupt).await;
     control.send(Input::Drain).await;
     let limit = settings.timing.drain_timeout.duration();
     let cause = tokio::select! {
         _ = &mut drained => return Ok(()),
-        () = wait_for_signal(&mut term, &mut int) => "by a second signal",
+        () = wait_for_signal(&mut terminate, &mut interrupt) => "by a second signal",
         () = tokio::time::sleep(limit) => "by the drain timeout",
     };
     Event::new(Code::Interrupted, cause).log();
@@ -235,10 +242,10 @@
     })
 }
 
-async fn wait_for_signal(term: &mut Signal, int: &mut Signal) {
+async fn wait_for_signal(terminate: &mut Signal, interrupt: &mut Signal) {
     tokio::select! {
-        _ = term.recv() => {}
-        _ = int.recv() => {}
+        _ = terminate.recv() => {}
+        _ = interrupt.recv() => {}
     }
 }
 
--- a/src/table.rs
+++ b/src/table.rs
@@ -71,7 +71,7 @@
 /// The most reads and object operations in progress at once.
 const MAX_CONCURRENT_READS: usize = 32;
 
-/// How long a deferrable group waits for a commit that an urgent group starts.
+/// The longest that a deferrable group waits for an urgent one to share a commit with. After that it is committed anyway.
 const MAX_DELAY: Duration = Duration::from_millis(50);
 
 /// The capacity of the token bucket, in seconds of the instance's share of commits.
@@ -80,7 +80,7 @@
 /// Gathers groups into commits, at most one of them in flight.
 #[derive(xtra::Actor)]
 struct Committer {
-    link: Arc<Link>,
+    client: Arc<Client>,
     urgent: VecDeque<(Ticket, Group)>,
     deferred: VecDeque<(Ticket, Group)>,
     /// When the oldest deferrable group is committed at the latest.
@@ -99,8 +99,8 @@
     refilled_at: Instant,
 }
 
-/// The connections to the platform, shared by the tasks of this thread.
-struct Link {
+/// The HTTP client of the platform, shared by the tasks of this thread.
+struct Client {
     address: String,
     /// The timeout of one request.
     timeout: Duration,
@@ -112,7 +112,7 @@
 }
 
 /// An output of the core, sent to the committer.
-struct Order(Output);
+struct CoreOutput(Output);
 
 /// The commit in flight has ended.
 struct CommitEnded;
@@ -127,7 +127,7 @@
     mut outputs: ring::Receiver<Output>,
     inputs: ring::Sender<Input>,
 ) {
-    let link = Arc::new(Link {
+    let client = Arc::new(Client {
         address: settings.platform_address.to_string(),
         timeout: settings.timing.platform_timeout.duration(),
         metrics,
@@ -137,11 +137,12 @@
     });
     let centres = settings.data_centres.clone();
     tokio::spawn(
-        link.clone()
+        client
+            .clone()
             .read_lists(centres, settings.timing.list_interval),
     );
     let committer = Committer {
-        link,
+        client,
         urgent: VecDeque::new(),
         deferred: VecDeque::new(),
         due: None,
@@ -150,21 +151,21 @@
     };
     let address = xtra::spawn_tokio(committer, Mailbox::bounded(settings.limits.ring_capacity));
     while let Some(output) = outputs.recv().await {
-        if address.send(Order(output)).await.is_err() {
+        if address.send(CoreOutput(output)).await.is_err() {
             return;
         }
     }
 }
 
-impl Handler<Order> for Committer {
+impl Handler<CoreOutput> for Committer {
     type Return = ();
 
-    async fn handle(&mut self, Order(output): Order, ctx: &mut Context<Self>) {
+    async fn handle(&mut self, CoreOutput(output): CoreOutput, ctx: &mut Context<Self>) {
         match output {
             Output::Share(instances) => self.bucket.set_share(instances),
             Output::Command(ticket, Command::Commit(group)) => {
                 if self.count_waiting() >= MAX_WAITING_GROUPS {
-                    self.link.spawn_complete(ticket, Completion::Refused);
+                    self.client.spawn_complete(ticket, Completion::Refused);
                     return;
                 }
                 self.urgent.push_back((ticket, group));
@@ -172,7 +173,7 @@
             }
             Output::Command(ticket, Command::CommitLater(group)) => {
                 if self.count_waiting() >= MAX_WAITING_GROUPS {
-                    self.link.spawn_complete(ticket, Completion::Refused);
+                    self.client.spawn_complete(ticket, Completion::Refused);
                     return;
                 }
                 self.deferred.push_back((ticket, group));
@@ -182,10 +183,10 @@
                 }
             }
             Output::Command(ticket, command) => {
-                let link = self.link.clone();
+                let client = self.client.clone();
                 tokio::spawn(async move {
-                    let result = link.execute(command).await;
-                    link.inputs.send(Input::Completed(ticket, result)).await;
+                    let result = client.execute(command).await;
+                    client.inputs.send(Input::Completed(ticket, result)).await;
                 });
             }
             _ => {}
@@ -246,10 +247,10 @@
             schedule_wake_up(ctx, MAX_DELAY);
         }
         self.in_flight = true;
-        let link = self.link.clone();
+        let client = self.client.clone();
         let address = ctx.mailbox().address();
         tokio::spawn(async move {
-            link.commit(batch).await;
+            client.commit(batch).await;
             address.send(CommitEnded).await.ok();
         });
     }
@@ -276,7 +277,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the time until a token is there.
+    /// Returns the time until there is a token.
     fn try_take(&mut self, now: Instant) -> Result<(), Duration> {
         let capacity = (self.rate * BURST_SECONDS).max(1.0);
         let gained = now.duration_since(self.refilled_at).as_secs_f64() * self.rate;
@@ -291,11 +292,11 @@
     }
 }
 
-impl Link {
+impl Client {
     /// Sends the result of a command to the core without waiting for space in the ring.
     fn spawn_complete(self: &Arc<Self>, ticket: Ticket, result: Completion) {
-        let link = self.clone();
-        tokio::spawn(async move { link.inputs.send(Input::Completed(ticket, result)).await });
+        let client = self.clone();
+        tokio::spawn(async move { client.inputs.send(Input::Completed(ticket, result)).await });
     }
 
     /// Commits `batch` in one request and sends the core a result for each group.
--- a/src/table/list.rs
+++ b/src/table/list.rs
@@ -12,7 +12,7 @@
 
 use super::{
     wire::List,
-    Link, //
+    Client, //
 };
 use crate::{
     core::message::Input,
@@ -47,7 +47,7 @@
     centres.iter().map(path).collect()
 }
 
-impl Link {
+impl Client {
     /// Polls the list every `period` and sends it to the core.
     ///
     /// An `if-none-match` header avoids transferring an unchanged part, which bounds the control traffic of an
--- a/src/table/wire.rs
+++ b/src/table/wire.rs
@@ -111,7 +111,7 @@
     pub state: State,
 }
 
-/// An endpoint in the platform's list.
+/// A worker: an endpoint as the platform's list has it, with the pool, slots and hardware that records refer to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Worker {
     /// Its name.
--- a/src/trace/text.rs
+++ b/src/trace/text.rs
@@ -35,7 +35,7 @@
 }
 
 impl Widths {
-    fn of(entries: &[Entry]) -> Self {
+    fn from_entries(entries: &[Entry]) -> Self {
         let widest = |width: fn(&Entry) -> usize| entries.iter().map(width).max();
         Self {
             instance: widest(|e| e.line.instance.as_str().len()).unwrap_or_default(),
@@ -73,7 +73,7 @@
             f,
             "job {job}: lines {lines}, instances {instances}, first to last {span} ms"
         )?;
-        let widths = Widths::of(&self.entries);
+        let widths = Widths::from_entries(&self.entries);
         for group in self.entries.chunk_by(Entry::is_repeated_by) {
             let after = |entry: &Entry| i128::from(entry.line.time_ms) - i128::from(first);
             group[0].write_columns(f, after(&group[0]), &widths)?;
