--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -57,14 +57,14 @@
 /// Settings are parsed, unknown fields are ignored, and a missing or malformed field is named.
 #[test]
 fn settings_are_read() {
-    let site = settings::parse(SETTINGS).unwrap();
-    assert_eq!(site.peer_address.port(), 7720);
-    assert_eq!((site.share, site.max_sockets), (250, 3_900));
-    assert_eq!(site.grace, Span::seconds(6));
-    assert!(site.seeds.is_empty());
+    let parsed = settings::parse(SETTINGS).unwrap();
+    assert_eq!(parsed.peer_address.port(), 7720);
+    assert_eq!((parsed.share, parsed.max_sockets), (250, 3_900));
+    assert_eq!(parsed.grace, Span::seconds(6));
+    assert!(parsed.seeds.is_empty());
     let control = SETTINGS.replace("front =", "control = \"10.1.0.13:8166\"\nfront =");
-    let site = settings::parse(&control).unwrap();
-    assert_eq!((site.peer_address.port(), site.seeds.len()), (8166, 2));
+    let parsed = settings::parse(&control).unwrap();
+    assert_eq!((parsed.peer_address.port(), parsed.seeds.len()), (8166, 2));
     let fault = settings::parse(&SETTINGS.replace("address", "adress")).unwrap_err();
     assert!(fault.to_string().contains("platform"), "{fault}");
     let fault = settings::parse(&SETTINGS.replace("10.1.0.13:8167", "nowhere")).unwrap_err();
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -202,6 +202,7 @@
     assert_eq!(stdout(&version), expected);
 }
 
+/// A script must be able to tell a wrong command line from a failure, and must not take an error for output.
 #[test]
 fn wrong_usage_ends_with_code_2_and_one_line() {
     let wrong: [&[&str]; 14] = [
@@ -247,6 +248,7 @@
     assert_eq!(exit_code(&output), 0, "{}", stderr(&output));
 }
 
+/// If only the first fault were reported, each would cost a run. A token must not be printed.
 #[test]
 fn check_names_every_fault_at_once() {
     let text = "\
@@ -311,6 +313,7 @@
     }
 }
 
+/// The shipped file must show the defaults that the program uses.
 #[test]
 fn the_shipped_settings_list_every_key_with_its_default() {
     let settings = Settings::parse(SHIPPED).expect("it has no faults");
@@ -328,6 +331,7 @@
     }
 }
 
+/// A new key must not stay undocumented.
 #[test]
 fn the_readme_lists_every_key() {
     for (section, keys) in key::SECTIONS {
@@ -357,6 +361,7 @@
     }
 }
 
+/// A number that is parsed and printed again would lose digits of the payload.
 #[test]
 fn submit_prints_the_answer_and_sends_payloads_as_written() {
     let fake = FakeInstance::new([Action::Answer(200, COMPLETE)]);
@@ -388,6 +393,7 @@
     }
 }
 
+/// A script decides by the exit code whether a retry is safe.
 #[test]
 fn submit_ends_with_the_code_of_the_outcome() {
     let outcomes = [
@@ -528,6 +534,7 @@
     );
 }
 
+/// A refusal or a closed port at one instance must not fail a burst that another instance can run.
 #[test]
 fn submit_goes_on_where_nothing_was_run() {
     let draining = FakeInstance::new([Action::Answer(503, DRAINING)]);
@@ -569,6 +576,7 @@
     assert_eq!(header(&requests[0], "authorization"), Some(bearer.as_str()));
 }
 
+/// Without the operation id in the message, the operator couldn't retry the change safely.
 #[test]
 fn record_tells_a_change_that_may_be_in_force() {
     let fake = FakeInstance::new([Action::Close, Action::Close, Action::Close]);
@@ -591,6 +599,7 @@
         .starts_with("DELETE /v1/records/service/cells?amends=4&confirm=capacity HTTP/1.1\r\n"));
 }
 
+/// Each command sends the request that its arguments name, and never prints the token.
 #[test]
 fn record_and_audit_ask_what_they_are_told_to() {
     let cases: [(&[&str], &str); 5] = [
@@ -701,6 +710,7 @@
     }
 }
 
+/// Counters are found by the kind's discriminant: another order of `ALL` would count under a wrong label.
 #[test]
 fn message_kinds_are_counted_each_in_its_own_place() {
     for (i, kind) in Message::ALL.into_iter().enumerate() {
--- a/tests/events.rs
+++ b/tests/events.rs
@@ -41,6 +41,7 @@
     format!("E{:03}", code.number())
 }
 
+/// Operators look events up by number: two events with one number couldn't be told apart.
 #[test]
 fn numbers_are_unique_and_in_order() {
     let numbers: Vec<u16> = Code::ALL.iter().map(|code| code.number()).collect();
@@ -48,6 +49,7 @@
     assert_eq!(numbers, sorted.into_iter().collect::<Vec<_>>());
 }
 
+/// An operator must find each logged event in the documentation, with the title and level that the log shows.
 #[test]
 fn every_event_is_in_the_catalogue() {
     let rows = parse_rows();
@@ -60,6 +62,7 @@
     }
 }
 
+/// The documentation must not describe an event that was removed.
 #[test]
 fn every_line_of_the_catalogue_is_an_event() {
     let numbers: Vec<String> = parse_rows().into_iter().map(|row| row.number).collect();
@@ -67,6 +70,7 @@
     assert_eq!(numbers, events);
 }
 
+/// A documented event without an action leaves the operator with nothing to do about it.
 #[test]
 fn every_line_says_what_it_means_and_what_to_do() {
     for row in parse_rows() {
@@ -75,6 +79,7 @@
     }
 }
 
+/// Log filters match on the number at the beginning of the text.
 #[test]
 fn a_line_of_the_log_begins_with_the_number() {
     let event = Event::new(Code::PeerLost, "entry-2");
--- a/tests/records/cluster.rs
+++ b/tests/records/cluster.rs
@@ -142,7 +142,7 @@
         self.nodes[i].config.as_ref().unwrap()
     }
 
-    pub(crate) fn reachable(&self, i: usize, j: usize) -> bool {
+    pub(crate) fn is_reachable(&self, i: usize, j: usize) -> bool {
         let (a, b) = (&self.nodes[i].centre, &self.nodes[j].centre);
         a == b || !(self.partitioned.contains(a) || self.partitioned.contains(b))
     }
@@ -224,7 +224,7 @@
                 }
             }
             Message::Call(from, epoch, ticket, to, call) => {
-                if self.nodes[to].config.is_none() || !self.reachable(from, to) {
+                if self.nodes[to].config.is_none() || !self.is_reachable(from, to) {
                     return self
                         .messages
                         .push(Message::Return(from, epoch, ticket, None));
@@ -258,7 +258,7 @@
         for i in 0..self.nodes.len() {
             let peers = (0..self.nodes.len()).filter(|j| *j != i).map(|j| {
                 let node = &self.nodes[j];
-                let alive = node.config.is_some() && self.reachable(i, j);
+                let alive = node.config.is_some() && self.is_reachable(i, j);
                 Peer {
                     name: node.name.clone(),
                     centre: node.centre.clone(),
--- a/tests/records/edits.rs
+++ b/tests/records/edits.rs
@@ -11,7 +11,8 @@
 
 /// Removes the first commit in transit and returns it.
 fn take_commit(cluster: &mut Cluster) -> (usize, u64, u64, Command) {
-    let is_commit = |f: &Message| matches!(f, Message::Command(_, _, _, Command::Commit(_)));
+    let is_commit =
+        |message: &Message| matches!(message, Message::Command(_, _, _, Command::Commit(_)));
     let index = cluster
         .messages
         .iter()
--- a/tests/records/loads.rs
+++ b/tests/records/loads.rs
@@ -27,11 +27,17 @@
     let mut cluster = Cluster::with_records(2, &[sample::COMPUTE, OPEN]);
     cluster.stop(1);
     cluster.start(1);
-    let head = take_message(&mut cluster, |f| matches!(f, Message::Command(1, ..)));
+    let head = take_message(&mut cluster, |message| {
+        matches!(message, Message::Command(1, ..))
+    });
     cluster.deliver(head);
-    let head = take_message(&mut cluster, |f| matches!(f, Message::Completion(1, ..)));
+    let head = take_message(&mut cluster, |message| {
+        matches!(message, Message::Completion(1, ..))
+    });
     cluster.deliver(head);
-    let scan = take_message(&mut cluster, |f| matches!(f, Message::Command(1, ..)));
+    let scan = take_message(&mut cluster, |message| {
+        matches!(message, Message::Command(1, ..))
+    });
     cluster.change(0, amend("pool/spare", 2, CLOSED));
     cluster.deliver(scan);
     cluster.deliver_all();
@@ -92,7 +98,9 @@
     cluster.partitioned.clear();
     cluster.heartbeat();
     cluster.tick(300);
-    let page = take_message(&mut cluster, |f| matches!(f, Message::Call(0, ..)));
+    let page = take_message(&mut cluster, |message| {
+        matches!(message, Message::Call(0, ..))
+    });
     cluster.deliver(page);
     announced
         .into_iter()
--- a/tests/records/spread.rs
+++ b/tests/records/spread.rs
@@ -36,8 +36,8 @@
     // would revert that change.
     let mut cluster = Cluster::with_records(1, &[sample::COMPUTE, OPEN]);
     cluster.tick(2 * POLL.as_millis());
-    let read = take_message(&mut cluster, |f| {
-        matches!(f, Message::Command(_, _, _, Command::Read(_)))
+    let read = take_message(&mut cluster, |message| {
+        matches!(message, Message::Command(_, _, _, Command::Read(_)))
     });
     let Message::Command(i, _, ticket, read) = read else {
         panic!("{read:?}");
@@ -92,7 +92,7 @@
     write_to_table(&mut cluster, "pool/spare", OPEN);
     for _ in 0..70 {
         cluster.tick(100);
-        let is_lost = |f: &Message| match f {
+        let is_lost = |message: &Message| match message {
             Message::Command(i, ..) => *i == silent,
             message => matches!(message, Message::Call(..)),
         };
@@ -212,7 +212,7 @@
         cluster.ask(0, Ask::Edit(edit));
         cluster
             .messages
-            .retain(|f| !matches!(f, Message::Command(2 | 5, ..)));
+            .retain(|message| !matches!(message, Message::Command(2 | 5, ..)));
         cluster.deliver_all();
     }
     assert_eq!(cluster.revisions(), [21, 21, 1, 21, 21, 1]);
@@ -247,7 +247,7 @@
     cluster.ask(0, Ask::Edit(edit));
     cluster
         .messages
-        .retain(|f| !matches!(f, Message::Command(1, ..)));
+        .retain(|message| !matches!(message, Message::Command(1, ..)));
     cluster.deliver_all();
     cluster.partitioned.clear();
     let read_rollout = |cluster: &mut Cluster| {
