--- a/src/record/check.rs
+++ b/src/record/check.rs
@@ -38,7 +38,9 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Capacity {
     slots: BTreeMap<Pool, BTreeMap<Centre, u64>>,
-    sizes: BTreeMap<Pool, Vec<Hardware>>,
+    /// The distinct hardware of each pool's workers.
+    hardware: BTreeMap<Pool, Vec<Hardware>>,
+    /// All data centres, also those without a worker.
     centres: BTreeSet<Centre>,
 }
 
@@ -61,7 +63,7 @@
         // Names are cloned only when they are new: the list has many workers, but few pools and data centres.
         if !self.slots.contains_key(&worker.pool) {
             self.slots.insert(worker.pool.clone(), BTreeMap::new());
-            self.sizes.insert(worker.pool.clone(), Vec::new());
+            self.hardware.insert(worker.pool.clone(), Vec::new());
         }
         if let Some(centres) = self.slots.get_mut(&worker.pool) {
             match centres.get_mut(&worker.centre) {
@@ -69,9 +71,9 @@
                 None => drop(centres.insert(worker.centre.clone(), u64::from(worker.slots))),
             }
         }
-        if let Some(sizes) = self.sizes.get_mut(&worker.pool) {
-            if !sizes.contains(&worker.resources) {
-                sizes.push(worker.resources);
+        if let Some(hardware) = self.hardware.get_mut(&worker.pool) {
+            if !hardware.contains(&worker.resources) {
+                hardware.push(worker.resources);
             }
         }
     }
@@ -193,16 +195,17 @@
 /// Returns a fault if no worker of the pool has the hardware that its record requires.
 fn check_hardware(record: &Record, need: &Hardware, capacity: &Capacity) -> Option<Fault> {
     let pool: Pool = record.name.name.parse().ok()?;
-    let sizes = capacity.sizes.get(&pool)?;
+    let hardware = capacity.hardware.get(&pool)?;
     let is_sufficient = |has: &Hardware| {
         has.cores >= need.cores
             && has.memory_mb >= need.memory_mb
             && has.accelerators >= need.accelerators
     };
-    if sizes.iter().any(is_sufficient) {
+    if hardware.iter().any(is_sufficient) {
         return None;
     }
-    let detail = format!("no worker of pool {pool} has that hardware; its workers have {sizes:?}");
+    let detail =
+        format!("no worker of pool {pool} has that hardware; its workers have {hardware:?}");
     Some(Fault::new("least", Code::Unsatisfiable, detail))
 }
 
--- a/src/record/difference.rs
+++ b/src/record/difference.rs
@@ -34,25 +34,30 @@
     list
 }
 
-/// Appends the differences between `a` and `b`, the values at `path`, to `list`.
-fn collect(path: String, a: Option<&Value>, b: Option<&Value>, list: &mut Vec<Difference>) {
-    if a == b {
+/// Appends the differences between the values at `path` to `list`.
+fn collect(
+    path: String,
+    current: Option<&Value>,
+    asked: Option<&Value>,
+    list: &mut Vec<Difference>,
+) {
+    if current == asked {
         return;
     }
-    let (Some(Value::Object(x)), Some(Value::Object(y))) = (a, b) else {
+    let (Some(Value::Object(old)), Some(Value::Object(new))) = (current, asked) else {
         list.push(Difference {
             path,
-            current: a.cloned(),
-            asked: b.cloned(),
+            current: current.cloned(),
+            asked: asked.cloned(),
         });
         return;
     };
-    let added = y.keys().filter(|key| !x.contains_key(*key));
-    for key in x.keys().chain(added) {
+    let added = new.keys().filter(|key| !old.contains_key(*key));
+    for key in old.keys().chain(added) {
         let inner_path = match path.as_str() {
             "" => key.clone(),
             path => format!("{path}.{key}"),
         };
-        collect(inner_path, x.get(key), y.get(key), list);
+        collect(inner_path, old.get(key), new.get(key), list);
     }
 }
--- a/src/record/fields.rs
+++ b/src/record/fields.rs
@@ -27,7 +27,8 @@
 pub struct Fields<'a> {
     map: &'a Map<String, Value>,
     path: String,
-    known: Vec<&'static str>,
+    /// The keys that were asked for, which make up the schema.
+    read_keys: Vec<&'static str>,
     faults: Vec<Fault>,
 }
 
@@ -37,7 +38,7 @@
         Self {
             map,
             path: path.into(),
-            known: Vec::new(),
+            read_keys: Vec::new(),
             faults: Vec::new(),
         }
     }
@@ -53,10 +54,10 @@
         self.faults.extend(faults);
     }
 
-    /// Returns the value of a field, and marks the field as known.
+    /// Returns the value of a field, and marks the field as one of the schema.
     pub fn value(&mut self, key: &'static str) -> Option<&'a Value> {
-        if !self.known.contains(&key) {
-            self.known.push(key);
+        if !self.read_keys.contains(&key) {
+            self.read_keys.push(key);
         }
         self.map.get(key)
     }
@@ -69,7 +70,7 @@
         read: impl Fn(&Value) -> Result<T, ValueFault>,
     ) -> Option<T> {
         if !self.map.contains_key(key) {
-            self.known.push(key);
+            self.read_keys.push(key);
             self.add_fault(key, Code::Missing, format!("is missing; give {expected}"));
             return None;
         }
@@ -136,7 +137,7 @@
         let unknown: Vec<&String> = self
             .map
             .keys()
-            .filter(|key| !self.known.contains(&key.as_str()))
+            .filter(|key| !self.read_keys.contains(&key.as_str()))
             .collect();
         for key in unknown {
             let detail = self.describe_unknown(key);
@@ -148,13 +149,21 @@
     /// Returns the detail of the fault of an unknown field, with the field that was probably meant.
     fn describe_unknown(&self, key: &str) -> String {
         let is_prefix = |known: &&str| known.starts_with(key) || key.starts_with(*known);
-        let nearest = self.known.iter().min_by_key(|known| distance(known, key));
+        let nearest = self
+            .read_keys
+            .iter()
+            .min_by_key(|known| distance(known, key));
         let nearest = nearest.filter(|known| distance(known, key) <= MAX_DISTANCE);
-        match self.known.iter().find(|known| is_prefix(known)).or(nearest) {
+        match self
+            .read_keys
+            .iter()
+            .find(|known| is_prefix(known))
+            .or(nearest)
+        {
             Some(known) => format!("is no field of this schema; did you mean `{known}`?"),
             None => format!(
                 "is no field of this schema, which has {}",
-                self.known.join(", ")
+                self.read_keys.join(", ")
             ),
         }
     }
