--- a/src/cli.rs
+++ b/src/cli.rs
@@ -30,7 +30,8 @@
 use crate::error::Error;
 
 const HELP: &str = "\
-Dispatches bursts of sub-second tasks: started at most once, answered completely or not at all.
+Dispatches bursts of sub-second tasks. A task is started at most once, unless it is declared idempotent.
+An answer has the results of all tasks of a burst, or none.
 
 Usage: poplarknot COMMAND [OPTIONS]
 
@@ -49,7 +50,7 @@
 
 Exit codes: 0 done, 1 failed at run time, 2 wrong usage, 3 wrong settings;
 of submit: 0 complete, 4 failed, 5 not run, 6 unknown;
-of record and audit: 5 no instance could be reached, 6 a change may be in force or not.
+of record and audit: 5 no instance answered and nothing was changed, 6 a change may be in force or not.
 ";
 
 /// Runs the command that the arguments name. The program's own name isn't among them.
--- a/src/cli/exit.rs
+++ b/src/cli/exit.rs
@@ -20,7 +20,7 @@
     Settings = 3,
     /// `submit`: the job failed.
     Failed = 4,
-    /// `submit`: nothing was run; `record` and `audit`: no instance could be reached.
+    /// `submit`: nothing was run; `record` and `audit`: no instance answered, and nothing was changed.
     NotRun = 5,
     /// `submit`: tasks may have run; `record`: the change may be in force.
     Unknown = 6,
--- a/src/cli/record.rs
+++ b/src/cli/record.rs
@@ -37,8 +37,8 @@
 
 Submits, amends, withdraws and shows configuration records. A record is JSON in FILE or on standard input.
 
-Exit codes: 0 done, 1 refused, 5 no instance could be reached, 6 the change may be in force or not: retry it
-with the --operation that the message names.";
+Exit codes: 0 done, 1 refused, 5 no instance answered and nothing was changed, 6 the change may be in force or not:
+retry it with the --operation that the message names.";
 
 pub(super) fn run(args: &[String]) -> Result<Exit, Error> {
     let mut syntax = Syntax::new(BRIEF);
--- a/src/cli/submit.rs
+++ b/src/cli/submit.rs
@@ -98,7 +98,7 @@
 }
 
 /// An answer with its original text.
-struct Received {
+struct RawAnswer {
     outcome: Outcome,
     reason: Reason,
     text: String,
@@ -130,7 +130,7 @@
     ///
     /// The next address is tried only if no earlier request can have run the burst, or if the burst has a key, so
     /// that instances recognize a duplicate. Anything else could run the burst twice.
-    async fn submit(&self, addresses: &[String]) -> Result<Received, Error> {
+    async fn submit(&self, addresses: &[String]) -> Result<RawAnswer, Error> {
         let progress = start_progress(self.tasks);
         let mut attempts = Attempts::default();
         for address in addresses {
@@ -165,7 +165,7 @@
 /// The results of the requests so far.
 #[derive(Default)]
 struct Attempts {
-    last_answer: Option<Received>,
+    last_answer: Option<RawAnswer>,
     /// Failures and answers after which the burst may have run.
     unknown: Vec<String>,
     /// Failures before any byte was sent.
@@ -178,7 +178,7 @@
         match result {
             Err(Failure::Unsent(why)) => self.unsent.push(why),
             Err(Failure::Lost(why)) => self.unknown.push(why),
-            Ok(reply) => match Received::read(&reply.body) {
+            Ok(reply) => match RawAnswer::read(&reply.body) {
                 Some(answer) => return self.record_answer(address, answer),
                 None => {
                     let status = reply.status;
@@ -190,7 +190,7 @@
         false
     }
 
-    fn record_answer(&mut self, address: &str, answer: Received) -> bool {
+    fn record_answer(&mut self, address: &str, answer: RawAnswer) -> bool {
         let transient = answer.is_transient();
         if transient && answer.outcome == Outcome::Unknown {
             self.unknown.push(format!("{address}: {}", answer.text));
@@ -207,7 +207,7 @@
     /// # Errors
     ///
     /// Fails if no request got an answer, or if the last answer is "not run" and an earlier request may have run.
-    fn into_result(self) -> Result<Received, Error> {
+    fn into_result(self) -> Result<RawAnswer, Error> {
         match self.last_answer {
             Some(answer) if self.unknown.is_empty() || answer.outcome != Outcome::NotRun => {
                 Ok(answer)
@@ -218,7 +218,7 @@
     }
 }
 
-impl Received {
+impl RawAnswer {
     /// Parses an answer; returns `None` if the body isn't one.
     fn read(body: &[u8]) -> Option<Self> {
         let answer: Answer = serde_json::from_slice(body).ok()?;
--- a/src/error.rs
+++ b/src/error.rs
@@ -60,10 +60,10 @@
         /// The cause.
         source: io::Error,
     },
-    /// A thread or its runtime can't be started.
-    #[error("can't start the {what} thread: {source}")]
+    /// A thread, its runtime or a signal handler can't be set up.
+    #[error("can't set up the thread or handler '{what}': {source}")]
     Thread {
-        /// The thread's purpose.
+        /// The purpose of the thread or handler.
         what: &'static str,
         /// The cause.
         source: io::Error,
--- a/src/instance/peers.rs
+++ b/src/instance/peers.rs
@@ -140,7 +140,7 @@
             }
         };
         if link.bytes + message.len() > MAX_QUEUED_BYTES {
-            // The peer treats the batch as lost when it asks for it, or ends the session.
+            // A batch that is lost in this way is found when it is audited at its owner, or when the session ends.
             hub.log(&Record::new("message_dropped").with("member", to.name.as_str()));
         } else {
             link.bytes += message.len();
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -107,7 +107,7 @@
         links: RefCell::default(),
         open_connections: Cell::new(0),
     });
-    let accepting = spawn_local(accept_connections(shared.clone(), listener));
+    let acceptor = spawn_local(accept_connections(shared.clone(), listener));
     while let Some(command) = commands.recv().await {
         match command {
             Output::Call {
@@ -133,7 +133,7 @@
             _ => {}
         }
     }
-    accepting.abort();
+    acceptor.abort();
     // The connections' tasks may still have results to send, which would be lost if the thread ended now.
     tokio::time::sleep(FLUSH_DELAY).await;
 }
--- a/src/trace/scope.rs
+++ b/src/trace/scope.rs
@@ -77,8 +77,8 @@
         if let Some(shard) = line.string_field("shard") {
             return self.shard.as_deref() == Some(shard);
         }
-        let rack = line.string_field("rack").is_some();
-        self.involves_instance(line) || rack && self.reached_no_endpoint()
+        let names_rack = line.string_field("rack").is_some();
+        self.involves_instance(line) || names_rack && self.reached_no_endpoint()
     }
 
     fn is_near(&self, time_ms: u64, span: Span) -> bool {
