--- a/tests/records/edits.rs
+++ b/tests/records/edits.rs
@@ -61,6 +61,7 @@
 
 #[test]
 fn changes_to_different_records_are_both_accepted() {
+    // Both commits are based on the same head. A conflict over different records would refuse a valid change.
     let mut cluster = cluster(2);
     let first = cluster.edit(amend("service/notebook", 2, SHORTER));
     let second = cluster.edit(submit(sample::SPARE));
@@ -131,6 +132,7 @@
 
 #[test]
 fn nothing_takes_effect_while_the_table_refuses() {
+    // A change that was reported as unavailable must not be committed after the outage.
     let mut cluster = cluster(1);
     cluster.outage = true;
     let report = cluster.change(0, amend("service/notebook", 2, SHORTER));
@@ -179,6 +181,7 @@
 
 #[test]
 fn a_dry_run_writes_nothing() {
+    // A dry run validates like a change, but must leave neither a record nor a stored result nor an audit entry.
     let mut cluster = cluster(1);
     let rows = cluster.table.rows.clone();
     for (act, status) in [
@@ -199,6 +202,7 @@
 
 #[test]
 fn the_audit_trail_tells_of_what_was_accepted_and_refused() {
+    // Refused changes belong to the trail too, also those whose text names no record.
     let mut cluster = cluster(1);
     cluster.run_for(1_000);
     let from = cluster.now.0 / 1_000;
@@ -255,6 +259,7 @@
 
 #[test]
 fn the_audit_trail_is_read_page_by_page() {
+    // A trail longer than a page must be returned whole, without repeated entries.
     let mut cluster = cluster(1);
     for i in 0..103 {
         cluster.change(0, withdraw("pool/none", i));
@@ -279,6 +284,7 @@
 
 #[test]
 fn the_queue_of_changes_is_bounded() {
+    // Without the bound, changes that arrive faster than they are committed would exhaust the memory.
     let mut cluster = cluster(1);
     let requests: Vec<u64> = (0..40)
         .map(|i| {
@@ -298,6 +304,7 @@
 
 #[test]
 fn a_change_costs_one_transaction_and_one_message_for_each_instance() {
+    // The cost of a change must not grow beyond one commit and one message for each peer.
     let mut cluster = cluster(7);
     cluster.run_for(1_000);
     let sum_stats = |cluster: &Cluster| {
--- a/tests/records/loads.rs
+++ b/tests/records/loads.rs
@@ -111,6 +111,7 @@
 
 #[test]
 fn a_start_reads_the_records_and_not_their_history() {
+    // If a start replayed all changes, it would take longer with each one ever made.
     let mut cluster = Cluster::with_records(2, &[sample::COMPUTE, OPEN]);
     for i in 0..100 {
         let text = if i % 2 == 0 { CLOSED } else { OPEN };
--- a/tests/records/rules.rs
+++ b/tests/records/rules.rs
@@ -17,6 +17,7 @@
 
 #[test]
 fn references_to_nothing_are_refused() {
+    // A service without its pool, or a rule without its service, would refuse or ignore jobs.
     let mut cluster = Cluster::with_records(1, &[sample::COMPUTE]);
     let report = cluster.change(0, submit(sample::MATCHING));
     assert_eq!(
@@ -32,6 +33,7 @@
 
 #[test]
 fn what_is_referred_to_stays() {
+    // A withdrawn record that others refer to would leave services without a route.
     let mut cluster = Cluster::with_records(1, sample::ALL);
     let report = cluster.change(0, withdraw("pool/spare", 2));
     assert_eq!(refusal_faults(report), single_fault("", Code::Referred));
@@ -53,6 +55,7 @@
 
 #[test]
 fn a_rule_that_no_worker_can_satisfy_is_refused() {
+    // A data centre or hardware that no worker has would make every job of the service fail.
     let mut cluster = Cluster::with_records(1, &[sample::COMPUTE, sample::NOTEBOOK]);
     let rule = |centre| {
         format!(
@@ -98,6 +101,7 @@
 
 #[test]
 fn a_cut_to_less_than_half_has_to_be_confirmed() {
+    // A mistake must not take most of a service's capacity away unnoticed.
     let mut cluster = Cluster::with_records(1, &[sample::COMPUTE, sample::NOTEBOOK]);
     let rule = r#"{"schema":1,"kind":"rule","name":"r","service":"notebook","spill":false}"#;
     let report = cluster.change(0, submit(rule));
@@ -112,6 +116,7 @@
 
 #[test]
 fn a_second_rule_for_a_service_is_refused() {
+    // With two rules it would be undefined which one places the tasks.
     let mut cluster = Cluster::with_records(1, sample::ALL);
     let report = cluster.change(0, submit(&sample::RULE.replace("home", "abroad")));
     assert_eq!(refusal_faults(report), single_fault("service", Code::Twice));
--- a/tests/records/spread.rs
+++ b/tests/records/spread.rs
@@ -104,6 +104,7 @@
 
 #[test]
 fn one_instance_of_a_data_centre_polls() {
+    // If all instances polled, the load on the table would grow with their number.
     let mut cluster = Cluster::with_records(6, &[sample::COMPUTE]);
     cluster.run_for(1_000);
     let polls = |cluster: &Cluster| -> Vec<u64> {
@@ -190,6 +191,7 @@
 
 #[test]
 fn an_instance_alone_in_an_outage_is_not_ready() {
+    // Without the table and peers, an instance has no records and must not take jobs.
     let mut cluster = Cluster::new(1);
     cluster.outage = true;
     cluster.run_for(5_000);
@@ -224,6 +226,7 @@
 
 #[test]
 fn every_instance_is_restarted_in_turn() {
+    // A change during a rolling restart must reach the restarted instances too.
     let mut cluster = Cluster::with_records(5, sample::ALL);
     for i in 0..5 {
         cluster.stop(i);
@@ -240,6 +243,7 @@
 
 #[test]
 fn it_is_told_where_a_record_is_in_force() {
+    // An operator must see which instances don't apply a change yet.
     let mut cluster = Cluster::with_records(3, &[sample::COMPUTE]);
     cluster.partitioned.insert(id("b"));
     cluster.heartbeat();
@@ -274,6 +278,7 @@
 
 #[test]
 fn an_operation_whose_end_is_never_told_counts_as_lost() {
+    // A start that waits forever for the result of a lost read would never become ready.
     let mut cluster = Cluster::new(1);
     cluster.messages.clear();
     cluster.tick(11_000);
@@ -283,6 +288,7 @@
 
 #[test]
 fn a_strange_return_changes_nothing() {
+    // A result without a request, or a call for unknown revisions, must not change the configuration.
     let mut cluster = Cluster::with_records(2, &[sample::COMPUTE]);
     cluster.input(1, Input::Completed(9_999, Completion::Row(None)));
     cluster.input(1, Input::Returned(9_999, Err(())));
--- a/tests/records/texts.rs
+++ b/tests/records/texts.rs
@@ -25,6 +25,7 @@
 
 #[test]
 fn both_schemas_of_a_pool_and_a_rule_say_the_same() {
+    // A record that is rewritten in the newer schema must keep its meaning.
     let old = r#"{"schema":1,"kind":"pool","name":"p","open":false}"#;
     let new = r#"{"schema":2,"kind":"pool","name":"p","state":"closed"}"#;
     assert_eq!(body(old), body(new));
@@ -72,6 +73,7 @@
 
 #[test]
 fn every_fault_is_told_at_once() {
+    // If only the first fault were reported, an operator would need a submission for each.
     let text = r#"{"schema":2,"kind":"service","name":"a b","pools":["p","p",7],"class":"twice",
         "deadline_ms":"10s","tasks":0,"deadline":10,"team":"risk"}"#;
     let expected = expected_faults(&[
@@ -103,6 +105,7 @@
 
 #[test]
 fn a_field_of_the_other_schema_is_unknown_and_the_right_one_is_named() {
+    // A field that is silently ignored would leave the operator with a default.
     let text =
         r#"{"schema":1,"kind":"service","name":"s","pool":"p","deadline":10,"deadline_ms":10}"#;
     let faults = Record::parse(text).unwrap_err();
@@ -126,6 +129,7 @@
 
 #[test]
 fn an_unknown_schema_or_kind_hides_no_other_fault_and_invents_none() {
+    // Without a schema it is unknown which fields are allowed, so none may be reported as unknown.
     assert_eq!(
         parse_faults(r#"{"schema":3,"kind":"servis","colour":"red"}"#),
         expected_faults(&[
@@ -154,6 +158,7 @@
 
 #[test]
 fn the_faults_of_one_text_are_bounded() {
+    // A generated text must not cause a report without bound.
     let fields: Vec<String> = (0..1_000).map(|i| format!(r#""x{i}":0"#)).collect();
     let text = format!(
         r#"{{"schema":1,"kind":"pool","name":"p",{}}}"#,
