--- a/src/instance/calls.rs
+++ b/src/instance/calls.rs
@@ -39,8 +39,9 @@
     prelude::*,
 };
 
-/// How long an idle connection to an endpoint may be reused. A connection that has silently failed costs the timeout
-/// of one order, but a new connection for each order would cost the endpoint and the instance more processor time.
+/// How long a connection to an endpoint may be idle and still be reused. A connection that has silently failed costs
+/// the timeout of one order, but a new connection for each order would cost the endpoint and the instance more processor
+/// time.
 const MAX_IDLE: Duration = Duration::from_secs(30);
 
 /// A client of the endpoints, with a pool of connections.
@@ -83,7 +84,7 @@
 
     /// Closes the idle connections to an endpoint.
     pub fn close_idle(&self, address: &str) {
-        self.pool.borrow_mut().remove(address);
+        self.pool.borrow_mut().close_idle(address);
     }
 }
 
@@ -105,7 +106,7 @@
             hub.endpoints.close_idle(address);
             None
         }
-        false => hub.endpoints.pool.borrow_mut().take(address),
+        false => hub.endpoints.pool.borrow_mut().take_idle(address),
     };
     if idle.is_none() {
         hub.metrics.count_connection();
