--- a/src/core/claim.rs
+++ b/src/core/claim.rs
@@ -92,14 +92,14 @@
 }
 
 impl FromStr for Range {
-    type Err = id::Fault;
+    type Err = id::ParseError;
 
-    fn from_str(text: &str) -> Result<Self, id::Fault> {
-        let rest = text.strip_prefix("r.").ok_or(id::Fault::Empty)?;
-        let (incarnation, epoch) = rest.split_once('.').ok_or(id::Fault::Empty)?;
+    fn from_str(text: &str) -> Result<Self, id::ParseError> {
+        let rest = text.strip_prefix("r.").ok_or(id::ParseError::Empty)?;
+        let (incarnation, epoch) = rest.split_once('.').ok_or(id::ParseError::Empty)?;
         Ok(Self {
             incarnation: incarnation.parse()?,
-            epoch: epoch.parse().map_err(|_| id::Fault::Number)?,
+            epoch: epoch.parse().map_err(|_| id::ParseError::Number)?,
         })
     }
 }
--- a/src/id.rs
+++ b/src/id.rs
@@ -17,7 +17,7 @@
 
 /// The reason why a text is no identifier.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum ParseError {
     /// The text is empty.
     #[error("is empty")]
     Empty,
@@ -35,16 +35,16 @@
     Number,
 }
 
-fn check_name(text: &str) -> Result<(), Fault> {
+fn check_name(text: &str) -> Result<(), ParseError> {
     if text.is_empty() {
-        return Err(Fault::Empty);
+        return Err(ParseError::Empty);
     }
     if text.len() > MAX_NAME_BYTES {
-        return Err(Fault::Long(text.len()));
+        return Err(ParseError::Long(text.len()));
     }
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | ':');
     match text.chars().find(|c| !allowed(*c)) {
-        Some(c) => Err(Fault::Character(c)),
+        Some(c) => Err(ParseError::Character(c)),
         None => Ok(()),
     }
 }
@@ -53,11 +53,11 @@
 ///
 /// The type needs the attribute `#[serde(try_from = "String", into = "String")]`.
 macro_rules! as_text {
-    ($type:ty, $fault:ty) => {
+    ($type:ty, $error:ty) => {
         impl TryFrom<String> for $type {
-            type Error = $fault;
+            type Error = $error;
 
-            fn try_from(text: String) -> Result<Self, $fault> {
+            fn try_from(text: String) -> Result<Self, $error> {
                 text.parse()
             }
         }
@@ -93,18 +93,18 @@
         }
 
         impl FromStr for $type {
-            type Err = Fault;
+            type Err = ParseError;
 
-            fn from_str(text: &str) -> Result<Self, Fault> {
+            fn from_str(text: &str) -> Result<Self, ParseError> {
                 check_name(text)?;
                 Ok(Self(text.to_owned()))
             }
         }
 
         impl TryFrom<String> for $type {
-            type Error = Fault;
+            type Error = ParseError;
 
-            fn try_from(text: String) -> Result<Self, Fault> {
+            fn try_from(text: String) -> Result<Self, ParseError> {
                 check_name(&text)?;
                 Ok(Self(text))
             }
@@ -173,19 +173,19 @@
         }
 
         impl FromStr for $type {
-            type Err = Fault;
+            type Err = ParseError;
 
-            fn from_str(text: &str) -> Result<Self, Fault> {
+            fn from_str(text: &str) -> Result<Self, ParseError> {
                 if text.len() != 32 || !text.bytes().all(|b| b.is_ascii_hexdigit()) {
-                    return Err(Fault::Hexadecimal(32));
+                    return Err(ParseError::Hexadecimal(32));
                 }
                 u128::from_str_radix(text, 16)
                     .map(Self)
-                    .map_err(|_| Fault::Hexadecimal(32))
+                    .map_err(|_| ParseError::Hexadecimal(32))
             }
         }
 
-        as_text!($type, Fault);
+        as_text!($type, ParseError);
     };
 }
 
@@ -221,22 +221,22 @@
 }
 
 impl FromStr for Digest {
-    type Err = Fault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, Fault> {
-        const FAULT: Fault = Fault::Hexadecimal(64);
+    fn from_str(text: &str) -> Result<Self, ParseError> {
+        const ERROR: ParseError = ParseError::Hexadecimal(64);
         if text.len() != 64 || !text.is_ascii() {
-            return Err(FAULT);
+            return Err(ERROR);
         }
         let mut bytes = [0; 32];
         for (i, byte) in bytes.iter_mut().enumerate() {
-            *byte = u8::from_str_radix(&text[2 * i..2 * i + 2], 16).map_err(|_| FAULT)?;
+            *byte = u8::from_str_radix(&text[2 * i..2 * i + 2], 16).map_err(|_| ERROR)?;
         }
         Ok(Self(bytes))
     }
 }
 
-as_text!(Digest, Fault);
+as_text!(Digest, ParseError);
 
 /// A revision of the configuration. Each accepted change increments it.
 #[derive(
@@ -259,10 +259,10 @@
 }
 
 impl FromStr for Revision {
-    type Err = Fault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, Fault> {
-        text.parse().map(Self).map_err(|_| Fault::Number)
+    fn from_str(text: &str) -> Result<Self, ParseError> {
+        text.parse().map(Self).map_err(|_| ParseError::Number)
     }
 }
 
@@ -293,22 +293,22 @@
 }
 
 impl FromStr for Attempt {
-    type Err = Fault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, Fault> {
+    fn from_str(text: &str) -> Result<Self, ParseError> {
         let mut parts = text.split('.');
-        let mut part = || parts.next().ok_or(Fault::Empty);
+        let mut part = || parts.next().ok_or(ParseError::Empty);
         let attempt = Self {
             incarnation: part()?.parse()?,
-            job: part()?.parse().map_err(|_| Fault::Number)?,
-            task: part()?.parse().map_err(|_| Fault::Number)?,
-            number: part()?.parse().map_err(|_| Fault::Number)?,
+            job: part()?.parse().map_err(|_| ParseError::Number)?,
+            task: part()?.parse().map_err(|_| ParseError::Number)?,
+            number: part()?.parse().map_err(|_| ParseError::Number)?,
         };
         match parts.next() {
-            Some(_) => Err(Fault::Number),
+            Some(_) => Err(ParseError::Number),
             None => Ok(attempt),
         }
     }
 }
 
-as_text!(Attempt, Fault);
+as_text!(Attempt, ParseError);
--- a/src/record.rs
+++ b/src/record.rs
@@ -107,7 +107,9 @@
         let (kind, name) = text.split_once('/').ok_or("is not KIND/NAME")?;
         let kind = kind.parse()?;
         // The names of all kinds follow the same rules.
-        let name: Service = name.parse().map_err(|e: crate::id::Fault| e.to_string())?;
+        let name: Service = name
+            .parse()
+            .map_err(|e: crate::id::ParseError| e.to_string())?;
         Ok(Self::new(kind, name))
     }
 }
--- a/src/settings/size.rs
+++ b/src/settings/size.rs
@@ -5,7 +5,7 @@
     str::FromStr, //
 };
 
-use crate::id::Fault;
+use crate::id::ParseError;
 
 /// The units, the largest first.
 const UNITS: [(&str, usize); 3] = [("GiB", 1 << 30), ("MiB", 1 << 20), ("KiB", 1 << 10)];
@@ -25,16 +25,16 @@
 }
 
 impl FromStr for Size {
-    type Err = Fault;
+    type Err = ParseError;
 
     /// Parses a whole number of bytes, KiB, MiB or GiB.
-    fn from_str(text: &str) -> Result<Self, Fault> {
+    fn from_str(text: &str) -> Result<Self, ParseError> {
         let text = text.trim();
         let unit = UNITS
             .iter()
             .find_map(|(name, bytes)| Some((text.strip_suffix(name)?, *bytes)));
         let (digits, bytes) = unit.unwrap_or((text, 1));
-        let count: usize = digits.trim().parse().map_err(|_| Fault::Number)?;
-        count.checked_mul(bytes).map(Self).ok_or(Fault::Number)
+        let count: usize = digits.trim().parse().map_err(|_| ParseError::Number)?;
+        count.checked_mul(bytes).map(Self).ok_or(ParseError::Number)
     }
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -104,7 +104,7 @@
 }
 
 impl FromStr for Span {
-    type Err = crate::id::Fault;
+    type Err = crate::id::ParseError;
 
     /// Parses whole milliseconds, with or without the unit `ms`, or whole seconds with the unit `s`.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
@@ -119,7 +119,7 @@
         let count: u64 = digits
             .trim()
             .parse()
-            .map_err(|_| crate::id::Fault::Number)?;
+            .map_err(|_| crate::id::ParseError::Number)?;
         Ok(Self::millis(count.saturating_mul(unit)))
     }
 }
