--- a/src/core.rs
+++ b/src/core.rs
@@ -235,8 +235,8 @@
             Input::Completed(Ticket::Config(ticket), result) => {
                 self.step_config(config::Input::Completed(ticket, result));
             }
-            Input::Ended(attempt, end) => self.on_attempt_end(attempt, end),
-            Input::Looked(attempt, status) => self.on_status(attempt, status),
+            Input::AttemptEnded(attempt, end) => self.on_attempt_end(attempt, end),
+            Input::Status(attempt, status) => self.on_status(attempt, status),
             Input::Called(caller, call) => self.on_call(caller, call),
             Input::Returned(id, result) => self.on_return(id, result),
             Input::Listed(list) => self.apply_list(&list),
@@ -303,9 +303,9 @@
         while let Some(timer) = self.timers.pop_due(self.now) {
             match timer {
                 Timer::Deadline(job) => self.on_deadline(job),
-                Timer::Look(attempt) => self.check_overdue_attempt(attempt),
+                Timer::StatusCheck(attempt) => self.check_overdue_attempt(attempt),
                 Timer::Retry(item) => self.enqueue(item),
-                Timer::Settle(job) => self.read_back_claim(job),
+                Timer::ReadBackClaim(job) => self.read_back_claim(job),
                 Timer::Orphan(attempt) => self.drop_orphan(attempt),
             }
         }
--- a/src/core/claim_resolution.rs
+++ b/src/core/claim_resolution.rs
@@ -113,7 +113,7 @@
         }
         job.stage.wait = Wait::ReadBack(nonce);
         let at = self.now + READ_BACK_DELAY;
-        self.timers.set(at, Timer::Settle(job.number));
+        self.timers.set(at, Timer::ReadBackClaim(job.number));
         self.jobs.insert(job.number, Stage::Received(job));
     }
 
--- a/src/core/execution.rs
+++ b/src/core/execution.rs
@@ -192,14 +192,16 @@
         progress.attempts += 1;
         // An idempotent task is hedged once it runs longer than nearly all others of its service. For any other task
         // the endpoint is asked for the status.
-        let default_delay = task.expected.times(2) + self.timing.lookup_delay;
+        let default_delay = task.expected.times(2) + self.timing.status_check_delay;
         let class = job.stage.admitted.class;
         let hedge_delay = class
             .is_repeatable()
             .then(|| self.hedges.delay(&job.stage.admitted.route.service))
             .flatten();
         let delay = hedge_delay.unwrap_or(default_delay);
-        let check_timer = self.timers.set(self.now + delay, Timer::Look(attempt));
+        let check_timer = self
+            .timers
+            .set(self.now + delay, Timer::StatusCheck(attempt));
         progress.pending.push(Pending {
             attempt,
             slot,
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -260,9 +260,9 @@
     /// A command to the platform completed.
     Completed(Ticket, Completion),
     /// A start at an endpoint ended.
-    Ended(Attempt, End),
-    /// An endpoint reported the status of an attempt after a look or a stop; none if it can't be reached.
-    Looked(Attempt, Option<Status>),
+    AttemptEnded(Attempt, End),
+    /// An endpoint reported the status of an attempt after a check or a stop; none if it can't be reached.
+    Status(Attempt, Option<Status>),
     /// A peer calls.
     Called(IncomingCall, Call),
     /// A call to a peer ended.
@@ -304,7 +304,7 @@
     /// Asks an endpoint for the status of an attempt over a new connection.
     ///
     /// With `stop`, the endpoint also stops the attempt, and never starts it if it hasn't yet.
-    Look {
+    CheckStatus {
         /// The endpoint.
         endpoint: Endpoint,
         /// The address on which it listens.
--- a/src/core/status_check.rs
+++ b/src/core/status_check.rs
@@ -82,7 +82,7 @@
     /// Asks the endpoint for the status of an attempt; `stop` also tells it to stop the task, or never to start it.
     pub(super) fn request_status(&mut self, pending: &Pending, stop: bool) {
         if let Some(worker) = self.placement.endpoint(pending.slot) {
-            self.outputs.push(Output::Look {
+            self.outputs.push(Output::CheckStatus {
                 endpoint: worker.name.clone(),
                 address: worker.address.clone(),
                 attempt: pending.attempt,
@@ -143,7 +143,9 @@
 
     /// Sets the timer of the next status check of an attempt, in place of the current one.
     pub(super) fn schedule_status_check(&mut self, attempt: Attempt, delay: Span) {
-        let timer = self.timers.set(self.now + delay, Timer::Look(attempt));
+        let timer = self
+            .timers
+            .set(self.now + delay, Timer::StatusCheck(attempt));
         let replaced = self.with_pending(attempt, |pending| {
             std::mem::replace(&mut pending.check_timer, timer)
         });
--- a/src/core/timer.rs
+++ b/src/core/timer.rs
@@ -11,11 +11,11 @@
     /// A job has reached its deadline.
     Deadline(u64),
     /// An endpoint is asked for the status of an attempt without a reply.
-    Look(Attempt),
+    StatusCheck(Attempt),
     /// A task is queued for another attempt.
     Retry(Item),
     /// A claim whose commit wasn't acknowledged is read back.
-    Settle(u64),
+    ReadBackClaim(u64),
     /// An attempt of a job that has ended is abandoned.
     Orphan(Attempt),
 }
--- a/src/decision.rs
+++ b/src/decision.rs
@@ -223,7 +223,7 @@
                 self.senders.endpoints.send(output).await;
                 None
             }
-            output @ (Output::Start { .. } | Output::Look { .. }) => {
+            output @ (Output::Start { .. } | Output::CheckStatus { .. }) => {
                 self.input_if_full(self.senders.endpoints.try_send(output))
             }
             output @ (Output::Command(..) | Output::Share(_)) => {
@@ -284,8 +284,8 @@
 /// Returns the input that reports an output as not executed, for outputs that the core expects a result of.
 fn full_ring_input(output: Output) -> Option<Input> {
     match output {
-        Output::Start { start, .. } => Some(Input::Ended(start.attempt, End::Withheld)),
-        Output::Look { attempt, .. } => Some(Input::Looked(attempt, None)),
+        Output::Start { start, .. } => Some(Input::AttemptEnded(start.attempt, End::Withheld)),
+        Output::CheckStatus { attempt, .. } => Some(Input::Status(attempt, None)),
         Output::Command(ticket, _) => Some(Input::Completed(ticket, Completion::Refused)),
         Output::Call { id, .. } => Some(Input::Returned(id, Return::Refused)),
         _ => None,
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -129,7 +129,7 @@
                 let task = tokio::spawn(shared.clone().start(address, start, expires));
                 lock(&shared.starts).insert(attempt, task.abort_handle());
             }
-            Output::Look {
+            Output::CheckStatus {
                 address,
                 attempt,
                 stop,
@@ -161,7 +161,9 @@
     async fn start(self: Arc<Self>, address: String, start: Start, expires: Time) {
         let end = self.try_start(&address, &start, expires).await;
         lock(&self.starts).remove(&start.attempt);
-        self.inputs.send(Input::Ended(start.attempt, end)).await;
+        self.inputs
+            .send(Input::AttemptEnded(start.attempt, end))
+            .await;
     }
 
     /// Starts an attempt unless `expires` has passed, and returns its end.
@@ -209,7 +211,7 @@
             .count_message(if stop { Message::Stop } else { Message::Lookup });
         let status = timeout(STATUS_TIMEOUT, request_status(&address, attempt, stop)).await;
         let status = status.ok().flatten();
-        self.inputs.send(Input::Looked(attempt, status)).await;
+        self.inputs.send(Input::Status(attempt, status)).await;
     }
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -136,7 +136,7 @@
 struct Centres(Vec<Centre>);
 
 impl FromStr for Centres {
-    type Err = crate::id::Fault;
+    type Err = crate::id::ParseError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let names = text.split(',').map(|name| name.trim().parse());
@@ -277,8 +277,8 @@
     /// The idle time after which a pooled connection isn't reused: the server may be closing it, and a request on it
     /// would end without an answer.
     pub idle_timeout: Span,
-    /// The time beyond twice its expected run time after which the status of an unanswered task is looked up.
-    pub lookup_delay: Span,
+    /// The time beyond twice its expected run time after which the status of an unanswered task is checked.
+    pub status_check_delay: Span,
     /// The time that answers are kept.
     pub answer_retention: Span,
     /// The time that a drain has to complete the jobs in progress.
@@ -295,7 +295,7 @@
             platform_timeout: Span::millis(1_000),
             receive_timeout: Span::millis(10_000),
             idle_timeout: Span::millis(2_000),
-            lookup_delay: Span::millis(500),
+            status_check_delay: Span::millis(500),
             answer_retention: Span::seconds(600),
             drain_timeout: Span::seconds(30),
         }
@@ -319,7 +319,7 @@
             platform_timeout: read_span("platform", defaults.platform_timeout, [50, 30_000]),
             receive_timeout: read_span("receive", defaults.receive_timeout, [100, 300_000]),
             idle_timeout: read_span("idle", defaults.idle_timeout, [100, 3_600_000]),
-            lookup_delay: read_span("look", defaults.lookup_delay, [50, 60_000]),
+            status_check_delay: read_span("look", defaults.status_check_delay, [50, 60_000]),
             answer_retention: read_span("kept", defaults.answer_retention, [1_000, 86_400_000]),
             drain_timeout: read_span("drain", defaults.drain_timeout, [1_000, 600_000]),
         };
--- a/tests/orders/world.rs
+++ b/tests/orders/world.rs
@@ -125,7 +125,7 @@
     Start(Run, usize, Start),
     /// The copy of a start, with the endpoint run that received the original; a later run doesn't receive it.
     DuplicateStart(Run, usize, u128, Start),
-    Look(Run, usize, Attempt, bool),
+    CheckStatus(Run, usize, Attempt, bool),
     Command(Run, Ticket, Command),
     Call(Run, Instance, CallId, Call),
     Input(Run, Input),
@@ -506,7 +506,7 @@
         for message in sent {
             match message {
                 // These are on the network and may still arrive.
-                Message::Start(..) | Message::Look(..) => self.messages.push(message),
+                Message::Start(..) | Message::CheckStatus(..) => self.messages.push(message),
                 Message::Command(_, _, Command::Commit(group) | Command::CommitLater(group)) => {
                     self.messages.push(Message::LateCommit(group));
                 }
@@ -519,8 +519,8 @@
     /// Drops a message or its reply. The sender learns of it at once if `is_reported`; a table command always times out.
     fn lose(&mut self, message: Message, is_reported: bool) {
         let input = match message {
-            Message::Start(run, _, start) => (run, Input::Ended(start.attempt, End::Broken)),
-            Message::Look(run, _, attempt, _) => (run, Input::Looked(attempt, None)),
+            Message::Start(run, _, start) => (run, Input::AttemptEnded(start.attempt, End::Broken)),
+            Message::CheckStatus(run, _, attempt, _) => (run, Input::Status(attempt, None)),
             Message::Command(run, ticket, command) => {
                 if let Command::Commit(group) | Command::CommitLater(group) = command {
                     self.messages.push(Message::LateCommit(group));
@@ -533,10 +533,10 @@
                 return;
             }
             Message::Call(run, _, id, _) => (run, Input::Returned(id, Return::Lost)),
-            Message::Input(run, Input::Ended(attempt, _)) => {
-                (run, Input::Ended(attempt, End::Broken))
+            Message::Input(run, Input::AttemptEnded(attempt, _)) => {
+                (run, Input::AttemptEnded(attempt, End::Broken))
             }
-            Message::Input(run, Input::Looked(attempt, _)) => (run, Input::Looked(attempt, None)),
+            Message::Input(run, Input::Status(attempt, _)) => (run, Input::Status(attempt, None)),
             Message::Input(run, Input::Completed(ticket, _)) => {
                 self.messages.push(Message::Input(
                     run,
@@ -561,9 +561,9 @@
                     self.on_start(run, worker, &start);
                 }
             }
-            Message::Look(run, worker, attempt, stop) => {
+            Message::CheckStatus(run, worker, attempt, stop) => {
                 let status = self.on_look(worker, attempt, stop);
-                let input = Input::Looked(attempt, Some(status));
+                let input = Input::Status(attempt, Some(status));
                 self.messages.push(Message::Input(run, input));
             }
             Message::Command(run, ticket, command) => {
@@ -619,7 +619,7 @@
             }
             reply
         };
-        let input = Input::Ended(attempt, End::Replied(reply));
+        let input = Input::AttemptEnded(attempt, End::Replied(reply));
         self.messages.push(Message::Input(run, input));
     }
 
@@ -728,14 +728,14 @@
                 let message = Message::Start(run, worker(&endpoint), start);
                 self.messages.push(message);
             }
-            Output::Look {
+            Output::CheckStatus {
                 endpoint,
                 attempt,
                 stop,
                 ..
             } => self
                 .messages
-                .push(Message::Look(run, worker(&endpoint), attempt, stop)),
+                .push(Message::CheckStatus(run, worker(&endpoint), attempt, stop)),
             Output::Command(ticket, command) => {
                 self.messages.push(Message::Command(run, ticket, command));
             }
@@ -795,7 +795,7 @@
     match message {
         Message::Start(from, ..)
         | Message::DuplicateStart(from, ..)
-        | Message::Look(from, ..)
+        | Message::CheckStatus(from, ..)
         | Message::Command(from, ..)
         | Message::Call(from, ..)
         | Message::Input(from, _) => *from == run,
