--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -26,9 +26,9 @@
         },
         message::Heartbeat,
         placement::{
+            EndpointId, //
             Placement,
             Requirement,
-            Slot, //
         },
         queue::Queue,
     },
@@ -161,11 +161,11 @@
         avoid: &[],
     };
     let place = |_| placement.place(&requirement).expect("room");
-    let mut placed: Vec<Slot> = (0..count * OUTSTANDING).map(place).collect();
+    let mut placed: Vec<EndpointId> = (0..count * OUTSTANDING).map(place).collect();
     let mut next = 0;
     bench.iter(|| {
-        let slot = placement.place(black_box(&requirement)).expect("room");
-        let old = std::mem::replace(&mut placed[next], slot);
+        let id = placement.place(black_box(&requirement)).expect("room");
+        let old = std::mem::replace(&mut placed[next], id);
         let load = Load {
             running: next as u32 % 8,
             queued: 0,
@@ -175,8 +175,8 @@
         placement.on_task_end(old, Some(took), Some(load));
         next = (next + 1) % placed.len();
     });
-    for slot in placed {
-        placement.on_task_end(slot, None, None);
+    for id in placed {
+        placement.on_task_end(id, None, None);
     }
 }
 
@@ -232,8 +232,8 @@
     let mut group = criterion.benchmark_group("health");
     for count in ENDPOINTS {
         let mut health = Health::new(1);
-        for (slot, worker) in workers(count, 1).iter().enumerate() {
-            health.insert(Slot(slot as u32), worker);
+        for (id, worker) in workers(count, 1).iter().enumerate() {
+            health.insert(EndpointId(id as u32), worker);
         }
         let mut now = 0;
         group.bench_function(
@@ -241,9 +241,9 @@
             |bench| {
                 bench.iter(|| {
                     now += 1_000;
-                    let slot = Slot(now as u32 / 1_000 % count as u32);
-                    health.on_failure(Time(now), slot, now);
-                    health.on_success(Time(now), slot);
+                    let id = EndpointId(now as u32 / 1_000 % count as u32);
+                    health.on_failure(Time(now), id, now);
+                    health.on_success(Time(now), id);
                     black_box(health.tick(Time(now)))
                 });
             },
--- a/examples/measure/policy.rs
+++ b/examples/measure/policy.rs
@@ -14,10 +14,10 @@
 
 use poplarknot::{
     core::placement::{
+        EndpointId, //
         Placement,
         Policy,
         Requirement,
-        Slot, //
     },
     endpoint::wire::Load,
     prelude::*,
@@ -138,7 +138,7 @@
                 avoid: &[],
             };
             let instance = &mut self.instances[number];
-            let Ok(Slot(worker)) = instance.placement.place(&requirement) else {
+            let Ok(EndpointId(worker)) = instance.placement.place(&requirement) else {
                 return;
             };
             instance.queue.pop_front();
@@ -191,7 +191,7 @@
         self.fill(now, number);
         let took = Span(now - placed.at);
         let placement = &mut self.instances[placed.instance].placement;
-        placement.on_task_end(Slot(number as u32), Some(took), Some(load));
+        placement.on_task_end(EndpointId(number as u32), Some(took), Some(load));
         self.left[placed.job] -= 1;
         if self.left[placed.job] == 0 {
             let job = &self.jobs[placed.job];
--- a/src/core.rs
+++ b/src/core.rs
@@ -124,9 +124,9 @@
     requests: HashMap<message::Request, u64>,
     registry: claim::Registry,
     queues: BTreeMap<Service, queue::Queue<queue::Item>>,
-    orphans: HashMap<Attempt, placement::Slot>,
+    orphans: HashMap<Attempt, placement::EndpointId>,
     /// The incarnation in the last reply of each endpoint.
-    endpoint_incarnations: HashMap<placement::Slot, Incarnation>,
+    endpoint_incarnations: HashMap<placement::EndpointId, Incarnation>,
     placement: placement::Placement,
     admission: admission::Admission,
     retries: retry::Budget,
@@ -331,7 +331,7 @@
             self.step_config(config::Input::Workers(list.endpoints.clone()));
         }
         self.outputs
-            .push(Output::Share(self.membership.live_count()));
+            .push(Output::ShareWriteRate(self.membership.live_count()));
         self.dispatch();
     }
 
@@ -339,18 +339,18 @@
     fn apply_endpoint_change(&mut self, change: placement::Change) {
         use placement::Change;
         match change {
-            Change::Added(slot) | Change::Updated(slot) => {
-                if let Some(worker) = self.placement.endpoint(slot) {
-                    self.health.insert(slot, worker);
+            Change::Added(id) | Change::Updated(id) => {
+                if let Some(worker) = self.placement.endpoint(id) {
+                    self.health.insert(id, worker);
                 }
             }
-            Change::Leaving(slot) | Change::Absent(slot) => {
-                let name = self.placement.endpoint(slot).map(|w| w.name.to_string());
+            Change::Leaving(id) | Change::Absent(id) => {
+                let name = self.placement.endpoint(id).map(|w| w.name.to_string());
                 self.log_event(Code::EndpointLeaving, name.unwrap_or_default());
             }
-            Change::Dropped(slot) => {
-                self.health.remove(slot);
-                self.endpoint_incarnations.remove(&slot);
+            Change::Dropped(id) => {
+                self.health.remove(id);
+                self.endpoint_incarnations.remove(&id);
             }
         }
     }
--- a/src/core/execution.rs
+++ b/src/core/execution.rs
@@ -11,9 +11,9 @@
         Sample, //
     },
     placement::{
+        EndpointId, //
         Obstacle,
         Requirement,
-        Slot, //
     },
     queue::Item,
     retry,
@@ -144,7 +144,7 @@
             queue.pop();
         }
         match placed {
-            Some(Ok(slot)) => self.start_task(item, slot),
+            Some(Ok(endpoint)) => self.start_task(item, endpoint),
             Some(Err(_)) => {
                 let detail = "no endpoint of the service can run the task any more";
                 self.fail_job(item.job, Reason::Impossible, detail);
@@ -155,7 +155,7 @@
     }
 
     /// Picks an endpoint for a task; returns `None` if the task has a result or its job has ended.
-    fn place_task(&mut self, item: Item) -> Option<Result<Slot, Obstacle>> {
+    fn place_task(&mut self, item: Item) -> Option<Result<EndpointId, Obstacle>> {
         let Some(Stage::Running(job)) = self.jobs.get(&item.job) else {
             return None;
         };
@@ -173,8 +173,8 @@
     }
 
     /// Sends a new attempt at a task to an endpoint, and sets the timer of its first status check.
-    fn start_task(&mut self, item: Item, slot: Slot) {
-        let Some(worker) = self.placement.endpoint(slot) else {
+    fn start_task(&mut self, item: Item, id: EndpointId) {
+        let Some(worker) = self.placement.endpoint(id) else {
             return;
         };
         let (endpoint, address) = (worker.name.clone(), worker.address.clone());
@@ -204,8 +204,8 @@
             .set(self.now + delay, Timer::StatusCheck(attempt));
         progress.pending.push(Pending {
             attempt,
-            slot,
-            incarnation: self.endpoint_incarnations.get(&slot).copied(),
+            endpoint: id,
+            incarnation: self.endpoint_incarnations.get(&id).copied(),
             sent_at: self.now,
             check_timer,
             missed_checks: 0,
@@ -235,12 +235,12 @@
         match end {
             End::Replied(reply) => self.on_reply(attempt, reply),
             End::Unsent => {
-                self.record_failure(pending.slot, attempt.job);
+                self.record_failure(pending.endpoint, attempt.job);
                 self.conclude(attempt, None, Conclusion::NotStarted);
             }
             End::Withheld => self.conclude(attempt, None, Conclusion::NotStarted),
             End::Broken => {
-                self.record_failure(pending.slot, attempt.job);
+                self.record_failure(pending.endpoint, attempt.job);
                 if self.is_repeatable(attempt.job) {
                     self.conclude(attempt, None, Conclusion::Lost);
                 } else {
@@ -257,21 +257,21 @@
         let Some(pending) = self.find_pending(attempt) else {
             return;
         };
-        self.record_incarnation(pending.slot, &reply);
+        self.record_incarnation(pending.endpoint, &reply);
         match reply {
             Reply::Done { result, load } => {
                 self.retries.on_success();
-                let change = self.health.on_success(self.now, pending.slot);
+                let change = self.health.on_success(self.now, pending.endpoint);
                 self.apply_health_change(change);
                 self.conclude(attempt, Some(load), Conclusion::Done(result));
             }
             Reply::Failed { error, load } => {
-                self.record_failure(pending.slot, attempt.job);
+                self.record_failure(pending.endpoint, attempt.job);
                 self.conclude(attempt, Some(load), Conclusion::Failed(error));
             }
             Reply::NotStarted { leaving, load, .. } => {
                 if leaving {
-                    self.placement.mark_leaving(pending.slot);
+                    self.placement.mark_leaving(pending.endpoint);
                 }
                 self.conclude(attempt, Some(load), Conclusion::NotStarted);
             }
@@ -300,17 +300,17 @@
             return;
         };
         let pending = progress.pending.swap_remove(index);
-        progress.avoid(pending.slot);
+        progress.avoid(pending.endpoint);
         self.timers.cancel(pending.check_timer);
         let may_have_run = !matches!(conclusion, Conclusion::NotStarted);
         job.stage.may_have_run |= may_have_run;
         let took = self.now.since(pending.sent_at);
         let succeeded = matches!(conclusion, Conclusion::Done(_));
         if let Some(load) = load {
-            self.update_work_share(pending.slot, load);
+            self.update_work_share(pending.endpoint, load);
         }
         self.placement
-            .on_task_end(pending.slot, succeeded.then_some(took), load);
+            .on_task_end(pending.endpoint, succeeded.then_some(took), load);
         match conclusion {
             Conclusion::Done(result) => {
                 self.admission.record_run_time(expected, took);
@@ -341,8 +341,8 @@
     ///
     /// Prevents the admission of jobs that miss their deadlines: an instance knows only its own tasks, so without the
     /// share it would underestimate the wait by the work of all other instances.
-    fn update_work_share(&mut self, slot: Slot, load: Load) {
-        let own = self.placement.outstanding(slot).max(1);
+    fn update_work_share(&mut self, endpoint: EndpointId, load: Load) {
+        let own = self.placement.outstanding(endpoint).max(1);
         let total = load.running.saturating_add(load.queued).saturating_add(1);
         let sample = f64::from(own) / f64::from(total.max(own));
         self.endpoint_share += (sample - self.endpoint_share) * SHARE_WEIGHT;
@@ -527,13 +527,13 @@
 
 impl Progress {
     /// Makes the next attempt avoid an endpoint; forgets the oldest one beyond [`MAX_AVOIDED`].
-    pub(super) fn avoid(&mut self, slot: Slot) {
-        if self.avoid.contains(&slot) {
+    pub(super) fn avoid(&mut self, endpoint: EndpointId) {
+        if self.avoid.contains(&endpoint) {
             return;
         }
         if self.avoid.len() == MAX_AVOIDED {
             self.avoid.remove(0);
         }
-        self.avoid.push(slot);
+        self.avoid.push(endpoint);
     }
 }
--- a/src/core/health.rs
+++ b/src/core/health.rs
@@ -14,7 +14,7 @@
 use crate::{
     core::placement::{
         Eligibility,
-        Slot, //
+        EndpointId, //
     },
     prelude::*,
     table::wire::Worker,
@@ -45,26 +45,26 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Change {
     /// It gets no tasks for a while.
-    Ejected(Slot),
+    Ejected(EndpointId),
     /// It gets one idempotent task at a time.
-    Probation(Slot),
+    Probation(EndpointId),
     /// It gets one task of any class at a time.
-    Trial(Slot),
+    Trial(EndpointId),
     /// It gets only tasks that no other endpoint has room for: it should be ejected, but the cap is reached.
-    Suspected(Slot),
+    Suspected(EndpointId),
     /// It gets all tasks again.
-    Restored(Slot),
+    Restored(EndpointId),
 }
 
 impl Change {
     /// Returns the endpoint and its new eligibility, for placement.
-    pub fn eligibility(self) -> (Slot, Eligibility) {
+    pub fn eligibility(self) -> (EndpointId, Eligibility) {
         match self {
-            Self::Ejected(slot) => (slot, Eligibility::Ejected),
-            Self::Probation(slot) => (slot, Eligibility::Probation),
-            Self::Trial(slot) => (slot, Eligibility::Trial),
-            Self::Suspected(slot) => (slot, Eligibility::Suspect),
-            Self::Restored(slot) => (slot, Eligibility::Good),
+            Self::Ejected(id) => (id, Eligibility::Ejected),
+            Self::Probation(id) => (id, Eligibility::Probation),
+            Self::Trial(id) => (id, Eligibility::Trial),
+            Self::Suspected(id) => (id, Eligibility::Suspect),
+            Self::Restored(id) => (id, Eligibility::Good),
         }
     }
 }
@@ -128,9 +128,9 @@
 #[derive(Debug)]
 pub struct Health {
     random: SmallRng,
-    records: HashMap<Slot, Record>,
+    records: HashMap<EndpointId, Record>,
     groups: HashMap<Group, Count>,
-    due: BTreeSet<(Time, Slot)>,
+    due: BTreeSet<(Time, EndpointId)>,
 }
 
 impl Health {
@@ -145,14 +145,14 @@
     }
 
     /// Inserts an endpoint, or moves it if the list has it in another group now.
-    pub fn insert(&mut self, slot: Slot, worker: &Worker) {
+    pub fn insert(&mut self, id: EndpointId, worker: &Worker) {
         let group = Group {
             pool: worker.pool.clone(),
             centre: worker.centre.clone(),
         };
-        match self.records.get(&slot) {
+        match self.records.get(&id) {
             Some(record) if record.group == group => return,
-            _ => self.remove(slot),
+            _ => self.remove(id),
         }
         self.groups.entry(group.clone()).or_default().members += 1;
         let record = Record {
@@ -165,16 +165,16 @@
             restored_at: Time::default(),
             due: None,
         };
-        self.records.insert(slot, record);
+        self.records.insert(id, record);
     }
 
     /// Removes an endpoint.
-    pub fn remove(&mut self, slot: Slot) {
-        let Some(record) = self.records.remove(&slot) else {
+    pub fn remove(&mut self, id: EndpointId) {
+        let Some(record) = self.records.remove(&id) else {
             return;
         };
         if let Some(due) = record.due {
-            self.due.remove(&(due, slot));
+            self.due.remove(&(due, id));
         }
         let Some(count) = self.groups.get_mut(&record.group) else {
             return;
@@ -190,8 +190,8 @@
     ///
     /// Failures of one job alone never eject: a faulty job would otherwise eject one endpoint after another. The cap
     /// limits the harm of several faulty jobs.
-    pub fn on_failure(&mut self, now: Time, slot: Slot, job: u64) -> Option<Change> {
-        let record = self.records.get_mut(&slot)?;
+    pub fn on_failure(&mut self, now: Time, id: EndpointId, job: u64) -> Option<Change> {
+        let record = self.records.get_mut(&id)?;
         match record.eligibility {
             Eligibility::Good | Eligibility::Suspect => {
                 let outlier = record.count_failure(job);
@@ -200,41 +200,41 @@
                     return None;
                 }
                 if count.out >= count.cap() {
-                    return self.suspect(now, slot);
+                    return self.suspect(now, id);
                 }
                 count.out += 1;
-                self.eject(now, slot)
+                self.eject(now, id)
             }
-            Eligibility::Probation | Eligibility::Trial => self.eject(now, slot),
+            Eligibility::Probation | Eligibility::Trial => self.eject(now, id),
             Eligibility::Ejected => None,
         }
     }
 
     /// Handles a task that an endpoint completed.
-    pub fn on_success(&mut self, now: Time, slot: Slot) -> Option<Change> {
-        let record = self.records.get_mut(&slot)?;
+    pub fn on_success(&mut self, now: Time, id: EndpointId) -> Option<Change> {
+        let record = self.records.get_mut(&id)?;
         record.failures = 0;
         match record.eligibility {
             Eligibility::Good => None,
             Eligibility::Suspect => {
-                self.transition(slot, Eligibility::Good, None);
-                Some(Change::Restored(slot))
+                self.transition(id, Eligibility::Good, None);
+                Some(Change::Restored(id))
             }
             // A task from before the ejection succeeded, so the endpoint is tried at once.
             Eligibility::Ejected => {
-                self.transition(slot, Eligibility::Probation, Some(now + PROBATION_TIMEOUT));
-                Some(Change::Probation(slot))
+                self.transition(id, Eligibility::Probation, Some(now + PROBATION_TIMEOUT));
+                Some(Change::Probation(id))
             }
-            Eligibility::Probation | Eligibility::Trial => self.restore(now, slot),
+            Eligibility::Probation | Eligibility::Trial => self.restore(now, id),
         }
     }
 
     /// Ends ejections that are over, and restores endpoints where more are out than the cap allows now.
     pub fn tick(&mut self, now: Time) -> Vec<Change> {
         let mut changes = Vec::new();
-        while let Some((due, slot)) = self.due.first().copied().filter(|(due, _)| *due <= now) {
-            self.due.remove(&(due, slot));
-            changes.extend(self.advance(now, slot));
+        while let Some((due, id)) = self.due.first().copied().filter(|(due, _)| *due <= now) {
+            self.due.remove(&(due, id));
+            changes.extend(self.advance(now, id));
         }
         changes.extend(self.enforce_cap(now));
         changes
@@ -246,8 +246,8 @@
     }
 
     /// Returns whether an endpoint may get a task of this class.
-    pub fn allows(&self, slot: Slot, class: Class) -> bool {
-        match self.records.get(&slot).map(|record| record.eligibility) {
+    pub fn allows(&self, id: EndpointId, class: Class) -> bool {
+        match self.records.get(&id).map(|record| record.eligibility) {
             Some(Eligibility::Good | Eligibility::Suspect | Eligibility::Trial) => true,
             Some(Eligibility::Probation) => class.is_repeatable(),
             Some(Eligibility::Ejected) | None => false,
@@ -255,35 +255,35 @@
     }
 
     /// Moves an endpoint whose eligibility has run out to the next one.
-    fn advance(&mut self, now: Time, slot: Slot) -> Option<Change> {
-        let record = self.records.get_mut(&slot)?;
+    fn advance(&mut self, now: Time, id: EndpointId) -> Option<Change> {
+        let record = self.records.get_mut(&id)?;
         record.due = None;
         // Its failures are still counted, so its next one makes it a suspect at once.
         if record.eligibility == Eligibility::Suspect {
-            self.transition(slot, Eligibility::Good, None);
-            return Some(Change::Restored(slot));
+            self.transition(id, Eligibility::Good, None);
+            return Some(Change::Restored(id));
         }
         if record.eligibility == Eligibility::Ejected {
-            self.transition(slot, Eligibility::Probation, Some(now + PROBATION_TIMEOUT));
-            return Some(Change::Probation(slot));
+            self.transition(id, Eligibility::Probation, Some(now + PROBATION_TIMEOUT));
+            return Some(Change::Probation(id));
         }
-        self.transition(slot, Eligibility::Trial, None);
-        Some(Change::Trial(slot))
+        self.transition(id, Eligibility::Trial, None);
+        Some(Change::Trial(id))
     }
 
     /// Makes an endpoint that the cap keeps from being ejected the last choice for tasks.
     ///
     /// An endpoint that fails at once is idle sooner than all others and would attract most tasks. Where more of a pool
     /// fail than may be ejected, nearly every job would have a task on one of them.
-    fn suspect(&mut self, now: Time, slot: Slot) -> Option<Change> {
-        let was_suspect = self.records.get(&slot)?.eligibility == Eligibility::Suspect;
-        self.transition(slot, Eligibility::Suspect, Some(now + FIRST_EJECTION));
-        (!was_suspect).then_some(Change::Suspected(slot))
+    fn suspect(&mut self, now: Time, id: EndpointId) -> Option<Change> {
+        let was_suspect = self.records.get(&id)?.eligibility == Eligibility::Suspect;
+        self.transition(id, Eligibility::Suspect, Some(now + FIRST_EJECTION));
+        (!was_suspect).then_some(Change::Suspected(id))
     }
 
     /// Ejects an endpoint; each ejection that good standing hasn't made up for doubles the length.
-    fn eject(&mut self, now: Time, slot: Slot) -> Option<Change> {
-        let record = self.records.get_mut(&slot)?;
+    fn eject(&mut self, now: Time, id: EndpointId) -> Option<Change> {
+        let record = self.records.get_mut(&id)?;
         if !is_out(record.eligibility) {
             let recovered = now.since(record.restored_at).0 / RECOVERY_PERIOD.0;
             let recovered = u32::try_from(recovered).unwrap_or(u32::MAX);
@@ -293,33 +293,33 @@
         record.ejections = (record.ejections + 1).min(MAX_DOUBLINGS);
         // Without jitter, endpoints that were ejected together would come back together.
         let jitter = self.random.random_range(0..=span.0 / 5);
-        self.transition(slot, Eligibility::Ejected, Some(now + span + Span(jitter)));
-        Some(Change::Ejected(slot))
+        self.transition(id, Eligibility::Ejected, Some(now + span + Span(jitter)));
+        Some(Change::Ejected(id))
     }
 
     /// Makes an ejected endpoint fully eligible.
-    fn restore(&mut self, now: Time, slot: Slot) -> Option<Change> {
-        self.transition(slot, Eligibility::Good, None);
-        let record = self.records.get_mut(&slot)?;
+    fn restore(&mut self, now: Time, id: EndpointId) -> Option<Change> {
+        self.transition(id, Eligibility::Good, None);
+        let record = self.records.get_mut(&id)?;
         record.restored_at = now;
         record.failures = 0;
         let count = self.groups.get_mut(&record.group)?;
         count.out -= 1;
-        Some(Change::Restored(slot))
+        Some(Change::Restored(id))
     }
 
     /// Sets an endpoint's eligibility, and when it ends.
-    fn transition(&mut self, slot: Slot, eligibility: Eligibility, due: Option<Time>) {
-        let Some(record) = self.records.get_mut(&slot) else {
+    fn transition(&mut self, id: EndpointId, eligibility: Eligibility, due: Option<Time>) {
+        let Some(record) = self.records.get_mut(&id) else {
             return;
         };
         if let Some(due) = record.due {
-            self.due.remove(&(due, slot));
+            self.due.remove(&(due, id));
         }
         record.eligibility = eligibility;
         record.due = due;
         if let Some(due) = due {
-            self.due.insert((due, slot));
+            self.due.insert((due, id));
         }
     }
 
@@ -329,21 +329,17 @@
         if !self.groups.values().any(over) {
             return Vec::new();
         }
-        let mut slots: Vec<(Option<Time>, Slot)> = self
+        let mut ids: Vec<(Option<Time>, EndpointId)> = self
             .records
             .iter()
             .filter(|(_, record)| is_out(record.eligibility))
-            .map(|(slot, record)| (record.due, *slot))
+            .map(|(id, record)| (record.due, *id))
             .collect();
-        slots.sort_unstable();
+        ids.sort_unstable();
         let mut changes = Vec::new();
-        for (_, slot) in slots {
-            if self
-                .groups
-                .get(&self.records[&slot].group)
-                .is_some_and(over)
-            {
-                changes.extend(self.restore(now, slot));
+        for (_, id) in ids {
+            if self.groups.get(&self.records[&id].group).is_some_and(over) {
+                changes.extend(self.restore(now, id));
             }
         }
         changes
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -329,8 +329,8 @@
     },
     /// Returns a call.
     Return(IncomingCall, Return),
-    /// Sets the number of live instances that share the platform's write rate.
-    Share(usize),
+    /// Divides the platform's write rate among this number of live instances.
+    ShareWriteRate(usize),
     /// Records a sample for the metrics.
     Measure(Sample),
     /// Writes an event to the log.
--- a/src/core/peering.rs
+++ b/src/core/peering.rs
@@ -179,7 +179,7 @@
         let live = self.membership.live_count();
         let sharing = self.membership.live_count_in(&self.identity.reach);
         self.placement.set_instances(sharing);
-        self.outputs.push(Output::Share(live));
+        self.outputs.push(Output::ShareWriteRate(live));
     }
 
     /// Fails the submissions that are forwarded to a lost peer.
--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -44,9 +44,9 @@
 /// The amount added to the score of a suspect endpoint, which ranks it behind all others.
 const SUSPECT_PENALTY: u64 = 1 << 40;
 
-/// An endpoint's index in the table; not reused for another endpoint while tasks are outstanding there.
+/// Identifies an endpoint by its index in the table. An id isn't reused while tasks are outstanding at its endpoint.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
-pub struct Slot(pub u32);
+pub struct EndpointId(pub u32);
 
 /// How endpoints with free places are ranked.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
@@ -72,7 +72,7 @@
     /// The class of the task: endpoints on probation get idempotent tasks only.
     pub class: Class,
     /// Endpoints that get the task only if no other one is eligible.
-    pub avoid: &'a [Slot],
+    pub avoid: &'a [EndpointId],
 }
 
 /// Why a task can't be placed.
@@ -106,15 +106,15 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Change {
     /// The endpoint is new, or was absent or leaving and is live again.
-    Added(Slot),
+    Added(EndpointId),
     /// The endpoint's entry in the list has changed.
-    Updated(Slot),
+    Updated(EndpointId),
     /// The endpoint is leaving.
-    Leaving(Slot),
+    Leaving(EndpointId),
     /// The endpoint isn't listed any more.
-    Absent(Slot),
-    /// The endpoint is removed; its slot may be reused.
-    Dropped(Slot),
+    Absent(EndpointId),
+    /// The endpoint is removed; its id may be reused.
+    Dropped(EndpointId),
 }
 
 /// Sums over all endpoints.
@@ -135,8 +135,8 @@
     policy: Policy,
     random: SmallRng,
     entries: Vec<Option<Entry>>,
-    free_slots: Vec<Slot>,
-    slots_by_name: HashMap<Endpoint, Slot>,
+    free_ids: Vec<EndpointId>,
+    ids_by_name: HashMap<Endpoint, EndpointId>,
     groups: Vec<Group>,
     groups_by_pool: HashMap<Pool, Vec<usize>>,
     /// The number of lists applied so far.
@@ -155,8 +155,8 @@
             policy: Policy::default(),
             random: SmallRng::seed_from_u64(seed),
             entries: Vec::new(),
-            free_slots: Vec::new(),
-            slots_by_name: HashMap::new(),
+            free_ids: Vec::new(),
+            ids_by_name: HashMap::new(),
             groups: Vec::new(),
             groups_by_pool: HashMap::new(),
             list_number: 0,
@@ -175,27 +175,27 @@
     /// # Errors
     ///
     /// Returns why no endpoint can get the task; nothing is counted then.
-    pub fn place(&mut self, requirement: &Requirement<'_>) -> Result<Slot, Obstacle> {
-        let slot = match self.pick(requirement, requirement.avoid) {
-            Some(slot) => slot,
+    pub fn place(&mut self, requirement: &Requirement<'_>) -> Result<EndpointId, Obstacle> {
+        let id = match self.pick(requirement, requirement.avoid) {
+            Some(id) => id,
             None => self.pick_avoided(requirement)?,
         };
         self.outstanding += 1;
-        self.update_entry(slot, |entry| entry.outstanding += 1);
-        Ok(slot)
+        self.update_entry(id, |entry| entry.outstanding += 1);
+        Ok(id)
     }
 
     /// Frees the place of a task that has ended, and updates the endpoint's load and speed.
     ///
     /// `took` is `None` for a failed task, which prevents an endpoint that fails at once from ranking as fast.
-    pub fn on_task_end(&mut self, slot: Slot, took: Option<Span>, load: Option<Load>) {
-        let Some(group) = self.entry(slot).map(|entry| entry.group) else {
+    pub fn on_task_end(&mut self, id: EndpointId, took: Option<Span>, load: Option<Load>) {
+        let Some(group) = self.entry(id).map(|entry| entry.group) else {
             return;
         };
         self.outstanding = self.outstanding.saturating_sub(1);
         let mean = self.groups[group].speeds.mean();
         let mut means = None;
-        self.update_entry(slot, |entry| {
+        self.update_entry(id, |entry| {
             debug_assert!(entry.outstanding > 0, "more tasks ended than were placed");
             entry.outstanding = entry.outstanding.saturating_sub(1);
             if let Some(load) = load {
@@ -212,41 +212,29 @@
     }
 
     /// Marks an endpoint that reported to be leaving, so that it gets no more tasks.
-    pub fn mark_leaving(&mut self, slot: Slot) {
+    pub fn mark_leaving(&mut self, id: EndpointId) {
         let list_number = self.list_number;
-        self.update_entry(slot, |entry| entry.leaving_since = Some(list_number));
-    }
-
-    /// Ejects an endpoint, or makes it fully eligible again.
-    pub fn set_eligible(&mut self, slot: Slot, is_eligible: bool) {
-        self.set_eligibility(
-            slot,
-            if is_eligible {
-                Eligibility::Good
-            } else {
-                Eligibility::Ejected
-            },
-        );
+        self.update_entry(id, |entry| entry.leaving_since = Some(list_number));
     }
 
     /// Sets which tasks an endpoint may get.
-    pub fn set_eligibility(&mut self, slot: Slot, eligibility: Eligibility) {
-        self.update_entry(slot, |entry| entry.eligibility = eligibility);
+    pub fn set_eligibility(&mut self, id: EndpointId, eligibility: Eligibility) {
+        self.update_entry(id, |entry| entry.eligibility = eligibility);
     }
 
     /// Returns an endpoint's entry in the list.
-    pub fn endpoint(&self, slot: Slot) -> Option<&Worker> {
-        self.entry(slot).map(|entry| &entry.worker)
+    pub fn endpoint(&self, id: EndpointId) -> Option<&Worker> {
+        self.entry(id).map(|entry| &entry.worker)
     }
 
     /// Returns the number of outstanding tasks of this instance at an endpoint.
-    pub fn outstanding(&self, slot: Slot) -> u32 {
-        self.entry(slot).map_or(0, |entry| entry.outstanding)
+    pub fn outstanding(&self, id: EndpointId) -> u32 {
+        self.entry(id).map_or(0, |entry| entry.outstanding)
     }
 
-    /// Returns the slot of an endpoint by its name.
-    pub fn find(&self, name: &Endpoint) -> Option<Slot> {
-        self.slots_by_name.get(name).copied()
+    /// Returns the id of an endpoint by its name.
+    pub fn find(&self, name: &Endpoint) -> Option<EndpointId> {
+        self.ids_by_name.get(name).copied()
     }
 
     /// Returns the sums over all endpoints.
@@ -281,11 +269,11 @@
     ///
     /// The own data centre comes first while one of its endpoints is likely to start the task at once. Otherwise
     /// another data centre with such an endpoint gets the task: waiting usually takes longer than the network.
-    fn pick(&mut self, requirement: &Requirement<'_>, avoid: &[Slot]) -> Option<Slot> {
+    fn pick(&mut self, requirement: &Requirement<'_>, avoid: &[EndpointId]) -> Option<EndpointId> {
         let own = self.centre.clone();
         let near = self.pick_in(requirement, avoid, |centre| *centre == own);
         if !requirement.route.spill || near.is_some_and(|near| self.starts_at_once(near)) {
-            return near.map(|(_, slot)| slot);
+            return near.map(|(_, id)| id);
         }
         let mut far = None;
         if requirement.route.centres.is_empty() {
@@ -306,24 +294,24 @@
         }
         let near_is_unfit = near.is_none_or(|(score, _)| score.work >= SUSPECT_PENALTY);
         let far = far.filter(|far| near_is_unfit || self.starts_at_once(*far));
-        far.or(near).map(|(_, slot)| slot)
+        far.or(near).map(|(_, id)| id)
     }
 
     /// Returns whether an endpoint is likely to start a task at once: this instance has no task there, or no more than
     /// its share of a busy endpoint's tasks.
-    fn starts_at_once(&self, (score, slot): (Score, Slot)) -> bool {
+    fn starts_at_once(&self, (score, id): (Score, EndpointId)) -> bool {
         let share =
             (UNITS_PER_TASK * BUSY_TASKS_PER_SLOT / u64::from(self.instances)).min(UNITS_PER_TASK);
-        score.work <= share || score.work < SUSPECT_PENALTY && self.outstanding(slot) == 0
+        score.work <= share || score.work < SUSPECT_PENALTY && self.outstanding(id) == 0
     }
 
     /// Returns the best endpoint of the first pool that has one with a free place in an allowed data centre.
     fn pick_in(
         &mut self,
         requirement: &Requirement<'_>,
-        avoid: &[Slot],
+        avoid: &[EndpointId],
         is_allowed: impl Fn(&Centre) -> bool,
-    ) -> Option<(Score, Slot)> {
+    ) -> Option<(Score, EndpointId)> {
         for pool in &requirement.route.pools {
             let Some(groups) = self.groups_by_pool.get(pool) else {
                 continue;
@@ -333,9 +321,9 @@
                 if !is_allowed(&group.centre) || !fits(&requirement.need, &group.has) {
                     continue;
                 }
-                if let Some(slot) = group.trial(requirement.class, avoid) {
+                if let Some(id) = group.trial(requirement.class, avoid) {
                     let score = Score { work: 0, load: 0 };
-                    return Some((score, slot));
+                    return Some((score, id));
                 }
                 let Some(found) = group.index.first(avoid, &mut self.random) else {
                     continue;
@@ -356,7 +344,7 @@
     /// # Errors
     ///
     /// Returns why no endpoint can get the task.
-    fn pick_avoided(&mut self, requirement: &Requirement<'_>) -> Result<Slot, Obstacle> {
+    fn pick_avoided(&mut self, requirement: &Requirement<'_>) -> Result<EndpointId, Obstacle> {
         let (mut any_listed, mut any_fits, mut eligible) = (false, false, 0);
         for group in self.reachable_groups(requirement.route) {
             any_listed = true;
@@ -371,8 +359,8 @@
         if eligible == 0 {
             return Err(Obstacle::NoneEligible);
         }
-        let avoided = requirement.avoid.iter().filter(|slot| {
-            self.entry(**slot).is_some_and(|entry| {
+        let avoided = requirement.avoid.iter().filter(|id| {
+            self.entry(**id).is_some_and(|entry| {
                 let group = &self.groups[entry.group];
                 entry
                     .contribution
@@ -405,13 +393,13 @@
             || route.spill && (route.centres.is_empty() || route.centres.contains(&group.centre))
     }
 
-    fn entry(&self, slot: Slot) -> Option<&Entry> {
-        self.entries.get(slot.0 as usize)?.as_ref()
+    fn entry(&self, id: EndpointId) -> Option<&Entry> {
+        self.entries.get(id.0 as usize)?.as_ref()
     }
 
     /// Applies a change to an entry, and moves the entry to its new place in the order.
-    fn update_entry(&mut self, slot: Slot, change: impl FnOnce(&mut Entry)) {
-        let Some(Some(entry)) = self.entries.get_mut(slot.0 as usize) else {
+    fn update_entry(&mut self, id: EndpointId, change: impl FnOnce(&mut Entry)) {
+        let Some(Some(entry)) = self.entries.get_mut(id.0 as usize) else {
             return;
         };
         change(entry);
@@ -421,7 +409,7 @@
             return;
         }
         let group = &mut self.groups[entry.group];
-        let moved = group.replace(slot, entry, contribution);
+        let moved = group.replace(id, entry, contribution);
         if let Some((other, position)) = moved {
             if let Some(Some(entry)) = self.entries.get_mut(other.0 as usize) {
                 entry.position = position;
--- a/src/core/placement/index.rs
+++ b/src/core/placement/index.rs
@@ -14,44 +14,48 @@
         Score, //
     },
     speed::Speeds,
-    Slot,
+    EndpointId,
 };
 use crate::prelude::*;
 
 /// The endpoints with free places, by score; among equal scores the pick is random.
 #[derive(Debug, Default)]
 pub(super) struct Index {
-    buckets: BTreeMap<Score, Vec<Slot>>,
+    buckets: BTreeMap<Score, Vec<EndpointId>>,
 }
 
 impl Index {
     /// Returns the best endpoint that isn't one of `avoid`.
-    pub(super) fn first(&self, avoid: &[Slot], random: &mut SmallRng) -> Option<(Score, Slot)> {
+    pub(super) fn first(
+        &self,
+        avoid: &[EndpointId],
+        random: &mut SmallRng,
+    ) -> Option<(Score, EndpointId)> {
         self.buckets.iter().find_map(|(score, bucket)| {
             let start = random.random_range(0..bucket.len());
             let (before, after) = bucket.split_at(start);
-            let mut slots = after.iter().chain(before);
-            let slot = slots.find(|slot| !avoid.contains(slot))?;
-            Some((*score, *slot))
+            let mut ids = after.iter().chain(before);
+            let id = ids.find(|id| !avoid.contains(id))?;
+            Some((*score, *id))
         })
     }
 
     /// Adds an endpoint, and returns its position among those with the same score.
-    fn insert(&mut self, score: Score, slot: Slot) -> usize {
+    fn insert(&mut self, score: Score, id: EndpointId) -> usize {
         let bucket = self.buckets.entry(score).or_default();
-        bucket.push(slot);
+        bucket.push(id);
         bucket.len() - 1
     }
 
     /// Removes an endpoint; returns the one that moved to its position, if any.
-    fn remove(&mut self, score: Score, position: usize) -> Option<(Slot, usize)> {
+    fn remove(&mut self, score: Score, position: usize) -> Option<(EndpointId, usize)> {
         let bucket = self.buckets.get_mut(&score)?;
         bucket.swap_remove(position);
         if bucket.is_empty() {
             self.buckets.remove(&score);
             return None;
         }
-        bucket.get(position).map(|slot| (*slot, position))
+        bucket.get(position).map(|id| (*id, position))
     }
 }
 
@@ -77,7 +81,7 @@
     pub(super) count: Count,
     pub(super) speeds: Speeds,
     /// Endpoints on probation that wait for a task, and whether it may be of any class.
-    trials: Vec<(Slot, bool)>,
+    trials: Vec<(EndpointId, bool)>,
 }
 
 impl Group {
@@ -96,44 +100,42 @@
     }
 
     /// Returns an endpoint on probation that waits for a task of this class and isn't one of `avoid`.
-    pub(super) fn trial(&self, class: Class, avoid: &[Slot]) -> Option<Slot> {
+    pub(super) fn trial(&self, class: Class, avoid: &[EndpointId]) -> Option<EndpointId> {
         let mut trials = self.trials.iter();
         trials
-            .find(|(slot, any_class)| {
-                (*any_class || class.is_repeatable()) && !avoid.contains(slot)
-            })
-            .map(|(slot, _)| *slot)
+            .find(|(id, any_class)| (*any_class || class.is_repeatable()) && !avoid.contains(id))
+            .map(|(id, _)| *id)
     }
 
     /// Replaces what an entry adds to the group; returns another endpoint whose position has changed by that.
     pub(super) fn replace(
         &mut self,
-        slot: Slot,
+        id: EndpointId,
         entry: &mut Entry,
         new: Option<Contribution>,
-    ) -> Option<(Slot, usize)> {
+    ) -> Option<(EndpointId, usize)> {
         let moved = entry
             .contribution
-            .and_then(|contribution| self.subtract(slot, entry.position, contribution));
+            .and_then(|contribution| self.subtract(id, entry.position, contribution));
         if let Some(contribution) = new {
-            entry.position = self.add(slot, contribution);
+            entry.position = self.add(id, contribution);
         }
         entry.contribution = new;
-        moved.filter(|(other, _)| *other != slot)
+        moved.filter(|(other, _)| *other != id)
     }
 
     /// Subtracts a contribution from the group; returns another endpoint that moved to `position`.
     fn subtract(
         &mut self,
-        slot: Slot,
+        id: EndpointId,
         position: usize,
         contribution: Contribution,
-    ) -> Option<(Slot, usize)> {
+    ) -> Option<(EndpointId, usize)> {
         self.count.eligible -= u32::from(contribution.eligible);
         self.count.slots -= contribution.slots;
         self.count.free -= contribution.free;
         if contribution.trial.is_some() {
-            self.trials.retain(|(other, _)| *other != slot);
+            self.trials.retain(|(other, _)| *other != id);
         }
         contribution
             .score
@@ -141,15 +143,15 @@
     }
 
     /// Adds a contribution to the group; returns the endpoint's position.
-    fn add(&mut self, slot: Slot, contribution: Contribution) -> usize {
+    fn add(&mut self, id: EndpointId, contribution: Contribution) -> usize {
         self.count.eligible += u32::from(contribution.eligible);
         self.count.slots += contribution.slots;
         self.count.free += contribution.free;
         if let Some(any_class) = contribution.trial {
-            self.trials.push((slot, any_class));
+            self.trials.push((id, any_class));
         }
         contribution
             .score
-            .map_or(0, |score| self.index.insert(score, slot))
+            .map_or(0, |score| self.index.insert(score, id))
     }
 }
--- a/src/core/placement/table.rs
+++ b/src/core/placement/table.rs
@@ -11,8 +11,8 @@
     },
     Change,
     Eligibility,
+    EndpointId,
     Placement,
-    Slot,
     State,
     Worker, //
 };
@@ -36,8 +36,8 @@
         let shares_changed = mem::replace(&mut self.instances, instances) != instances;
         let mut changes = Vec::new();
         for worker in workers {
-            changes.extend(match self.slots_by_name.get(&worker.name) {
-                Some(slot) => self.update(*slot, worker),
+            changes.extend(match self.ids_by_name.get(&worker.name) {
+                Some(id) => self.update(*id, worker),
                 None => Some(self.add(worker)),
             });
         }
@@ -50,20 +50,20 @@
         let instances = u32::try_from(instances).unwrap_or(u32::MAX).max(1);
         if mem::replace(&mut self.instances, instances) != instances {
             for index in 0..self.entries.len() {
-                self.update_entry(Slot(index as u32), |_| ());
+                self.update_entry(EndpointId(index as u32), |_| ());
             }
         }
     }
 
-    /// Adds an endpoint under a new or reused slot.
+    /// Adds an endpoint under a new or reused id.
     fn add(&mut self, worker: &Worker) -> Change {
-        let slot = self.free_slots.pop().unwrap_or_else(|| {
+        let id = self.free_ids.pop().unwrap_or_else(|| {
             self.entries.push(None);
-            Slot(self.entries.len() as u32 - 1)
+            EndpointId(self.entries.len() as u32 - 1)
         });
         let group = self.join_group(worker);
-        self.slots_by_name.insert(worker.name.clone(), slot);
-        self.entries[slot.0 as usize] = Some(Entry {
+        self.ids_by_name.insert(worker.name.clone(), id);
+        self.entries[id.0 as usize] = Some(Entry {
             worker: worker.clone(),
             group,
             outstanding: 0,
@@ -77,14 +77,14 @@
             contribution: None,
             position: 0,
         });
-        self.update_entry(slot, |_| ());
-        Change::Added(slot)
+        self.update_entry(id, |_| ());
+        Change::Added(id)
     }
 
     /// Updates an endpoint from its entry in the list; returns the change, if there is one.
-    fn update(&mut self, slot: Slot, worker: &Worker) -> Option<Change> {
+    fn update(&mut self, id: EndpointId, worker: &Worker) -> Option<Change> {
         let list_number = self.list_number;
-        let entry = self.entries[slot.0 as usize].as_mut()?;
+        let entry = self.entries[id.0 as usize].as_mut()?;
         if entry.list_number == list_number {
             return None; // The list has the endpoint twice; the first entry counts.
         }
@@ -100,9 +100,9 @@
         let group_changed = (&before.pool, &before.centre, before.resources)
             != (&worker.pool, &worker.centre, worker.resources);
         if group_changed {
-            self.regroup(slot, worker);
+            self.regroup(id, worker);
         }
-        self.update_entry(slot, |entry| {
+        self.update_entry(id, |entry| {
             entry.worker = worker.clone();
             entry.is_absent = false;
             let address_changed = before.address != worker.address;
@@ -111,9 +111,9 @@
             }
         });
         Some(match (worker.state, returned) {
-            (State::Leaving, _) => Change::Leaving(slot),
-            (State::Live, true) => Change::Added(slot),
-            (State::Live, false) => Change::Updated(slot),
+            (State::Leaving, _) => Change::Leaving(id),
+            (State::Live, true) => Change::Added(id),
+            (State::Live, false) => Change::Updated(id),
         })
     }
 
@@ -121,23 +121,23 @@
     /// instances.
     fn sweep(&mut self, shares_changed: bool, changes: &mut Vec<Change>) {
         for index in 0..self.entries.len() {
-            let slot = Slot(index as u32);
+            let id = EndpointId(index as u32);
             let Some(entry) = &self.entries[index] else {
                 continue;
             };
             let is_missing = entry.list_number != self.list_number;
             if is_missing && !entry.is_absent {
-                self.update_entry(slot, |entry| entry.is_absent = true);
-                changes.push(Change::Absent(slot));
+                self.update_entry(id, |entry| entry.is_absent = true);
+                changes.push(Change::Absent(id));
             } else if shares_changed {
-                self.update_entry(slot, |_| ());
+                self.update_entry(id, |_| ());
             }
-            let is_idle = self.outstanding(slot) == 0;
+            let is_idle = self.outstanding(id) == 0;
             if is_missing && is_idle {
-                self.remove_entry(slot);
-                changes.push(Change::Dropped(slot));
+                self.remove_entry(id);
+                changes.push(Change::Dropped(id));
             } else if is_idle {
-                self.decay_slowness(slot);
+                self.decay_slowness(id);
             }
         }
     }
@@ -146,33 +146,33 @@
     ///
     /// Prevents a slow endpoint that gets no tasks from being avoided forever: only new tasks show that it has
     /// recovered.
-    fn decay_slowness(&mut self, slot: Slot) {
-        let Some(entry) = self.entry(slot).filter(|entry| entry.slowness != UNIT) else {
+    fn decay_slowness(&mut self, id: EndpointId) {
+        let Some(entry) = self.entry(id).filter(|entry| entry.slowness != UNIT) else {
             return;
         };
         let group = entry.group;
         let mean = self.groups[group].speeds.mean();
         let mut means = (None, None);
-        self.update_entry(slot, |entry| {
+        self.update_entry(id, |entry| {
             means = entry.speed.decay(mean);
             entry.slowness = entry.speed.slowness(mean);
         });
         self.groups[group].speeds.replace(means.0, means.1);
     }
 
-    /// Removes an endpoint from the table, and frees its slot.
-    fn remove_entry(&mut self, slot: Slot) {
-        self.leave_group(slot);
-        if let Some(entry) = self.entries[slot.0 as usize].take() {
-            self.slots_by_name.remove(&entry.worker.name);
-            self.free_slots.push(slot);
+    /// Removes an endpoint from the table, and frees its id.
+    fn remove_entry(&mut self, id: EndpointId) {
+        self.leave_group(id);
+        if let Some(entry) = self.entries[id.0 as usize].take() {
+            self.ids_by_name.remove(&entry.worker.name);
+            self.free_ids.push(id);
         }
     }
 
     /// Removes an endpoint from its group.
-    fn leave_group(&mut self, slot: Slot) {
-        self.update_entry(slot, |entry| entry.is_absent = true);
-        let Some(Some(entry)) = self.entries.get_mut(slot.0 as usize) else {
+    fn leave_group(&mut self, id: EndpointId) {
+        self.update_entry(id, |entry| entry.is_absent = true);
+        let Some(Some(entry)) = self.entries.get_mut(id.0 as usize) else {
             return;
         };
         let group = &mut self.groups[entry.group];
@@ -181,10 +181,10 @@
     }
 
     /// Moves an endpoint to the group that its changed entry belongs to, and resets its speed.
-    fn regroup(&mut self, slot: Slot, worker: &Worker) {
-        self.leave_group(slot);
+    fn regroup(&mut self, id: EndpointId, worker: &Worker) {
+        self.leave_group(id);
         let group = self.join_group(worker);
-        if let Some(Some(entry)) = self.entries.get_mut(slot.0 as usize) {
+        if let Some(Some(entry)) = self.entries.get_mut(id.0 as usize) {
             entry.group = group;
             entry.speed = Speed::default();
             entry.slowness = UNIT;
--- a/src/core/stage.rs
+++ b/src/core/stage.rs
@@ -11,7 +11,7 @@
         IncomingCall,
         Request, //
     },
-    placement::Slot,
+    placement::EndpointId,
     timer::Handle,
 };
 use crate::{
@@ -135,7 +135,7 @@
     /// The number of attempts so far, which is also the number of the next one.
     pub attempts: u32,
     /// Endpoints that the next attempt avoids, oldest first.
-    pub avoid: Vec<Slot>,
+    pub avoid: Vec<EndpointId>,
     /// Attempts that haven't ended; two while a hedge runs.
     pub pending: Vec<Pending>,
     /// Whether the task has a result.
@@ -150,7 +150,7 @@
     /// The attempt.
     pub attempt: Attempt,
     /// The endpoint.
-    pub slot: Slot,
+    pub endpoint: EndpointId,
     /// The incarnation that the endpoint last reported before the attempt was sent, if it reported one.
     pub incarnation: Option<Incarnation>,
     /// When the attempt was sent.
--- a/src/core/status_check.rs
+++ b/src/core/status_check.rs
@@ -10,7 +10,7 @@
         Output,
         Sample, //
     },
-    placement::Slot,
+    placement::EndpointId,
     queue::Item,
     stage::{
         Pending, //
@@ -64,12 +64,14 @@
         {
             return false;
         }
-        let slots: Vec<_> = progress
+        let endpoints: Vec<_> = progress
             .pending
             .iter()
-            .map(|pending| pending.slot)
+            .map(|pending| pending.endpoint)
             .collect();
-        slots.into_iter().for_each(|slot| progress.avoid(slot));
+        endpoints
+            .into_iter()
+            .for_each(|endpoint| progress.avoid(endpoint));
         self.outputs.push(Output::Measure(Sample::Hedged));
         self.schedule_status_check(attempt, MAX_CHECK_DELAY);
         self.enqueue(Item {
@@ -81,7 +83,7 @@
 
     /// Asks the endpoint for the status of an attempt; `stop` also tells it to stop the task, or never to start it.
     pub(super) fn request_status(&mut self, pending: &Pending, stop: bool) {
-        if let Some(worker) = self.placement.endpoint(pending.slot) {
+        if let Some(worker) = self.placement.endpoint(pending.endpoint) {
             self.outputs.push(Output::CheckStatus {
                 endpoint: worker.name.clone(),
                 address: worker.address.clone(),
@@ -109,7 +111,7 @@
         };
         match status {
             None if pending.missed_checks >= MAX_MISSED_CHECKS => {
-                self.record_failure(pending.slot, attempt.job);
+                self.record_failure(pending.endpoint, attempt.job);
                 self.abandon_connection(attempt);
                 self.conclude(attempt, None, Conclusion::Lost);
             }
@@ -125,7 +127,7 @@
             // Prevents a second run: the start request may still arrive, so it is barred before another attempt.
             Some(Status::Unseen) => self.request_status(&pending, true),
             Some(Status::Barred { incarnation }) => {
-                self.record_failure(pending.slot, attempt.job);
+                self.record_failure(pending.endpoint, attempt.job);
                 self.abandon_connection(attempt);
                 // Prevents a second run after a restart: a new incarnation of the endpoint doesn't know what the last
                 // one started. Only the incarnation that was known before the attempt was sent can deny the start.
@@ -161,15 +163,15 @@
     pub(super) fn stop_attempt(&mut self, pending: Pending) {
         self.timers.cancel(pending.check_timer);
         self.request_status(&pending, true);
-        self.orphans.insert(pending.attempt, pending.slot);
+        self.orphans.insert(pending.attempt, pending.endpoint);
         self.timers
             .set(self.now + MAX_CHECK_DELAY, Timer::Orphan(pending.attempt));
     }
 
     /// Frees the place of a stopped attempt that has ended.
     pub(super) fn on_orphan_end(&mut self, attempt: Attempt) {
-        if let Some(slot) = self.orphans.remove(&attempt) {
-            self.placement.on_task_end(slot, None, None);
+        if let Some(endpoint) = self.orphans.remove(&attempt) {
+            self.placement.on_task_end(endpoint, None, None);
             self.dispatch();
         }
     }
@@ -183,19 +185,19 @@
     }
 
     /// Stores the incarnation that an endpoint last reported.
-    pub(super) fn record_incarnation(&mut self, slot: Slot, reply: &Reply) {
+    pub(super) fn record_incarnation(&mut self, endpoint: EndpointId, reply: &Reply) {
         let (Reply::Done { load, .. }
         | Reply::Failed { load, .. }
         | Reply::NotStarted { load, .. }) = reply;
         match load.incarnation {
-            Some(incarnation) => self.endpoint_incarnations.insert(slot, incarnation),
-            None => self.endpoint_incarnations.remove(&slot),
+            Some(incarnation) => self.endpoint_incarnations.insert(endpoint, incarnation),
+            None => self.endpoint_incarnations.remove(&endpoint),
         };
     }
 
     /// Reports a failure of an endpoint to the outlier ejection.
-    pub(super) fn record_failure(&mut self, slot: Slot, job: u64) {
-        let change = self.health.on_failure(self.now, slot, job);
+    pub(super) fn record_failure(&mut self, endpoint: EndpointId, job: u64) {
+        let change = self.health.on_failure(self.now, endpoint, job);
         self.apply_health_change(change);
     }
 
@@ -211,8 +213,8 @@
         let Some(change) = change else {
             return;
         };
-        let (slot, eligibility) = change.eligibility();
-        self.placement.set_eligibility(slot, eligibility);
+        let (endpoint, eligibility) = change.eligibility();
+        self.placement.set_eligibility(endpoint, eligibility);
         let code = match change {
             health::Change::Ejected(_) => Code::EndpointEjected,
             health::Change::Suspected(_) => Code::EndpointSuspected,
@@ -220,7 +222,7 @@
         };
         let name = self
             .placement
-            .endpoint(slot)
+            .endpoint(endpoint)
             .map(|worker| worker.name.to_string());
         self.log_event(
             code,
--- a/src/decision.rs
+++ b/src/decision.rs
@@ -226,7 +226,7 @@
             output @ (Output::Start { .. } | Output::CheckStatus { .. }) => {
                 self.input_if_full(self.senders.endpoints.try_send(output))
             }
-            output @ (Output::Command(..) | Output::Share(_)) => {
+            output @ (Output::Command(..) | Output::ShareWriteRate(_)) => {
                 self.input_if_full(self.senders.platform.try_send(output))
             }
             output @ Output::Call { .. } => self.input_if_full(self.senders.peers.try_send(output)),
--- a/src/table.rs
+++ b/src/table.rs
@@ -161,7 +161,7 @@
 
     async fn handle(&mut self, Order(output): Order, ctx: &mut Context<Self>) {
         match output {
-            Output::Share(instances) => self.bucket.set_share(instances),
+            Output::ShareWriteRate(instances) => self.bucket.set_share(instances),
             Output::Command(ticket, Command::Commit(group)) => {
                 if self.count_waiting() >= MAX_WAITING_GROUPS {
                     self.link.spawn_complete(ticket, Completion::Refused);
--- a/tests/policy/health.rs
+++ b/tests/policy/health.rs
@@ -3,15 +3,15 @@
 fn health(endpoints: usize) -> Health {
     let mut health = Health::new(11);
     for (number, worker) in workers(endpoints).iter().enumerate() {
-        health.insert(Slot(number as u32), worker);
+        health.insert(EndpointId(number as u32), worker);
     }
     health
 }
 
 /// Fails tasks of three jobs at an endpoint, which ejects it; returns the last change.
-fn eject(health: &mut Health, now: Time, slot: Slot) -> Option<Change> {
+fn eject(health: &mut Health, now: Time, id: EndpointId) -> Option<Change> {
     (0..3)
-        .filter_map(|job| health.on_failure(now, slot, job))
+        .filter_map(|job| health.on_failure(now, id, job))
         .last()
 }
 
@@ -31,26 +31,26 @@
     /// Failures of a single job never eject an endpoint, however many there are and at whichever endpoints.
     fn one_bad_job_ejects_nothing(failures: Vec<u8>, successes: Vec<u8>) -> bool {
         let mut health = health(9);
-        let slot = |number: u8| Slot(u32::from(number % 9));
-        successes.iter().for_each(|number| assert!(health.on_success(Time(0), slot(*number)).is_none()));
-        failures.iter().all(|number| health.on_failure(Time(0), slot(*number), 1).is_none())
+        let id = |number: u8| EndpointId(u32::from(number % 9));
+        successes.iter().for_each(|number| assert!(health.on_success(Time(0), id(*number)).is_none()));
+        failures.iter().all(|number| health.on_failure(Time(0), id(*number), 1).is_none())
     }
 
     /// After any results, ticks and changes of the list, no more endpoints are out than the cap allows.
     fn no_more_than_a_third_is_out(steps: Vec<(u8, u8, u8)>) -> bool {
         let mut health = health(12);
-        let (mut now, mut members) = (Time(0), (0..12).map(Slot).collect::<BTreeSet<Slot>>());
+        let (mut now, mut members) = (Time(0), (0..12).map(EndpointId).collect::<BTreeSet<EndpointId>>());
         steps.into_iter().all(|(kind, number, job)| {
-            let slot = Slot(u32::from(number % 12));
+            let id = EndpointId(u32::from(number % 12));
             match kind % 16 {
-                0 if members.remove(&slot) => health.remove(slot),
-                1 if members.insert(slot) => health.insert(slot, &worker(slot.0 as usize, OWN)),
+                0 if members.remove(&id) => health.remove(id),
+                1 if members.insert(id) => health.insert(id, &worker(id.0 as usize, OWN)),
                 2 => now = now + Span::seconds(u64::from(job % 8)),
-                3 => drop(health.on_success(now, slot)),
-                _ => drop(health.on_failure(now, slot, job.into())),
+                3 => drop(health.on_success(now, id)),
+                _ => drop(health.on_failure(now, id, job.into())),
             }
             health.tick(now);
-            let out = |slot: &&Slot| !health.allows(**slot, Class::NonIdempotent);
+            let out = |id: &&EndpointId| !health.allows(**id, Class::NonIdempotent);
             let cap = if members.len() < 2 { 0 } else { (members.len() / 3).max(1) };
             members.iter().filter(out).count() <= cap
         })
@@ -62,17 +62,14 @@
     // Guards against an endpoint that fails every task at once, is therefore always idle and attracts most of the work.
     // A success in between resets the count.
     let mut health = health(9);
-    let slot = Slot(4);
-    assert_eq!(health.on_failure(Time(0), slot, 1), None);
-    assert_eq!(health.on_failure(Time(0), slot, 2), None);
-    assert_eq!(health.on_success(Time(0), slot), None);
-    assert_eq!(health.on_failure(Time(0), slot, 3), None);
-    assert_eq!(health.on_failure(Time(0), slot, 3), None);
-    assert_eq!(
-        health.on_failure(Time(0), slot, 4),
-        Some(Change::Ejected(slot))
-    );
-    assert!(!health.allows(slot, Class::Idempotent));
+    let id = EndpointId(4);
+    assert_eq!(health.on_failure(Time(0), id, 1), None);
+    assert_eq!(health.on_failure(Time(0), id, 2), None);
+    assert_eq!(health.on_success(Time(0), id), None);
+    assert_eq!(health.on_failure(Time(0), id, 3), None);
+    assert_eq!(health.on_failure(Time(0), id, 3), None);
+    assert_eq!(health.on_failure(Time(0), id, 4), Some(Change::Ejected(id)));
+    assert!(!health.allows(id, Class::Idempotent));
 }
 
 #[test]
@@ -81,32 +78,32 @@
     // are tried again after a while, and are suspect again after one more failure.
     let mut health = health(9);
     for number in 0..3 {
-        eject(&mut health, Time(0), Slot(number));
+        eject(&mut health, Time(0), EndpointId(number));
     }
-    let slot = Slot(4);
-    assert_eq!(health.on_failure(Time(0), slot, 1), None);
-    assert_eq!(health.on_failure(Time(0), slot, 2), None);
+    let id = EndpointId(4);
+    assert_eq!(health.on_failure(Time(0), id, 1), None);
+    assert_eq!(health.on_failure(Time(0), id, 2), None);
     assert_eq!(
-        health.on_failure(Time(0), slot, 3),
-        Some(Change::Suspected(slot))
+        health.on_failure(Time(0), id, 3),
+        Some(Change::Suspected(id))
     );
     let mut placement = crate::placement::placement(&workers(9));
-    placement.set_eligibility(slot, Eligibility::Suspect);
+    placement.set_eligibility(id, Eligibility::Suspect);
     let route = route();
     let place =
         |placement: &mut Placement| placement.place(&requirement(&route, &[])).expect("room");
     let placed: Vec<_> = (0..8 * 9).map(|_| place(&mut placement)).collect();
-    assert!(!placed.contains(&slot), "there was room elsewhere");
-    assert_eq!(place(&mut placement), slot);
+    assert!(!placed.contains(&id), "there was room elsewhere");
+    assert_eq!(place(&mut placement), id);
     let (restored_at, changes) = tick_until_change(&mut health, Time(0));
-    assert!(changes.contains(&Change::Restored(slot)), "{changes:?}");
+    assert!(changes.contains(&Change::Restored(id)), "{changes:?}");
     assert_eq!(
-        health.on_failure(restored_at, slot, 4),
-        Some(Change::Suspected(slot))
+        health.on_failure(restored_at, id, 4),
+        Some(Change::Suspected(id))
     );
     assert_eq!(
-        health.on_success(restored_at, slot),
-        Some(Change::Restored(slot))
+        health.on_success(restored_at, id),
+        Some(Change::Restored(id))
     );
 }
 
@@ -115,26 +112,20 @@
     // Guards against recovered endpoints that stay out, and failing ones that come back in full. On probation, a failure
     // ejects for longer and a success restores.
     let mut health = health(9);
-    let slot = Slot(4);
-    eject(&mut health, Time(0), slot);
+    let id = EndpointId(4);
+    eject(&mut health, Time(0), id);
     let (first, changes) = tick_until_change(&mut health, Time(0));
-    assert_eq!(changes, [Change::Probation(slot)]);
-    assert!(health.allows(slot, Class::Idempotent) && !health.allows(slot, Class::Once));
-    assert_eq!(
-        health.on_failure(first, slot, 9),
-        Some(Change::Ejected(slot))
-    );
+    assert_eq!(changes, [Change::Probation(id)]);
+    assert!(health.allows(id, Class::Idempotent) && !health.allows(id, Class::Once));
+    assert_eq!(health.on_failure(first, id, 9), Some(Change::Ejected(id)));
     let (second, changes) = tick_until_change(&mut health, first);
-    assert_eq!(changes, [Change::Probation(slot)]);
+    assert_eq!(changes, [Change::Probation(id)]);
     assert!(
         second.since(first).0 > first.0 * 3 / 2,
         "{first:?} {second:?}"
     );
-    assert_eq!(
-        health.on_success(second, slot),
-        Some(Change::Restored(slot))
-    );
-    assert!(health.allows(slot, Class::NonIdempotent));
+    assert_eq!(health.on_success(second, id), Some(Change::Restored(id)));
+    assert!(health.allows(id, Class::NonIdempotent));
 }
 
 #[test]
@@ -142,19 +133,19 @@
     // Guards against ejections that double without bound during a long fault. They last about six minutes at most, and
     // after a long time in good standing start from the first span again.
     let mut health = health(9);
-    let slot = Slot(4);
+    let id = EndpointId(4);
     let mut now = Time(0);
-    eject(&mut health, now, slot);
+    eject(&mut health, now, id);
     for _ in 0..40 {
         let (end, _) = tick_until_change(&mut health, now);
         assert!(end.since(now) <= Span::seconds(384), "{}", end.since(now));
         now = end;
-        health.on_failure(now, slot, 9);
+        health.on_failure(now, id, 9);
     }
     let (end, _) = tick_until_change(&mut health, now);
-    health.on_success(end, slot);
+    health.on_success(end, id);
     let later = end + Span::seconds(3_600);
-    eject(&mut health, later, slot);
+    eject(&mut health, later, id);
     let (end, _) = tick_until_change(&mut health, later);
     assert!(
         end.since(later) <= Span::millis(6_100),
@@ -168,13 +159,13 @@
     // Guards against endpoints that stay on probation for good where all tasks are non-idempotent: after a while a task
     // of any class tries them.
     let mut health = health(9);
-    let slot = Slot(4);
-    eject(&mut health, Time(0), slot);
+    let id = EndpointId(4);
+    eject(&mut health, Time(0), id);
     let (now, _) = tick_until_change(&mut health, Time(0));
     let (now, changes) = tick_until_change(&mut health, now);
-    assert_eq!(changes, [Change::Trial(slot)]);
-    assert!(health.allows(slot, Class::NonIdempotent));
-    assert_eq!(health.on_success(now, slot), Some(Change::Restored(slot)));
+    assert_eq!(changes, [Change::Trial(id)]);
+    assert!(health.allows(id, Class::NonIdempotent));
+    assert_eq!(health.on_success(now, id), Some(Change::Restored(id)));
 }
 
 #[test]
@@ -183,14 +174,14 @@
     // half of the pool has left the list.
     let mut health = health(12);
     let changes: Vec<_> = (0..12)
-        .map(|slot| eject(&mut health, Time(0), Slot(slot)))
+        .map(|id| eject(&mut health, Time(0), EndpointId(id)))
         .collect();
-    let ejected = |slot: u32| Some(Change::Ejected(Slot(slot)));
-    let suspected = |slot: u32| Some(Change::Suspected(Slot(slot)));
+    let ejected = |id: u32| Some(Change::Ejected(EndpointId(id)));
+    let suspected = |id: u32| Some(Change::Suspected(EndpointId(id)));
     let expected: Vec<_> = (0..4).map(ejected).chain((4..12).map(suspected)).collect();
     assert_eq!(changes, expected);
-    (6..12).for_each(|slot| health.remove(Slot(slot)));
+    (6..12).for_each(|id| health.remove(EndpointId(id)));
     assert_eq!(health.tick(Time(0)).len(), 2);
-    let out = (0..6).filter(|slot| !health.allows(Slot(*slot), Class::Once));
+    let out = (0..6).filter(|id| !health.allows(EndpointId(*id), Class::Once));
     assert_eq!(out.count(), 2);
 }
--- a/tests/policy/placement.rs
+++ b/tests/policy/placement.rs
@@ -51,7 +51,7 @@
 /// The placement and a model of each endpoint, to which the same steps are applied.
 struct Comparison {
     placement: Placement,
-    models: BTreeMap<Slot, Model>,
+    models: BTreeMap<EndpointId, Model>,
     instances: u32,
 }
 
@@ -79,17 +79,17 @@
         }
         self.instances = 1 + u32::from(value % 16);
         self.placement.apply_list(&list, self.instances as usize);
-        let if_absent = |(slot, model): (&Slot, &Model)| (!model.listed).then_some(*slot);
-        let absent: Vec<Slot> = self.models.iter().filter_map(if_absent).collect();
+        let if_absent = |(id, model): (&EndpointId, &Model)| (!model.listed).then_some(*id);
+        let absent: Vec<EndpointId> = self.models.iter().filter_map(if_absent).collect();
         for model in self.models.values_mut() {
             model.listed = false;
         }
         for worker in list {
-            let slot = self
+            let id = self
                 .placement
                 .find(&worker.name)
-                .expect("a listed worker has a slot");
-            let model = self.models.entry(slot).or_insert_with(|| Model {
+                .expect("a listed worker has a id");
+            let model = self.models.entry(id).or_insert_with(|| Model {
                 worker: worker.clone(),
                 listed: false,
                 reported_leaving: false,
@@ -98,8 +98,8 @@
                 load: 0,
             });
             let same_worker = model.worker.name == worker.name;
-            assert!(same_worker, "the slot of {} was reused", model.worker.name);
-            let returned = absent.contains(&slot) || model.worker.state == State::Leaving;
+            assert!(same_worker, "the id of {} was reused", model.worker.name);
+            let returned = absent.contains(&id) || model.worker.state == State::Leaving;
             if returned && worker.state == State::Live {
                 model.reported_leaving = false;
             }
@@ -136,7 +136,7 @@
                 .collect::<Vec<_>>()
         };
         let (near, far) = (best(true), best(false));
-        let Ok(slot) = self.placement.place(&requirement) else {
+        let Ok(id) = self.placement.place(&requirement) else {
             return near.is_empty() && far.is_empty();
         };
         let busy = |models: &[&Model]| {
@@ -144,7 +144,7 @@
                 .iter()
                 .any(|model| !model.starts_at_once(self.instances))
         };
-        let model = &self.models[&slot];
+        let model = &self.models[&id];
         let candidates = if model.near() { &near } else { &far };
         let starts_at_once = model.starts_at_once(self.instances);
         let is_allowed = candidates
@@ -154,43 +154,48 @@
                 true => starts_at_once || far.is_empty() || busy(&far),
                 false => near.is_empty() || busy(&near) && starts_at_once,
             };
-        self.model(slot).outstanding += 1;
+        self.model(id).outstanding += 1;
         is_allowed
     }
 
     /// Applies one arbitrary step; returns whether the placement agrees with the models.
     fn step(&mut self, (kind, mask, value): (u8, u16, u8)) -> bool {
         let count = self.models.len().max(1);
-        let slot = self.models.keys().nth(usize::from(value) % count).copied();
-        match (kind % 16, slot) {
+        let id = self.models.keys().nth(usize::from(value) % count).copied();
+        match (kind % 16, id) {
             (0, _) | (_, None) => self.list(mask, value),
-            (1, Some(slot)) => {
-                self.placement.mark_leaving(slot);
-                self.model(slot).reported_leaving = true;
+            (1, Some(id)) => {
+                self.placement.mark_leaving(id);
+                self.model(id).reported_leaving = true;
             }
-            (2, Some(slot)) => {
-                let is_eligible = mask % 2 == 0;
-                self.placement.set_eligible(slot, is_eligible);
-                self.model(slot).ejected = !is_eligible;
+            (2, Some(id)) => {
+                let ejected = mask % 2 != 0;
+                let eligibility = if ejected {
+                    Eligibility::Ejected
+                } else {
+                    Eligibility::Good
+                };
+                self.placement.set_eligibility(id, eligibility);
+                self.model(id).ejected = ejected;
             }
-            (3..=6, Some(slot)) if self.model(slot).outstanding > 0 => {
+            (3..=6, Some(id)) if self.model(id).outstanding > 0 => {
                 let running = u32::from(mask % 8);
                 let load = Load {
                     running,
                     queued: 0,
                     incarnation: None,
                 };
-                self.placement.on_task_end(slot, None, Some(load));
-                self.model(slot).outstanding -= 1;
-                self.model(slot).load = running;
+                self.placement.on_task_end(id, None, Some(load));
+                self.model(id).outstanding -= 1;
+                self.model(id).load = running;
             }
             _ => return self.place(value) && self.sums_agree(),
         }
         self.sums_agree()
     }
 
-    fn model(&mut self, slot: Slot) -> &mut Model {
-        self.models.get_mut(&slot).expect("the slot has a model")
+    fn model(&mut self, id: EndpointId) -> &mut Model {
+        self.models.get_mut(&id).expect("the id has a model")
     }
 
     /// Returns whether the placement's sums over all endpoints equal those of the models.
@@ -226,13 +231,13 @@
     let route = route();
     let mut placed_counts = [0; 2];
     for round in 0..200 {
-        let placed: Vec<Slot> = (0..32)
+        let placed: Vec<EndpointId> = (0..32)
             .map(|_| placement.place(&requirement(&route, &[])).expect("room"))
             .collect();
-        for slot in placed {
-            placed_counts[usize::from(slot == slow)] += u32::from(round >= 20);
-            let took = if slot == slow { 1_600 } else { 200 };
-            placement.on_task_end(slot, Some(Span::millis(took)), None);
+        for id in placed {
+            placed_counts[usize::from(id == slow)] += u32::from(round >= 20);
+            let took = if id == slow { 1_600 } else { 200 };
+            placement.on_task_end(id, Some(Span::millis(took)), None);
         }
         placement.apply_list(&workers(8), 7);
     }
@@ -249,12 +254,12 @@
     // Guards against waits at some endpoints while others are idle, if all instances break ties the same way. Equal
     // endpoints must be picked about equally often.
     let mut placement = placement(&workers(10));
-    let mut picks = BTreeMap::<Slot, u32>::new();
+    let mut picks = BTreeMap::<EndpointId, u32>::new();
     let route = route();
     for _ in 0..10_000 {
-        let slot = placement.place(&requirement(&route, &[])).expect("room");
-        *picks.entry(slot).or_default() += 1;
-        placement.on_task_end(slot, None, None);
+        let id = placement.place(&requirement(&route, &[])).expect("room");
+        *picks.entry(id).or_default() += 1;
+        placement.on_task_end(id, None, None);
     }
     assert!(picks.len() == 10 && picks.values().all(|count| (850..1_150).contains(count)));
 }
@@ -265,7 +270,7 @@
     // A data centre counts as busy from this instance's share of three tasks per slot, here 3 tasks.
     let mut placement = placement(&[worker(0, OWN), worker(1, OTHER)]);
     let mut route = route();
-    let (own, other) = (Slot(0), Slot(1));
+    let (own, other) = (EndpointId(0), EndpointId(1));
     for expected in [[own; 3], [other; 3], [own; 3], [own; 3]].concat() {
         assert_eq!(placement.place(&requirement(&route, &[])), Ok(expected));
     }
@@ -282,7 +287,7 @@
         placement.place(&requirement(&route, &[])),
         Err(Obstacle::Full)
     );
-    placement.set_eligible(own, false);
+    placement.set_eligibility(own, Eligibility::Ejected);
     assert_eq!(
         placement.place(&requirement(&route, &[])),
         Err(Obstacle::NoneEligible)
@@ -297,16 +302,22 @@
     // while another one is eligible, even if that is full, and be used if there is none.
     let mut placement = placement(&workers(2));
     let route = route();
-    let avoid = [Slot(0)];
+    let avoid = [EndpointId(0)];
     for _ in 0..9 {
-        assert_eq!(placement.place(&requirement(&route, &avoid)), Ok(Slot(1)));
+        assert_eq!(
+            placement.place(&requirement(&route, &avoid)),
+            Ok(EndpointId(1))
+        );
     }
     assert_eq!(
         placement.place(&requirement(&route, &avoid)),
         Err(Obstacle::Full)
     );
-    placement.mark_leaving(Slot(1));
-    assert_eq!(placement.place(&requirement(&route, &avoid)), Ok(Slot(0)));
+    placement.mark_leaving(EndpointId(1));
+    assert_eq!(
+        placement.place(&requirement(&route, &avoid)),
+        Ok(EndpointId(0))
+    );
 }
 
 #[test]
@@ -333,18 +344,24 @@
     // Guards against start-once jobs that fail at an endpoint which was just ejected. On probation it must only get
     // idempotent tasks, which can be retried, and one at a time.
     let mut placement = placement(&workers(2));
-    placement.set_eligibility(Slot(0), Eligibility::Probation);
+    placement.set_eligibility(EndpointId(0), Eligibility::Probation);
     let route = route();
     let idempotent = Requirement {
         class: Class::Idempotent,
         ..requirement(&route, &[])
     };
-    assert_eq!(placement.place(&requirement(&route, &[])), Ok(Slot(1)));
-    assert_eq!(placement.place(&idempotent), Ok(Slot(0)));
-    assert_eq!(placement.place(&idempotent), Ok(Slot(1)));
-    placement.on_task_end(Slot(0), None, None);
-    placement.set_eligibility(Slot(0), Eligibility::Trial);
-    assert_eq!(placement.place(&requirement(&route, &[])), Ok(Slot(0)));
+    assert_eq!(
+        placement.place(&requirement(&route, &[])),
+        Ok(EndpointId(1))
+    );
+    assert_eq!(placement.place(&idempotent), Ok(EndpointId(0)));
+    assert_eq!(placement.place(&idempotent), Ok(EndpointId(1)));
+    placement.on_task_end(EndpointId(0), None, None);
+    placement.set_eligibility(EndpointId(0), Eligibility::Trial);
+    assert_eq!(
+        placement.place(&requirement(&route, &[])),
+        Ok(EndpointId(0))
+    );
 }
 
 #[test]
@@ -354,7 +371,7 @@
     let list = workers(1);
     let mut placement = placement(&list);
     let route = route();
-    placement.mark_leaving(Slot(0));
+    placement.mark_leaving(EndpointId(0));
     placement.apply_list(&list, 7);
     let mut changed = list.clone();
     changed[0].slots = 9;
@@ -366,10 +383,16 @@
     let mut moved = list.clone();
     moved[0].address = "10.0.0.2:1".to_owned();
     placement.apply_list(&moved, 7);
-    assert_eq!(placement.place(&requirement(&route, &[])), Ok(Slot(0)));
-    placement.mark_leaving(Slot(0));
+    assert_eq!(
+        placement.place(&requirement(&route, &[])),
+        Ok(EndpointId(0))
+    );
+    placement.mark_leaving(EndpointId(0));
     for _ in 0..60 {
         placement.apply_list(&moved, 7);
     }
-    assert_eq!(placement.place(&requirement(&route, &[])), Ok(Slot(0)));
+    assert_eq!(
+        placement.place(&requirement(&route, &[])),
+        Ok(EndpointId(0))
+    );
 }
--- a/tests/policy/support.rs
+++ b/tests/policy/support.rs
@@ -34,10 +34,10 @@
         },
         placement::{
             Eligibility,
+            EndpointId, //
             Obstacle,
             Placement,
             Requirement,
-            Slot, //
         },
         queue::Queue,
         retry::{
@@ -121,7 +121,7 @@
 }
 
 /// Returns the requirement of a start-once task that needs one core.
-pub(crate) fn requirement<'a>(route: &'a Route, avoid: &'a [Slot]) -> Requirement<'a> {
+pub(crate) fn requirement<'a>(route: &'a Route, avoid: &'a [EndpointId]) -> Requirement<'a> {
     Requirement {
         route,
         need: need(1),
