--- a/src/core.rs
+++ b/src/core.rs
@@ -74,7 +74,7 @@
     /// A random number drawn at each start; it tells one run of the instance from the next.
     pub incarnation: Incarnation,
     /// The data centres whose endpoints the instance uses; empty means all.
-    pub reach: Vec<Centre>,
+    pub endpoint_centres: Vec<Centre>,
 }
 
 /// Gauges of what the core holds, for metrics.
@@ -316,7 +316,9 @@
         self.first_listed.get_or_insert(self.now);
         self.membership.apply_list(self.now, &list.instances);
         // Only instances that use the same endpoints share their connections.
-        let sharing = self.membership.live_count_in(&self.identity.reach);
+        let sharing = self
+            .membership
+            .live_count_in(&self.identity.endpoint_centres);
         let changes = self.placement.apply_list(&list.endpoints, sharing);
         for change in changes {
             self.apply_endpoint_change(change);
--- a/src/core/peering.rs
+++ b/src/core/peering.rs
@@ -177,7 +177,9 @@
     /// Divides shared limits by the number of live instances.
     pub(super) fn update_shares(&mut self) {
         let live = self.membership.live_count();
-        let sharing = self.membership.live_count_in(&self.identity.reach);
+        let sharing = self
+            .membership
+            .live_count_in(&self.identity.endpoint_centres);
         self.placement.set_instances(sharing);
         self.outputs.push(Output::ShareWriteRate(live));
     }
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -78,7 +78,7 @@
         name: settings.name.clone(),
         centre: settings.centre.clone(),
         incarnation: Incarnation::random(&mut random),
-        reach: settings.data_centres.clone(),
+        endpoint_centres: settings.data_centres.clone(),
     };
     let started = format!(
         "{} in {}, incarnation {}",
--- a/tests/orders/world.rs
+++ b/tests/orders/world.rs
@@ -812,7 +812,7 @@
         name: parse_name(&format!("entry-{instance}")),
         centre: parse_name("a"),
         incarnation: Incarnation(u128::from(run) << 64 | instance as u128),
-        reach: Vec::new(),
+        endpoint_centres: Vec::new(),
     };
     let seed = run * 100 + instance as u64;
     Core::new(identity, Limits::default(), timing, seed)
