--- a/src/id.rs
+++ b/src/id.rs
@@ -15,16 +15,16 @@
 /// The greatest length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// The reason why a text is no identifier.
+/// Why a text can't be parsed as an identifier, a time span or a size.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ParseError {
     /// The text is empty.
     #[error("is empty")]
     Empty,
-    /// The text is too long.
+    /// The text has this number of bytes, more than [`MAX_NAME_BYTES`].
     #[error("has {0} bytes, more than the {MAX_NAME_BYTES} allowed")]
     Long(usize),
-    /// The text has a character that is not allowed.
+    /// The text has this character, which is not allowed.
     #[error("holds {0:?}; letters, digits, '-', '_', '.' and ':' are allowed")]
     Character(char),
     /// The text is not this number of hexadecimal digits.
@@ -160,7 +160,7 @@
         pub struct $type(pub u128);
 
         impl $type {
-            /// Generates an identifier.
+            /// Generates a random identifier.
             pub fn random(rng: &mut impl Rng) -> Self {
                 Self(rng.random())
             }
@@ -190,7 +190,7 @@
 }
 
 hex!(
-    /// One run of an instance's process, generated at its start.
+    /// Identifies one run of an instance's process; generated at its start.
     Incarnation
 );
 hex!(
@@ -198,7 +198,7 @@
     Nonce
 );
 hex!(
-    /// One change that an operator requests. A retry with the same identifier isn't applied twice.
+    /// Identifies a change that an operator requests. A retry with the same identifier isn't applied twice.
     Operation
 );
 
--- a/src/time.rs
+++ b/src/time.rs
@@ -58,12 +58,12 @@
         self.0.div_ceil(1_000)
     }
 
-    /// Returns the span as the standard library's type.
+    /// Returns the span as a [`std::time::Duration`].
     pub const fn duration(self) -> std::time::Duration {
         std::time::Duration::from_micros(self.0)
     }
 
-    /// Returns the span multiplied by a factor, saturating.
+    /// Returns the span multiplied by a factor, at most the longest span.
     pub const fn times(self, factor: u64) -> Self {
         Self(self.0.saturating_mul(factor))
     }
