--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -9,7 +9,7 @@
 //! | [`trail`] | writes deferred entries of the audit trail |
 //! | [`sync`] | catches up with the table or a peer |
 //! | [`load`] | loads all records from the table or a peer |
-//! | [`propagation`] | notifies peers of changes, and answers their calls |
+//! | [`propagation`] | announces changes to peers, and answers their calls |
 //! | [`query`] | answers operators' queries |
 //! | [`row`] | defines the rows of the table |
 
@@ -42,7 +42,7 @@
 };
 use self::{
     edit::Edits,
-    propagation::Notification,
+    propagation::PendingAnnouncement,
     state::{
         Applied,
         Pending,
@@ -134,14 +134,14 @@
 pub struct Config {
     name: Instance,
     centre: Centre,
-    poll: Span,
+    poll_interval: Span,
     applied: Applied,
     peers: BTreeMap<Instance, Peer>,
     workers: Option<Capacity>,
     edits: Edits,
     trail: Trail,
     sync: Sync,
-    notification: Notification,
+    unannounced: PendingAnnouncement,
     pending: BTreeMap<u64, Pending>,
     last_ticket: u64,
     now: Time,
@@ -151,18 +151,18 @@
 
 impl Config {
     /// Creates the configuration of an instance that has loaded nothing yet; `seed` spreads the polls over time.
-    pub fn new(name: Instance, centre: Centre, poll: Span, seed: u64) -> Self {
+    pub fn new(name: Instance, centre: Centre, poll_interval: Span, seed: u64) -> Self {
         Self {
             name,
             centre,
-            poll,
+            poll_interval,
             applied: Applied::default(),
             peers: BTreeMap::new(),
             workers: None,
             edits: Edits::default(),
             trail: Trail::default(),
-            sync: Sync::new(Span(seed % poll.0.max(1))),
-            notification: Notification::default(),
+            sync: Sync::new(Span(seed % poll_interval.0.max(1))),
+            unannounced: PendingAnnouncement::default(),
             pending: BTreeMap::new(),
             last_ticket: 0,
             now: Time::default(),
@@ -205,21 +205,21 @@
         self.now = now;
         let before = self.revision();
         match input {
-            Input::Ask(request, ask) => self.ask(request, ask),
+            Input::Ask(request, ask) => self.on_ask(request, ask),
             Input::Completed(ticket, result) => self.on_completion(ticket, result),
-            Input::Called(caller, call) => self.on_call(caller, call),
+            Input::Called(incoming, call) => self.on_call(incoming, call),
             Input::Returned(ticket, result) => self.on_return(ticket, result.ok()),
             Input::Peers(peers) => self.update_peers(peers),
             Input::Workers(workers) => {
                 self.workers = Some(Capacity::from_workers(&workers));
                 self.update_centres();
             }
-            Input::Tick => self.expire(),
+            Input::Tick => self.expire_pending(),
         }
         self.advance_sync();
         self.advance_edits();
         self.advance_trail();
-        self.notify_peers();
+        self.announce_changes();
         if self.revision() != before {
             let revision = self.revision();
             self.log_event(Code::ChangeApplied, format!("revision {revision}"));
@@ -297,7 +297,7 @@
 
     /// Handles the completion of a command.
     fn on_completion(&mut self, ticket: u64, result: message::Completion) {
-        // The ticket of a command that timed out is gone, so its late completion is ignored.
+        // A command that timed out has no ticket any more, so its late completion is ignored.
         let Some(pending) = self.pending.remove(&ticket) else {
             return;
         };
@@ -324,7 +324,7 @@
     }
 
     /// Ends commands and calls that have timed out, as if their answer were lost.
-    fn expire(&mut self) {
+    fn expire_pending(&mut self) {
         let now = self.now;
         let overdue = self
             .pending
--- a/src/core/config/call.rs
+++ b/src/core/config/call.rs
@@ -38,9 +38,9 @@
 /// An announcement of changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// The caller.
+    /// The instance that announces them.
     pub from: Instance,
-    /// The newest revision that the caller applies.
+    /// The newest revision that it applies.
     pub head: Revision,
     /// The changes in order, as many as fit; the peer has to fetch the rest.
     pub changes: Vec<Change>,
--- a/src/core/config/edit.rs
+++ b/src/core/config/edit.rs
@@ -95,7 +95,7 @@
 
 impl Config {
     /// Queues a change, or reports at once why it can't be.
-    pub(super) fn submit(&mut self, request: Request, edit: ask::Edit) {
+    pub(super) fn queue_edit(&mut self, request: Request, edit: ask::Edit) {
         let record = match validate::parse(&edit.act) {
             Ok(record) => record.map(Arc::new),
             Err(faults) => return self.refuse_malformed(request, &edit, faults),
@@ -298,7 +298,7 @@
             self.sync.announce_up_to = self.sync.announce_up_to.max(change.revision);
             self.apply(change);
         }
-        self.finish_edit(report(plan.end));
+        self.finish_edit(report_of(plan.end));
     }
 
     /// Finds out why a commit didn't take effect, from the rows whose conditions failed.
@@ -332,15 +332,15 @@
             return self.finish_edit(Report::Reused { operation });
         }
         if let End::Accepted { revision, .. } = decision.end {
-            // It may be this instance's own commit whose reply was lost, so that no peer has been notified of it.
+            // It may be this instance's own commit whose reply was lost, so that no peer has got the announcement.
             self.sync.announce_up_to = self.sync.announce_up_to.max(revision);
             self.raise_target(revision);
         }
-        self.finish_edit(report(decision.end));
+        self.finish_edit(report_of(decision.end));
     }
 }
 
-fn report(end: End) -> Report {
+fn report_of(end: End) -> Report {
     match end {
         End::Accepted { record, revision } => Report::Accepted { record, revision },
         End::Refused(refusal) => Report::Refused(refusal),
--- a/src/core/config/edit/validate.rs
+++ b/src/core/config/edit/validate.rs
@@ -192,7 +192,7 @@
     // validated against; the operation's row, that it has no decision yet.
     let conditions = vec![
         row::revision_condition(applied.revision()),
-        row::unsettled_condition(pending.edit.operation),
+        row::undecided_condition(pending.edit.operation),
     ];
     Plan {
         group: Group { conditions, writes },
--- a/src/core/config/load.rs
+++ b/src/core/config/load.rs
@@ -85,7 +85,7 @@
         let before = self.revision();
         let installed = self.applied.install(load.revision, load.set);
         if installed && before < self.sync.relay_up_to {
-            self.mark_for_notification(before);
+            self.mark_for_announcement(before);
         }
         if installed {
             self.warn_unknown_schemas();
--- a/src/core/config/propagation.rs
+++ b/src/core/config/propagation.rs
@@ -32,7 +32,7 @@
 
 /// The changes that are still to be announced.
 #[derive(Debug, Default)]
-pub(super) struct Notification {
+pub(super) struct PendingAnnouncement {
     /// The revision before the first of them; none if there are none.
     after: Option<Revision>,
     /// Whether they are announced to the other data centres too.
@@ -53,20 +53,20 @@
 
 impl Config {
     /// Marks the changes after `revision` to be announced inside the data centre.
-    pub(super) fn mark_for_notification(&mut self, revision: Revision) {
-        self.notification.after.get_or_insert(revision);
+    pub(super) fn mark_for_announcement(&mut self, revision: Revision) {
+        self.unannounced.after.get_or_insert(revision);
     }
 
     /// Marks the changes after `revision`, committed here, to be announced in all data centres.
     pub(super) fn mark_for_all_centres(&mut self, revision: Revision) {
-        self.mark_for_notification(revision);
-        self.notification.to_other_centres = true;
+        self.mark_for_announcement(revision);
+        self.unannounced.to_other_centres = true;
     }
 
     /// Announces the marked changes to live peers that don't apply them yet.
-    pub(super) fn notify_peers(&mut self) {
-        let notification = std::mem::take(&mut self.notification);
-        let Some(after) = notification.after else {
+    pub(super) fn announce_changes(&mut self) {
+        let pending = std::mem::take(&mut self.unannounced);
+        let Some(after) = pending.after else {
             return;
         };
         let head = self.revision();
@@ -78,10 +78,7 @@
             let remote = None;
             self.announce(Delivery { to, after, remote });
         }
-        for centre in centres
-            .into_iter()
-            .filter(|_| notification.to_other_centres)
-        {
+        for centre in centres.into_iter().filter(|_| pending.to_other_centres) {
             self.announce_to_centre(centre, after, 0);
         }
     }
@@ -139,7 +136,7 @@
     }
 
     /// Handles a call from a peer.
-    pub(super) fn on_call(&mut self, caller: IncomingCall, call: Call) {
+    pub(super) fn on_call(&mut self, incoming: IncomingCall, call: Call) {
         self.stats.returns += 1;
         let value = match call {
             Call::Announce(announcement) => self.on_announcement(announcement),
@@ -150,7 +147,7 @@
             },
             Call::Snapshot { after } => Return::Page(self.snapshot_page(after.as_ref())),
         };
-        self.outputs.push(Output::Return(caller, value));
+        self.outputs.push(Output::Return(incoming, value));
     }
 
     /// Applies announced changes, and schedules the catch-up and the relay of what is missing.
--- a/src/core/config/query.rs
+++ b/src/core/config/query.rs
@@ -37,25 +37,25 @@
 
 impl Config {
     /// Handles a request of an operator: answers it, or starts what it needs.
-    pub(super) fn ask(&mut self, request: Request, ask: Ask) {
+    pub(super) fn on_ask(&mut self, request: Request, ask: Ask) {
         let report = match ask {
-            Ask::Edit(edit) => return self.submit(request, edit),
+            Ask::Edit(edit) => return self.queue_edit(request, edit),
             Ask::Audit(audit) => return self.read_audit(request, audit),
             _ if !self.is_ready() => Report::Unready,
-            Ask::List(kind) => self.list(kind),
+            Ask::List(kind) => self.list_records(kind),
             Ask::Show(record) => match self.applied.set().get(&record) {
                 Some(entry) => Report::Record(view_of(entry)),
                 None => Report::Absent { record },
             },
-            Ask::Rollout(record) => self.rollout(record),
+            Ask::Rollout(record) => self.report_rollout(record),
             Ask::Instances => Report::Instances {
-                instances: self.replicas(self.revision()),
+                instances: self.list_replicas(self.revision()),
             },
         };
         self.report(request, report);
     }
 
-    fn list(&self, kind: Option<Kind>) -> Report {
+    fn list_records(&self, kind: Option<Kind>) -> Report {
         let entries = self.applied.set().iter().map(|(_, entry)| entry);
         let selected = entries.filter(|e| kind.is_none_or(|kind| e.record.name.kind == kind));
         Report::Records {
@@ -64,12 +64,12 @@
         }
     }
 
-    fn rollout(&self, record: Name) -> Report {
+    fn report_rollout(&self, record: Name) -> Report {
         let Some(entry) = self.applied.set().get(&record) else {
             return Report::Absent { record };
         };
         let since = entry.revision;
-        let instances = self.replicas(since);
+        let instances = self.list_replicas(since);
         Report::Rollout(Rollout {
             record,
             revision: since,
@@ -81,7 +81,7 @@
     }
 
     /// Returns the revision that each instance applies, and whether it includes `since`.
-    fn replicas(&self, since: Revision) -> Vec<Replica> {
+    fn list_replicas(&self, since: Revision) -> Vec<Replica> {
         let own = Replica {
             instance: self.name.clone(),
             centre: self.centre.clone(),
--- a/src/core/config/row.rs
+++ b/src/core/config/row.rs
@@ -150,7 +150,7 @@
 }
 
 /// Returns the condition that an operation has no decision yet.
-pub fn unsettled_condition(id: Operation) -> Condition {
+pub fn undecided_condition(id: Operation) -> Condition {
     Condition {
         key: operation_key(id),
         version: 0,
--- a/src/core/config/state.rs
+++ b/src/core/config/state.rs
@@ -102,7 +102,7 @@
     routes: BTreeMap<Service, Result<Arc<Route>, Error>>,
     /// The latest changes without a gap, kept for peers that lag behind.
     recent: VecDeque<Arc<Change>>,
-    /// The size of the recent changes.
+    /// The size of the recent changes, in bytes.
     bytes: usize,
 }
 
--- a/src/core/config/sync.rs
+++ b/src/core/config/sync.rs
@@ -107,8 +107,8 @@
     /// without announcements.
     fn is_poll_due(&self) -> bool {
         let since = |time| self.now.since(time);
-        let silent = self.poll.times(SILENT_POLLS);
-        if since(self.sync.last_poll) < self.poll {
+        let silent = self.poll_interval.times(SILENT_POLLS);
+        if since(self.sync.last_poll) < self.poll_interval {
             return false;
         }
         // The elected instance may be partitioned, and announcements may be lost. Without its own polls, this instance
@@ -280,7 +280,7 @@
         if change.revision <= self.sync.announce_up_to {
             self.mark_for_all_centres(before);
         } else if change.revision <= self.sync.relay_up_to {
-            self.mark_for_notification(before);
+            self.mark_for_announcement(before);
         }
         let known = |entry: &crate::record::set::Entry| entry.record.has_known_schema();
         if !self.applied.set().get(&change.name).is_none_or(known) {
--- a/src/core/config/trail.rs
+++ b/src/core/config/trail.rs
@@ -110,7 +110,7 @@
     }
 }
 
-/// Creates an entry of the audit trail; a text longer than [`LONGEST_TEXT`] is truncated.
+/// Creates an entry of the audit trail; a text longer than [`MAX_TEXT_BYTES`] is truncated.
 pub(super) fn make_entry(
     instance: &Instance,
     edit: &ask::Edit,
@@ -135,7 +135,7 @@
     }
 }
 
-/// Passes characters on until they exceed [`LONGEST_TEXT`] bytes, `bytes` being those passed so far.
+/// Returns a character while the text up to it has at most [`MAX_TEXT_BYTES`]; `bytes` counts those so far.
 fn take_while_short(bytes: &mut usize, c: char) -> Option<char> {
     *bytes += c.len_utf8();
     (*bytes <= MAX_TEXT_BYTES).then_some(c)
