--- a/src/core/health.rs
+++ b/src/core/health.rs
@@ -32,7 +32,7 @@
 /// How many times the length of an ejection doubles at most.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// The time in good standing that takes back one doubling.
+/// The time without an ejection after which one doubling is taken back.
 const RECOVERY_PERIOD: Span = Span::seconds(60);
 
 /// How long an endpoint on probation waits for an idempotent task before it may get a task of any class.
@@ -104,7 +104,7 @@
     first_job: u64,
     /// Whether they are from more than one job.
     several_jobs: bool,
-    /// Past ejections, less those made up for by time in good standing.
+    /// Past ejections, less one for each [`RECOVERY_PERIOD`] without any.
     ejections: u32,
     restored_at: Time,
     /// When the present eligibility ends.
@@ -130,6 +130,7 @@
     random: SmallRng,
     records: HashMap<EndpointId, Record>,
     groups: HashMap<Group, Count>,
+    /// When eligibilities end, earliest first.
     due: BTreeSet<(Time, EndpointId)>,
 }
 
@@ -281,7 +282,7 @@
         (!was_suspect).then_some(Change::Suspected(id))
     }
 
-    /// Ejects an endpoint; each ejection that good standing hasn't made up for doubles the length.
+    /// Ejects an endpoint; each past ejection that isn't taken back doubles the length.
     fn eject(&mut self, now: Time, id: EndpointId) -> Option<Change> {
         let record = self.records.get_mut(&id)?;
         if !is_out(record.eligibility) {
--- a/src/core/membership.rs
+++ b/src/core/membership.rs
@@ -168,8 +168,8 @@
         self.update_liveness(now, name);
     }
 
-    /// Handles a peer's observations of others. They don't override newer ones, nor this
-    /// instance's own failed calls and unanswered heartbeats.
+    /// Handles a peer's observations of others. They don't override newer ones, nor this instance's own failed calls and
+    /// unanswered heartbeats.
     pub fn on_observations(&mut self, now: Time, observations: &[Observation]) {
         for observation in observations {
             let Some(peer) = self.peers.get_mut(&observation.name) else {
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Returns the observations for the next heartbeat, new incarnations first, and advances to the peers after them.
+    /// Returns the observations for the next heartbeat, new incarnations first, and advances the cursor past them.
     pub fn next_observations(&mut self, now: Time) -> Vec<Observation> {
         let mut observations = Vec::new();
         let start = (Bound::Excluded(&self.cursor), Bound::Unbounded);
@@ -235,8 +235,8 @@
         self.remove_expired(now);
         self.update_all_liveness(now);
         let mut actions = self.take_changes();
-        let (targets, crowded) = self.targets(now);
-        self.forwards_observations = crowded || self.has_uncalled();
+        let (targets, crowded) = self.choose_targets(now);
+        self.forwards_observations = crowded || self.has_peers_without_heartbeats();
         let period = self
             .heartbeat
             .times(if crowded { target::CROWDED_FACTOR } else { 1 });
@@ -260,7 +260,7 @@
         (!peer.address.is_empty()).then(|| (name.clone(), peer.address.clone()))
     }
 
-    /// Returns whether all listed peers that are alive have been heard, or the silence timeout has passed since `since`.
+    /// Returns whether all live peers have been heard, or the silence timeout has passed since `since`.
     ///
     /// Before that, an instance doesn't know its peers' incarnations and would report the owner of a key as lost
     /// while it runs.
--- a/src/core/membership/target.rs
+++ b/src/core/membership/target.rs
@@ -23,7 +23,7 @@
 impl Membership {
     /// Returns whether some peers never get a heartbeat from this instance, since another data centre has more than
     /// [`PEERS_PER_CENTRE`].
-    pub(super) fn has_uncalled(&self) -> bool {
+    pub(super) fn has_peers_without_heartbeats(&self) -> bool {
         let mut counts = BTreeMap::<&Centre, usize>::new();
         for peer in self
             .peers
@@ -37,9 +37,9 @@
 
     /// Returns the peers that get a heartbeat now, and whether there are more candidates than [`MAX_HEARTBEATS`].
     ///
-    /// Candidates are all peers of the own data centre and [`PEERS_PER_CENTRE`] of each other one; those without contact
-    /// for longest come first. A heartbeat is answered by one, so a peer that sent one recently is left out.
-    pub(super) fn targets(&self, now: Time) -> (Vec<Instance>, bool) {
+    /// Candidates are all peers of the own data centre and [`PEERS_PER_CENTRE`] of each other one; those without
+    /// contact for longest come first. A heartbeat is answered by one, so a peer that sent one recently is left out.
+    pub(super) fn choose_targets(&self, now: Time) -> (Vec<Instance>, bool) {
         let (mut own, mut others) = (Vec::new(), BTreeMap::<&Centre, Vec<&Peer>>::new());
         for peer in self.peers.values().filter(|peer| !peer.address.is_empty()) {
             if peer.centre == self.centre {
--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -1,8 +1,9 @@
 //! Placement: picks the endpoint of each task.
 //!
-//! The endpoint with the fewest outstanding tasks of this instance per slot gets the next one, weighted by how slow the
-//! endpoint has been lately. Ties are broken by the load that it last reported, then at random. Endpoints with free
-//! places are kept in this order, so a decision takes the first that fits.
+//! An endpoint runs one task in each of its slots. The endpoint with the fewest outstanding tasks of this instance per
+//! slot gets the next one, weighted by how slow the endpoint has been lately. Ties are broken by the load that it last
+//! reported, then at random. Endpoints with free places are kept in this order, so a decision takes the first that
+//! fits.
 
 mod entry;
 mod index;
@@ -248,7 +249,7 @@
     /// Returns whether any endpoint of the route that was ever listed is large enough; `true` if none was listed.
     pub fn is_possible(&self, route: &Route, need: Hardware) -> bool {
         let mut groups = self.reachable_groups(route).peekable();
-        groups.peek().is_none() || groups.any(|group| fits(&need, &group.has))
+        groups.peek().is_none() || groups.any(|group| fits(&need, &group.resources))
     }
 
     /// Returns how many tasks the route's eligible endpoints can get before they reach their limits.
@@ -318,14 +319,14 @@
             };
             let mut best = None;
             for group in groups.iter().map(|group| &self.groups[*group]) {
-                if !is_allowed(&group.centre) || !fits(&requirement.need, &group.has) {
+                if !is_allowed(&group.centre) || !fits(&requirement.need, &group.resources) {
                     continue;
                 }
-                if let Some(id) = group.trial(requirement.class, avoid) {
+                if let Some(id) = group.find_trial(requirement.class, avoid) {
                     let score = Score { work: 0, load: 0 };
                     return Some((score, id));
                 }
-                let Some(found) = group.index.first(avoid, &mut self.random) else {
+                let Some(found) = group.index.best(avoid, &mut self.random) else {
                     continue;
                 };
                 if best.is_none_or(|(score, _)| found.0 < score) {
@@ -348,7 +349,7 @@
         let (mut any_listed, mut any_fits, mut eligible) = (false, false, 0);
         for group in self.reachable_groups(requirement.route) {
             any_listed = true;
-            if fits(&requirement.need, &group.has) {
+            if fits(&requirement.need, &group.resources) {
                 any_fits = true;
                 eligible += group.count.eligible;
             }
@@ -365,7 +366,7 @@
                 entry
                     .contribution
                     .is_some_and(|contribution| contribution.eligible)
-                    && fits(&requirement.need, &group.has)
+                    && fits(&requirement.need, &group.resources)
                     && self.may_use(requirement.route, group)
             })
         });
@@ -418,9 +419,9 @@
     }
 }
 
-/// Returns whether an endpoint with the resources `has` can run a task that needs `need`.
-fn fits(need: &Hardware, has: &Hardware) -> bool {
-    need.cores <= has.cores
-        && need.memory_mb <= has.memory_mb
-        && need.accelerators <= has.accelerators
+/// Returns whether an endpoint with these resources can run a task that needs `need`.
+fn fits(need: &Hardware, resources: &Hardware) -> bool {
+    need.cores <= resources.cores
+        && need.memory_mb <= resources.memory_mb
+        && need.accelerators <= resources.accelerators
 }
--- a/src/core/placement/entry.rs
+++ b/src/core/placement/entry.rs
@@ -77,7 +77,7 @@
         }
         let any_class = match entry.eligibility {
             Eligibility::Good | Eligibility::Suspect => {
-                return Some(Self::eligible(entry, policy, max_outstanding, instances));
+                return Some(Self::of_eligible(entry, policy, max_outstanding, instances));
             }
             Eligibility::Probation => false,
             Eligibility::Trial => true,
@@ -92,7 +92,7 @@
         })
     }
 
-    fn eligible(entry: &Entry, policy: Policy, max_outstanding: u32, instances: u32) -> Self {
+    fn of_eligible(entry: &Entry, policy: Policy, max_outstanding: u32, instances: u32) -> Self {
         let share = entry.worker.connections / instances;
         let limit = max_outstanding.min(share).max(1);
         let free = limit.saturating_sub(entry.outstanding);
--- a/src/core/placement/index.rs
+++ b/src/core/placement/index.rs
@@ -26,7 +26,7 @@
 
 impl Index {
     /// Returns the best endpoint that isn't one of `avoid`.
-    pub(super) fn first(
+    pub(super) fn best(
         &self,
         avoid: &[EndpointId],
         random: &mut SmallRng,
@@ -75,7 +75,7 @@
 pub(super) struct Group {
     pub(super) pool: Pool,
     pub(super) centre: Centre,
-    pub(super) has: Hardware,
+    pub(super) resources: Hardware,
     pub(super) members: u32,
     pub(super) index: Index,
     pub(super) count: Count,
@@ -86,11 +86,11 @@
 
 impl Group {
     /// Creates a group without endpoints.
-    pub(super) fn new(pool: Pool, centre: Centre, has: Hardware) -> Self {
+    pub(super) fn new(pool: Pool, centre: Centre, resources: Hardware) -> Self {
         Self {
             pool,
             centre,
-            has,
+            resources,
             members: 0,
             index: Index::default(),
             count: Count::default(),
@@ -100,7 +100,7 @@
     }
 
     /// Returns an endpoint on probation that waits for a task of this class and isn't one of `avoid`.
-    pub(super) fn trial(&self, class: Class, avoid: &[EndpointId]) -> Option<EndpointId> {
+    pub(super) fn find_trial(&self, class: Class, avoid: &[EndpointId]) -> Option<EndpointId> {
         let mut trials = self.trials.iter();
         trials
             .find(|(id, any_class)| (*any_class || class.is_repeatable()) && !avoid.contains(id))
--- a/src/core/placement/table.rs
+++ b/src/core/placement/table.rs
@@ -201,7 +201,7 @@
             .copied();
         let found = candidates.find(|group| {
             let group = &self.groups[*group];
-            group.centre == worker.centre && group.has == worker.resources
+            group.centre == worker.centre && group.resources == worker.resources
         });
         let index = found.unwrap_or_else(|| self.create_group(worker));
         self.groups[index].members += 1;
@@ -211,7 +211,7 @@
     /// Creates the group of an endpoint, in place of a removable one if there is one, and returns its index.
     fn create_group(&mut self, worker: &Worker) -> usize {
         let group = Group::new(worker.pool.clone(), worker.centre.clone(), worker.resources);
-        let index = match self.removable_group() {
+        let index = match self.find_removable_group() {
             Some(index) => self.remove_group(index),
             None => self.groups.len(),
         };
@@ -228,7 +228,7 @@
     }
 
     /// Returns the index of a group without endpoints, once there are too many of them.
-    fn removable_group(&self) -> Option<usize> {
+    fn find_removable_group(&self) -> Option<usize> {
         if self.groups.len() < MAX_EMPTY_GROUPS {
             return None;
         }
@@ -240,7 +240,7 @@
         self.groups.iter().position(empty)
     }
 
-    /// Removes a group from its pool, so that its index can be reused.
+    /// Removes a group from its pool, and returns its index for reuse.
     fn remove_group(&mut self, index: usize) -> usize {
         let pool = self.groups[index].pool.clone();
         if let Some(groups) = self.groups_by_pool.get_mut(&pool) {
--- a/src/core/retry.rs
+++ b/src/core/retry.rs
@@ -45,7 +45,7 @@
     }
 
     /// Creates a budget that earns `share` of a token with each success and `per_second` tokens a second, and saves up
-    /// to `capacity` tokens.
+    /// to `capacity` tokens. It starts with what it earns in 10 s.
     pub fn new(share: Permille, per_second: u64, capacity: u64) -> Self {
         Self {
             share,
