--- a/src/core.rs
+++ b/src/core.rs
@@ -61,7 +61,7 @@
     Timers, //
 };
 
-/// The time between two steps from which on a pause of the whole process is logged.
+/// The shortest time between two steps that is logged as a pause of the whole process.
 const PAUSE_THRESHOLD: Span = Span::millis(1_000);
 
 /// The identity of an instance.
@@ -124,6 +124,7 @@
     requests: HashMap<message::Request, u64>,
     registry: claim::Registry,
     queues: BTreeMap<Service, queue::Queue<queue::Item>>,
+    /// The stopped attempts that may still run, and the endpoints whose places they occupy.
     orphans: HashMap<Attempt, placement::EndpointId>,
     /// The incarnation in the last reply of each endpoint.
     endpoint_incarnations: HashMap<placement::EndpointId, Incarnation>,
@@ -135,8 +136,10 @@
     membership: membership::Membership,
     config: config::Config,
     store: store::Store,
+    /// The commands of claims that are in progress, by ticket.
     commands: HashMap<u64, store::Purpose>,
-    calls: HashMap<u64, peering::Pending>,
+    /// The submissions and heartbeats that are sent to peers, by the number of the call.
+    calls: HashMap<u64, peering::OutgoingCall>,
     peers_reported_at: Time,
     timers: Timers,
     outputs: Vec<Output>,
@@ -216,9 +219,9 @@
                 bytes,
                 first,
             } => {
-                let waiter = stage::Waiter::Request(request);
+                let recipient = stage::Recipient::Request(request);
                 let arrival = submission::Arrival {
-                    waiter,
+                    recipient,
                     submission,
                     digest,
                     bytes,
@@ -237,7 +240,7 @@
             }
             Input::AttemptEnded(attempt, end) => self.on_attempt_end(attempt, end),
             Input::Status(attempt, status) => self.on_status(attempt, status),
-            Input::Called(caller, call) => self.on_call(caller, call),
+            Input::Called(incoming, call) => self.on_call(incoming, call),
             Input::Returned(id, result) => self.on_return(id, result),
             Input::Listed(list) => self.apply_list(&list),
             Input::Tick => self.on_tick(),
@@ -250,7 +253,8 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Returns when the next timer is due: by then `step` has to be called even without an input.
+    /// Returns when the next timer is due; [`Self::step`] has to be called by then, with [`Input::Wake`] if there is no
+    /// other input.
     pub fn next_due(&self) -> Option<Time> {
         self.timers.next_due()
     }
@@ -289,6 +293,7 @@
         self.outputs.push(Output::Event(Event::new(code, detail)));
     }
 
+    /// Returns the next number for a job, a command or a call.
     fn next_serial(&mut self) -> u64 {
         self.serial += 1;
         self.serial
@@ -299,6 +304,7 @@
         Span(span.0 / 2 + self.random.random_range(0..=span.0))
     }
 
+    /// Runs the timers that are due.
     fn run_timers(&mut self) {
         while let Some(timer) = self.timers.pop_due(self.now) {
             match timer {
@@ -306,7 +312,7 @@
                 Timer::StatusCheck(attempt) => self.check_overdue_attempt(attempt),
                 Timer::Retry(item) => self.enqueue(item),
                 Timer::ReadBackClaim(job) => self.read_back_claim(job),
-                Timer::Orphan(attempt) => self.drop_orphan(attempt),
+                Timer::DropOrphan(attempt) => self.drop_orphan(attempt),
             }
         }
     }
@@ -359,19 +365,19 @@
 
     /// Runs the periodic work.
     fn on_tick(&mut self) {
-        let dropped = self.registry.evict(self.now);
-        self.log_forgotten(dropped);
+        let evicted = self.registry.evict(self.now);
+        self.log_evicted(evicted);
         self.tick_health();
         self.tick_membership();
         self.step_config(config::Input::Tick);
         self.dispatch();
     }
 
-    /// Logs keys that were dropped because the registry is full.
-    fn log_forgotten(&mut self, dropped: usize) {
+    /// Logs the number of evicted keys if the registry is full.
+    fn log_evicted(&mut self, evicted: usize) {
         // Keys expire by age all the time; only a full registry is logged.
-        if dropped > 0 && self.registry.is_full() {
-            self.log_event(Code::AnswersDropped, format!("{dropped} keys"));
+        if evicted > 0 && self.registry.is_full() {
+            self.log_event(Code::AnswersDropped, format!("{evicted} keys"));
         }
     }
 
@@ -425,19 +431,19 @@
                 config::Output::Report(request, report) => {
                     self.outputs.push(Output::Report(request, report));
                 }
-                config::Output::Command(ticket, operate) => {
+                config::Output::Command(ticket, command) => {
                     self.outputs
-                        .push(Output::Command(Ticket::Config(ticket), operate));
+                        .push(Output::Command(Ticket::Config(ticket), command));
                 }
                 config::Output::Call(to, id, call) => {
                     self.call(to, CallId::Config(id), message::Call::Config(call), None);
                 }
-                config::Output::Return(caller, result) => {
+                config::Output::Return(incoming, result) => {
                     let result = message::Return::Config(result);
-                    self.outputs.push(Output::Return(caller, result));
+                    self.outputs.push(Output::Return(incoming, result));
                 }
                 config::Output::Event(event) => self.outputs.push(Output::Event(event)),
-                // The configuration has logged it; jobs keep the route that they were accepted with.
+                // The configuration has logged it; jobs keep the route that they were admitted with.
                 config::Output::InForce(_) => {}
             }
         }
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -148,11 +148,11 @@
         self.check_fits(demand)?;
         if demand.slots == 0 {
             let detail = "no endpoint of the service is eligible".to_owned();
-            return Err(self.refuse(now, demand, Reason::NoEndpoint, detail, MIN_RETRY));
+            return Err(self.refuse_for_now(now, demand, Reason::NoEndpoint, detail, MIN_RETRY));
         }
         if let Err(detail) = self.check_bounds(demand) {
             let wait = self.turnover(demand);
-            return Err(self.refuse(now, demand, Reason::Busy, detail, wait));
+            return Err(self.refuse_for_now(now, demand, Reason::Busy, detail, wait));
         }
         self.check_deadline(now, demand)?;
         self.add(demand);
@@ -189,7 +189,7 @@
     pub fn team_usage(&self, team: &Team) -> Usage {
         self.teams
             .get(team)
-            .map_or_else(Usage::default, |share| share.usage)
+            .map_or_else(Usage::default, |entry| entry.usage)
     }
 
     /// Refuses for good a job that even an idle instance couldn't admit.
@@ -268,7 +268,7 @@
             "it would wait about {wait} for others, with a deadline in {}",
             demand.time_left
         );
-        Err(self.refuse(now, demand, Reason::Busy, detail, finish - demand.time_left))
+        Err(self.refuse_for_now(now, demand, Reason::Busy, detail, finish - demand.time_left))
     }
 
     /// Returns the time for which a job is expected to wait for others.
@@ -277,8 +277,8 @@
     /// but never for more than all admitted work.
     fn expected_wait(&self, demand: &Demand<'_>) -> Span {
         let own = self.teams.get(demand.team);
-        let ahead = own.map_or_else(Span::default, |share| share.usage.work);
-        let counted = own.map_or(0, |share| u64::from(share.weight));
+        let ahead = own.map_or_else(Span::default, |entry| entry.usage.work);
+        let counted = own.map_or(0, |entry| u64::from(entry.weight));
         let weight = u64::from(weight_of(demand));
         let weights = self.weights - counted + weight;
         let at_share = u128::from(ahead.0) * u128::from(weights) / u128::from(weight);
@@ -306,7 +306,7 @@
     ///
     /// The delay grows by the work that was refused before, plus a random jitter. Otherwise callers that are refused
     /// together would retry together and be refused again.
-    fn refuse(
+    fn refuse_for_now(
         &mut self,
         now: Time,
         demand: &Demand<'_>,
@@ -328,23 +328,24 @@
 
     /// Counts an admitted job.
     fn add(&mut self, demand: &Demand<'_>) {
-        let share = self.teams.entry(demand.team.clone()).or_default();
+        let entry = self.teams.entry(demand.team.clone()).or_default();
         let weight = weight_of(demand);
-        self.weights = self.weights - u64::from(share.weight) + u64::from(weight);
-        share.weight = weight;
-        share.usage.add(1, demand.tasks, demand.bytes, demand.work);
+        self.weights = self.weights - u64::from(entry.weight) + u64::from(weight);
+        entry.weight = weight;
+        entry.usage.add(1, demand.tasks, demand.bytes, demand.work);
         self.total.add(1, demand.tasks, demand.bytes, demand.work);
     }
 
+    /// Subtracts from the usage of a team, and removes a team without jobs.
     fn subtract(&mut self, team: &Team, jobs: usize, tasks: u32, bytes: usize, work: Span) {
         self.total.subtract(jobs, tasks, bytes, work);
-        let Some(share) = self.teams.get_mut(team) else {
+        let Some(entry) = self.teams.get_mut(team) else {
             debug_assert!(false, "released more than was admitted");
             return;
         };
-        share.usage.subtract(jobs, tasks, bytes, work);
-        if share.usage.jobs == 0 {
-            self.weights -= u64::from(share.weight);
+        entry.usage.subtract(jobs, tasks, bytes, work);
+        if entry.usage.jobs == 0 {
+            self.weights -= u64::from(entry.weight);
             self.teams.remove(team);
         }
     }
@@ -357,8 +358,8 @@
 
 /// Returns whether a team that uses `own` of `bound` may take `more`: no more than what all teams leave free.
 ///
-/// With a fixed limit, one team's burst would fill it and lock the others out. This dynamic threshold gives a single
-/// team at most half of the limit, two teams a third each, and always leaves some for the next.
+/// With a fixed limit, the burst of one team would fill it, and all others would be refused. This dynamic threshold
+/// gives a single team at most half of the limit, two teams a third each, and always leaves some for the next.
 fn has_room(total: usize, own: usize, more: usize, bound: usize) -> bool {
     own + more <= bound.saturating_sub(total)
 }
--- a/src/core/claim.rs
+++ b/src/core/claim.rs
@@ -110,8 +110,8 @@
     /// The job with this number is in progress.
     Open(u64),
     /// The job finished with this answer.
-    Kept(Kept),
-    /// No task was started. The table may hold a claim with this nonce, which the next submission may use.
+    Kept(KeptAnswer),
+    /// This instance started no task. The table may hold a claim with this nonce, which the next submission may use.
     Abandoned(Nonce),
 }
 
@@ -120,9 +120,9 @@
 /// A single allocation prevents the heap fragmentation that an answer with many small results causes when it is kept
 /// for minutes.
 #[derive(Debug, Clone)]
-pub struct Kept(Arc<str>);
+pub struct KeptAnswer(Arc<str>);
 
-impl Kept {
+impl KeptAnswer {
     /// Serializes an answer.
     ///
     /// # Panics
@@ -143,7 +143,7 @@
     }
 
     /// Returns the estimated memory in bytes.
-    fn memory(&self) -> usize {
+    fn memory_bytes(&self) -> usize {
         self.0.len() + ALLOCATION_BYTES
     }
 }
@@ -302,7 +302,7 @@
             return 0;
         };
         let added = match &entry {
-            Entry::Kept(answer) => answer.memory(),
+            Entry::Kept(answer) => answer.memory_bytes(),
             _ => 0,
         };
         state.entry = entry;
@@ -335,8 +335,9 @@
             }
             let (team, key) = (team.clone(), key.clone());
             self.finished.pop_front();
-            let in_progress = matches!(self.get(&team, &key), None | Some(Entry::Open(_)));
-            if !in_progress {
+            // The key was removed, or submitted again.
+            let is_replaced = matches!(self.get(&team, &key), None | Some(Entry::Open(_)));
+            if !is_replaced {
                 self.remove(&team, &key);
                 evicted += 1;
             }
--- a/src/core/claim_resolution.rs
+++ b/src/core/claim_resolution.rs
@@ -18,7 +18,7 @@
         Forward,
         Return, //
     },
-    peering::Pending,
+    peering::OutgoingCall,
     stage::{
         Job,
         Permit,
@@ -39,7 +39,7 @@
 const READ_BACK_DELAY: Span = Span::millis(100);
 
 impl Core {
-    /// Continues a job whose operation on the table or the object store has ended.
+    /// Continues a job whose command to the table or the object store has completed.
     pub(super) fn on_store_result(&mut self, number: u64, result: message::Completion) {
         let Some(Stage::Received(job)) = self.take_received(number) else {
             return;
@@ -193,7 +193,7 @@
         job.stage.wait = Wait::Owner(peer.clone());
         let id = self.next_serial();
         self.calls
-            .insert(id, Pending::for_job(peer.clone(), job.number));
+            .insert(id, OutgoingCall::for_job(peer.clone(), job.number));
         let wait = forward.left;
         self.jobs.insert(job.number, Stage::Received(job));
         self.call(peer, CallId::Submit(id), Call::Submit(forward), Some(wait));
--- a/src/core/completion.rs
+++ b/src/core/completion.rs
@@ -9,7 +9,7 @@
     },
     claim::{
         Entry,
-        Kept, //
+        KeptAnswer, //
     },
     message::{
         Output,
@@ -21,9 +21,9 @@
         self,
         Job,
         Received,
+        Recipient, //
         Stage,
         Wait,
-        Waiter, //
     },
     Core,
 };
@@ -64,7 +64,7 @@
             job.submission.class.unwrap_or_default(),
         );
         let answer = with_key(answer, &job.submission);
-        self.send_answers(&job.waiters, &answer);
+        self.send_answers(&job.recipients, &answer);
     }
 
     /// Answers a job that was claimed, stops its attempts, and keeps its answer for resubmissions.
@@ -90,7 +90,7 @@
         if let Some(key) = &submission.key {
             self.keep_answer(&job, key, &answer);
         }
-        self.send_answers(&job.waiters, &answer);
+        self.send_answers(&job.recipients, &answer);
     }
 
     /// Keeps a job's answer in the registry, and records it in the table if the claim is there.
@@ -100,15 +100,16 @@
             return self.registry.remove(team, key);
         }
         let entry = if answer.outcome == Outcome::NotRun {
+            // A key of a range has no claim in the table, so its nonce is never compared.
             Entry::Abandoned(job.stage.nonce.unwrap_or(Nonce(0)))
         } else {
             if job.stage.nonce.is_some() {
                 self.record_outcome(team, key, job.digest, answer);
             }
-            Entry::Kept(Kept::new(answer))
+            Entry::Kept(KeptAnswer::new(answer))
         };
         let evicted = self.registry.finish(self.now, team, key, entry);
-        self.log_forgotten(evicted);
+        self.log_evicted(evicted);
     }
 
     /// Counts an answer for the metrics.
@@ -151,22 +152,22 @@
 
     /// Cancels the job of a key, and answers the caller with the job's outcome.
     pub(super) fn cancel_job(&mut self, request: Request, team: &Team, key: &Key) {
-        let waiter = Waiter::Request(request);
+        let recipient = Recipient::Request(request);
         match self.registry.get(team, key).cloned() {
-            Some(Entry::Kept(kept)) => self.send_answer(waiter, &kept.answer()),
+            Some(Entry::Kept(kept)) => self.send_answer(recipient, &kept.answer()),
             Some(Entry::Open(number)) => {
-                self.join_job(number, waiter);
+                self.join_job(number, recipient);
                 self.end_job(number, Reason::Cancelled);
             }
             Some(Entry::Abandoned(_)) => self.send_answer(
-                waiter,
+                recipient,
                 &Answer::refusal(Reason::Cancelled, "no task of this job was started"),
             ),
-            None => self.send_answer(waiter, &unknown_key(key)),
+            None => self.send_answer(recipient, &unknown_key(key)),
         }
     }
 
-    /// Answers a job before it is complete; the outcome tells whether tasks ran or may have run.
+    /// Answers a job that is cancelled or that a drain ends; does nothing if it was answered.
     pub(super) fn end_job(&mut self, number: u64, reason: Reason) {
         match self.jobs.remove(&number) {
             None => {}
@@ -182,20 +183,20 @@
 
     /// Answers the caller with the state of the job of a key.
     pub(super) fn find_job(&mut self, request: Request, team: &Team, key: &Key) {
-        let waiter = Waiter::Request(request);
+        let recipient = Recipient::Request(request);
         match self.registry.get(team, key).cloned() {
-            Some(Entry::Kept(kept)) => self.send_answer(waiter, &kept.answer()),
+            Some(Entry::Kept(kept)) => self.send_answer(recipient, &kept.answer()),
             Some(Entry::Open(_)) => self.send_answer(
-                waiter,
+                recipient,
                 &Answer::new(Outcome::Unknown, Reason::Running, "the job is in progress")
                     .with_key(key.clone()),
             ),
             Some(Entry::Abandoned(_)) => self.send_answer(
-                waiter,
+                recipient,
                 &Answer::refusal(Reason::Store, "no task of this job was started")
                     .with_key(key.clone()),
             ),
-            None => self.send_answer(waiter, &unknown_key(key)),
+            None => self.send_answer(recipient, &unknown_key(key)),
         }
     }
 
@@ -209,12 +210,12 @@
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
-        job.waiters()
-            .retain(|waiter| *waiter != Waiter::Request(request));
+        job.recipients()
+            .retain(|recipient| *recipient != Recipient::Request(request));
         // Prevents work without a recipient: without a key, nobody can ask for the answer later.
         if let Stage::Running(job) = job {
             let has_no_key = job.submission.key.is_none();
-            let has_no_recipient = job.waiters.is_empty();
+            let has_no_recipient = job.recipients.is_empty();
             if has_no_recipient && has_no_key && job.stage.admitted.class.is_repeatable() {
                 self.end_job(number, Reason::Cancelled);
             }
@@ -222,21 +223,21 @@
     }
 
     /// Sends an answer to a caller, or to the peer that forwarded the submission.
-    pub(super) fn send_answer(&mut self, waiter: Waiter, answer: &Answer) {
-        let output = match waiter {
-            Waiter::Request(request) => {
+    pub(super) fn send_answer(&mut self, recipient: Recipient, answer: &Answer) {
+        let output = match recipient {
+            Recipient::Request(request) => {
                 self.requests.remove(&request);
                 Output::Answer(request, answer.clone())
             }
-            Waiter::Peer(caller) => Output::Return(caller, Return::Answer(answer.clone())),
+            Recipient::Peer(incoming) => Output::Return(incoming, Return::Answer(answer.clone())),
         };
         self.outputs.push(output);
     }
 
     /// Sends an answer to all recipients of a job.
-    pub(super) fn send_answers(&mut self, waiters: &[Waiter], answer: &Answer) {
-        for waiter in waiters {
-            self.send_answer(*waiter, answer);
+    pub(super) fn send_answers(&mut self, recipients: &[Recipient], answer: &Answer) {
+        for recipient in recipients {
+            self.send_answer(*recipient, answer);
         }
     }
 }
--- a/src/core/execution.rs
+++ b/src/core/execution.rs
@@ -43,7 +43,7 @@
 /// The number of attempts at which a task that endpoints keep refusing fails its job.
 const MAX_REFUSALS: u32 = 24;
 
-/// The weight of one sample in the moving average of the instance's share of the work.
+/// The weight of one sample in the moving average of this instance's share of the tasks at the endpoints.
 const SHARE_WEIGHT: f64 = 0.02;
 
 /// The maximum number of endpoints that a task avoids.
@@ -307,7 +307,7 @@
         let took = self.now.since(pending.sent_at);
         let succeeded = matches!(conclusion, Conclusion::Done(_));
         if let Some(load) = load {
-            self.update_work_share(pending.endpoint, load);
+            self.update_endpoint_share(pending.endpoint, load);
         }
         self.placement
             .on_task_end(pending.endpoint, succeeded.then_some(took), load);
@@ -337,11 +337,11 @@
         self.dispatch();
     }
 
-    /// Updates the estimate of this instance's share of the endpoints' work from a reported load.
+    /// Updates the estimate of this instance's share of the tasks at the endpoints from a reported load.
     ///
     /// Prevents the admission of jobs that miss their deadlines: an instance knows only its own tasks, so without the
     /// share it would underestimate the wait by the work of all other instances.
-    fn update_work_share(&mut self, endpoint: EndpointId, load: Load) {
+    fn update_endpoint_share(&mut self, endpoint: EndpointId, load: Load) {
         let own = self.placement.outstanding(endpoint).max(1);
         let total = load.running.saturating_add(load.queued).saturating_add(1);
         let sample = f64::from(own) / f64::from(total.max(own));
@@ -448,7 +448,7 @@
         self.finish_running(job, answer);
     }
 
-    /// Answers a job before it is complete; the outcome tells whether tasks ran or may have run.
+    /// Answers a claimed job before it is complete; the outcome tells whether tasks ran or may have run.
     pub(super) fn finish_early(&mut self, job: Job<Running>, reason: Reason) {
         let outcome = job.outcome(reason);
         let cause = match reason {
@@ -526,7 +526,7 @@
 }
 
 impl Progress {
-    /// Makes the next attempt avoid an endpoint; forgets the oldest one beyond [`MAX_AVOIDED`].
+    /// Makes the next attempts avoid an endpoint; the oldest one is dropped beyond [`MAX_AVOIDED`].
     pub(super) fn avoid(&mut self, endpoint: EndpointId) {
         if self.avoid.contains(&endpoint) {
             return;
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -259,7 +259,7 @@
     },
     /// A command to the platform completed.
     Completed(Ticket, Completion),
-    /// A start at an endpoint ended.
+    /// The request that started an attempt ended.
     AttemptEnded(Attempt, End),
     /// An endpoint reported the status of an attempt after a check or a stop; none if it can't be reached.
     Status(Attempt, Option<Status>),
--- a/src/core/peering.rs
+++ b/src/core/peering.rs
@@ -10,7 +10,7 @@
         Output,
         Return, //
     },
-    stage::Waiter,
+    stage::Recipient,
     submission::Arrival,
     Core,
 };
@@ -22,16 +22,16 @@
 /// The shortest time between two reports of the peers to the configuration.
 const PEER_REPORT_PERIOD: Span = Span::millis(200);
 
-/// An outgoing call that hasn't returned.
+/// A submission or a heartbeat that was sent to a peer and hasn't returned.
 #[derive(Debug)]
-pub(super) struct Pending {
+pub(super) struct OutgoingCall {
     to: Instance,
     /// The job that waits for the return; none for a heartbeat.
     job: Option<u64>,
 }
 
-impl Pending {
-    /// Creates the entry of a submission that is forwarded to `to`.
+impl OutgoingCall {
+    /// Creates the call of a submission that is forwarded to `to`.
     pub(super) fn for_job(to: Instance, job: u64) -> Self {
         Self { to, job: Some(job) }
     }
@@ -54,16 +54,16 @@
 
     /// Handles a call from a peer.
     ///
-    /// A submission for another incarnation is sent back: the owner of its key has ended, and this run of the
+    /// A submission for another incarnation is rejected: the owner of its key has ended, and this run of the
     /// instance doesn't know the key.
-    pub(super) fn on_call(&mut self, caller: IncomingCall, call: Call) {
+    pub(super) fn on_call(&mut self, incoming: IncomingCall, call: Call) {
         match call {
             Call::Submit(forward) if forward.owner != self.identity.incarnation => {
                 self.outputs
-                    .push(Output::Return(caller, Return::StaleIncarnation));
+                    .push(Output::Return(incoming, Return::StaleIncarnation));
             }
             Call::Submit(forward) => self.submit(Arrival {
-                waiter: Waiter::Peer(caller),
+                recipient: Recipient::Peer(incoming),
                 bytes: 0,
                 submission: forward.submission,
                 digest: forward.digest,
@@ -74,9 +74,9 @@
                 self.on_heartbeat(&heartbeat);
                 let reply = self.make_heartbeat();
                 self.outputs
-                    .push(Output::Return(caller, Return::Heartbeat(reply)));
+                    .push(Output::Return(incoming, Return::Heartbeat(reply)));
             }
-            Call::Config(call) => self.step_config(config::Input::Called(caller, call)),
+            Call::Config(call) => self.step_config(config::Input::Called(incoming, call)),
         }
     }
 
@@ -159,7 +159,7 @@
 
     fn send_heartbeat(&mut self, to: Instance, address: String) {
         let id = self.next_serial();
-        let pending = Pending {
+        let pending = OutgoingCall {
             to: to.clone(),
             job: None,
         };
--- a/src/core/stage.rs
+++ b/src/core/stage.rs
@@ -22,7 +22,7 @@
 
 /// A recipient of a job's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Waiter {
+pub enum Recipient {
     /// A caller of this instance.
     Request(Request),
     /// A peer that forwarded the submission.
@@ -49,7 +49,7 @@
     /// Whether the caller states that it sends the key for the first time.
     pub first: bool,
     /// The recipients of the answer.
-    pub waiters: Vec<Waiter>,
+    pub recipients: Vec<Recipient>,
     /// The stage and its data.
     pub stage: S,
 }
@@ -187,7 +187,7 @@
             deadline: self.deadline,
             timer: self.timer,
             first: self.first,
-            waiters: self.waiters,
+            recipients: self.recipients,
             stage: Running {
                 admitted,
                 nonce,
@@ -212,10 +212,10 @@
 
 impl Stage {
     /// Returns the recipients of the job's answer.
-    pub fn waiters(&mut self) -> &mut Vec<Waiter> {
+    pub fn recipients(&mut self) -> &mut Vec<Recipient> {
         match self {
-            Self::Received(job) => &mut job.waiters,
-            Self::Running(job) => &mut job.waiters,
+            Self::Received(job) => &mut job.recipients,
+            Self::Running(job) => &mut job.recipients,
         }
     }
 }
--- a/src/core/status_check.rs
+++ b/src/core/status_check.rs
@@ -130,7 +130,8 @@
                 self.record_failure(pending.endpoint, attempt.job);
                 self.abandon_connection(attempt);
                 // Prevents a second run after a restart: a new incarnation of the endpoint doesn't know what the last
-                // one started. Only the incarnation that was known before the attempt was sent can deny the start.
+                // one started. Only the incarnation that was known before the attempt was sent can tell that it didn't
+                // start.
                 let same_incarnation =
                     pending.incarnation.is_some() && pending.incarnation == incarnation;
                 let conclusion = if same_incarnation {
@@ -159,16 +160,20 @@
         self.outputs.push(Output::Abandon(attempt));
     }
 
-    /// Stops an attempt whose result isn't needed. It occupies its place at the endpoint until it has ended.
+    /// Stops an attempt whose result isn't needed, and makes it an orphan.
+    ///
+    /// An orphan occupies its place at the endpoint until it has ended or [`MAX_CHECK_DELAY`] has passed.
     pub(super) fn stop_attempt(&mut self, pending: Pending) {
         self.timers.cancel(pending.check_timer);
         self.request_status(&pending, true);
         self.orphans.insert(pending.attempt, pending.endpoint);
-        self.timers
-            .set(self.now + MAX_CHECK_DELAY, Timer::Orphan(pending.attempt));
+        self.timers.set(
+            self.now + MAX_CHECK_DELAY,
+            Timer::DropOrphan(pending.attempt),
+        );
     }
 
-    /// Frees the place of a stopped attempt that has ended.
+    /// Frees the place of an orphan that has ended; does nothing for other attempts.
     pub(super) fn on_orphan_end(&mut self, attempt: Attempt) {
         if let Some(endpoint) = self.orphans.remove(&attempt) {
             self.placement.on_task_end(endpoint, None, None);
@@ -176,7 +181,7 @@
         }
     }
 
-    /// Abandons a stopped attempt and frees its place, once its endpoint reports the end or the time for it is up.
+    /// Abandons an orphan and frees its place; called when its endpoint reports the end, and by the timer.
     pub(super) fn drop_orphan(&mut self, attempt: Attempt) {
         if self.orphans.contains_key(&attempt) {
             self.abandon_connection(attempt);
--- a/src/core/submission.rs
+++ b/src/core/submission.rs
@@ -23,9 +23,9 @@
         Job,
         Permit,
         Received,
+        Recipient, //
         Stage,
         Wait,
-        Waiter, //
     },
     timer::Timer,
     Core,
@@ -43,7 +43,7 @@
 
 /// A submission from a caller or from a peer.
 pub(super) struct Arrival {
-    pub(super) waiter: Waiter,
+    pub(super) recipient: Recipient,
     pub(super) submission: Submission,
     pub(super) digest: Digest,
     pub(super) bytes: usize,
@@ -56,24 +56,24 @@
 impl Core {
     /// Handles a submission: joins it to the job of its key, answers it, admits it or forwards it.
     pub(super) fn submit(&mut self, arrival: Arrival) {
-        if let Some(detail) = find_fault(&arrival.submission) {
+        if let Some(detail) = find_invalid_field(&arrival.submission) {
             let answer = Answer::refusal(Reason::Invalid, detail);
-            return self.send_answer(arrival.waiter, &answer);
+            return self.send_answer(arrival.recipient, &answer);
         }
         let Some(key) = arrival.submission.key.clone() else {
             return self.submit_new(arrival, None, Origin::Range);
         };
         let team = &arrival.submission.team;
         match self.registry.find(team, &key, &arrival.digest) {
-            Lookup::Conflict => self.send_answer(arrival.waiter, &conflict(&key)),
+            Lookup::Conflict => self.send_answer(arrival.recipient, &conflict(&key)),
             Lookup::Entry(Entry::Kept(kept)) => {
                 let answer = kept.answer();
                 self.count_answer(&answer, arrival.submission.class.unwrap_or_default());
-                self.send_answer(arrival.waiter, &answer);
+                self.send_answer(arrival.recipient, &answer);
             }
-            Lookup::Entry(Entry::Open(job)) => self.join_job(job, arrival.waiter),
+            Lookup::Entry(Entry::Open(job)) => self.join_job(job, arrival.recipient),
             Lookup::Entry(Entry::Abandoned(nonce)) => {
-                self.submit_new(arrival, Some(nonce), Origin::Known);
+                self.submit_new(arrival, Some(nonce), Origin::Abandoned);
             }
             Lookup::Missing => match Range::of(&key) {
                 Some(range) if range.incarnation != self.identity.incarnation => {
@@ -86,16 +86,16 @@
     }
 
     /// Adds a recipient to the answer of a job that is in progress.
-    pub(super) fn join_job(&mut self, number: u64, waiter: Waiter) {
+    pub(super) fn join_job(&mut self, number: u64, recipient: Recipient) {
         if let Some(job) = self.jobs.get_mut(&number) {
-            job.waiters().push(waiter);
-            self.track_request(number, waiter);
+            job.recipients().push(recipient);
+            self.track_request(number, recipient);
         }
     }
 
     /// Stores which job a caller waits for, so that the caller can be removed when its connection is closed.
-    fn track_request(&mut self, number: u64, waiter: Waiter) {
-        if let Waiter::Request(request) = waiter {
+    fn track_request(&mut self, number: u64, recipient: Recipient) {
+        if let Recipient::Request(request) = recipient {
             self.requests.insert(request, number);
         }
     }
@@ -114,7 +114,7 @@
                 format!("key {key} is older than the retention window"),
             ),
         };
-        self.send_answer(arrival.waiter, &answer.with_key(key.clone()));
+        self.send_answer(arrival.recipient, &answer.with_key(key.clone()));
     }
 
     /// Forwards a key of another incarnation's range to its owner, which alone may admit it.
@@ -157,13 +157,13 @@
         let repeatable = arrival.submission.class.is_some_and(Class::is_repeatable);
         if origin != Origin::Table || arrival.first || repeatable {
             self.count_answer(&refusal, arrival.submission.class.unwrap_or_default());
-            return self.send_answer(arrival.waiter, &refusal);
+            return self.send_answer(arrival.recipient, &refusal);
         }
         let Some(key) = arrival.submission.key.clone() else {
-            return self.send_answer(arrival.waiter, &refusal);
+            return self.send_answer(arrival.recipient, &refusal);
         };
         if !self.may_try_store() {
-            return self.send_answer(arrival.waiter, &refusal_in_doubt(&refusal).with_key(key));
+            return self.send_answer(arrival.recipient, &refusal_in_doubt(&refusal).with_key(key));
         }
         let row_key = claim::claim_row_key(&arrival.submission.team, &key);
         let stage = Received {
@@ -295,7 +295,7 @@
             self.registry.insert(team, key, arrival.digest, number);
         }
         let timer = self.timers.set(deadline, Timer::Deadline(number));
-        self.track_request(number, arrival.waiter);
+        self.track_request(number, arrival.recipient);
         Job {
             number,
             submission: arrival.submission,
@@ -305,7 +305,7 @@
             deadline,
             timer,
             first: arrival.first,
-            waiters: vec![arrival.waiter],
+            recipients: vec![arrival.recipient],
             stage,
         }
     }
@@ -349,12 +349,12 @@
     Range,
     /// The caller chose the key, so it needs a claim in the table.
     Table,
-    /// The caller chose the key, and this incarnation knows that its job never ran.
-    Known,
+    /// An earlier job of the key ended at this instance without a start of a task.
+    Abandoned,
 }
 
 /// Returns a message for the first invalid field of a submission, if there is one.
-fn find_fault(submission: &Submission) -> Option<String> {
+fn find_invalid_field(submission: &Submission) -> Option<String> {
     if submission.tasks.is_empty() {
         return Some("tasks: a job has at least one task".to_owned());
     }
--- a/src/core/timer.rs
+++ b/src/core/timer.rs
@@ -5,7 +5,7 @@
 use super::queue::Item;
 use crate::prelude::*;
 
-/// What happens when a timer is due. A timer whose job has ended does nothing.
+/// What happens when a timer is due. A timer whose job or attempt has ended does nothing.
 #[derive(Debug, Clone)]
 pub(super) enum Timer {
     /// A job has reached its deadline.
@@ -16,8 +16,8 @@
     Retry(Item),
     /// A claim whose commit wasn't acknowledged is read back.
     ReadBackClaim(u64),
-    /// An attempt of a job that has ended is abandoned.
-    Orphan(Attempt),
+    /// A stopped attempt is abandoned if it hasn't ended.
+    DropOrphan(Attempt),
 }
 
 /// The timers that are set.
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -93,7 +93,7 @@
     check(property);
 }
 
-// Task results arrive in any order, some twice, some by a status lookup. A complete answer must have each task's
+// Task results arrive in any order, some twice, some by a status check. A complete answer must have each task's
 // own result at the task's index; any other answer has no results.
 #[test]
 fn an_answer_is_whole_or_has_no_results() {
