--- a/src/core/membership.rs
+++ b/src/core/membership.rs
@@ -168,8 +168,8 @@
         self.update_liveness(now, name);
     }
 
-    /// Handles a peer's observations of others. They don't override newer ones, nor this instance's own failed calls and
-    /// unanswered heartbeats.
+    /// Handles a peer's observations of others. They don't override newer ones, nor this instance's own failed calls
+    /// and unanswered heartbeats.
     pub fn on_observations(&mut self, now: Time, observations: &[Observation]) {
         for observation in observations {
             let Some(peer) = self.peers.get_mut(&observation.name) else {
--- a/tests/policy/placement.rs
+++ b/tests/policy/placement.rs
@@ -88,7 +88,7 @@
             let id = self
                 .placement
                 .find(&worker.name)
-                .expect("a listed worker has a id");
+                .expect("a listed worker has an id");
             let model = self.models.entry(id).or_insert_with(|| Model {
                 worker: worker.clone(),
                 listed: false,
