--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -26,9 +26,9 @@
         },
         message::Heartbeat,
         placement::{
+            EndpointId, //
             Placement,
             Requirement,
-            Slot, //
         },
         queue::Queue,
     },
@@ -167,11 +167,11 @@
         avoid: &[],
     };
     let place = |_| placement.place(&requirement).expect("room");
-    let mut placed: Vec<Slot> = (0..count * OUTSTANDING_PER_ENDPOINT).map(place).collect();
+    let mut placed: Vec<EndpointId> = (0..count * OUTSTANDING_PER_ENDPOINT).map(place).collect();
     let mut next = 0;
     bench.iter(|| {
-        let slot = placement.place(black_box(&requirement)).expect("room");
-        let old = std::mem::replace(&mut placed[next], slot);
+        let id = placement.place(black_box(&requirement)).expect("room");
+        let old = std::mem::replace(&mut placed[next], id);
         let load = Load {
             running: next as u32 % 8,
             queued: 0,
@@ -181,8 +181,8 @@
         placement.on_task_end(old, Some(duration), Some(load));
         next = (next + 1) % placed.len();
     });
-    for slot in placed {
-        placement.on_task_end(slot, None, None);
+    for id in placed {
+        placement.on_task_end(id, None, None);
     }
 }
 
@@ -240,8 +240,8 @@
     let mut group = criterion.benchmark_group("health");
     for count in ENDPOINTS {
         let mut health = Health::new(1);
-        for (slot, worker) in worker_list(count, 1).iter().enumerate() {
-            health.insert(Slot(slot as u32), worker);
+        for (id, worker) in worker_list(count, 1).iter().enumerate() {
+            health.insert(EndpointId(id as u32), worker);
         }
         let mut now = 0;
         group.bench_function(
@@ -249,9 +249,9 @@
             |bench| {
                 bench.iter(|| {
                     now += 1_000;
-                    let slot = Slot(now as u32 / 1_000 % count as u32);
-                    health.on_failure(Time(now), slot, now);
-                    health.on_success(Time(now), slot);
+                    let id = EndpointId(now as u32 / 1_000 % count as u32);
+                    health.on_failure(Time(now), id, now);
+                    health.on_success(Time(now), id);
                     black_box(health.tick(Time(now)))
                 });
             },
--- a/src/core.rs
+++ b/src/core.rs
@@ -61,7 +61,7 @@
     Timers, //
 };
 
-/// The time between two steps from which on a pause of the whole process is logged.
+/// The shortest time between two steps that is logged as a pause of the whole process.
 const PAUSE_THRESHOLD: Span = Span::millis(1_000);
 
 /// The identity of an instance.
@@ -74,7 +74,7 @@
     /// A random number drawn at each start; it tells one run of the instance from the next.
     pub incarnation: Incarnation,
     /// The data centres whose endpoints the instance uses; empty means all.
-    pub reach: Vec<Centre>,
+    pub endpoint_centres: Vec<Centre>,
 }
 
 /// Gauges of what the core holds, for metrics.
@@ -124,9 +124,10 @@
     requests: HashMap<message::Request, u64>,
     registry: claim::Registry,
     queues: BTreeMap<Service, queue::Queue<queue::Item>>,
-    orphans: HashMap<Attempt, placement::Slot>,
+    /// The stopped attempts that may still run, and the endpoints whose places they occupy.
+    orphans: HashMap<Attempt, placement::EndpointId>,
     /// The incarnation in the last reply of each endpoint.
-    endpoint_incarnations: HashMap<placement::Slot, Incarnation>,
+    endpoint_incarnations: HashMap<placement::EndpointId, Incarnation>,
     placement: placement::Placement,
     admission: admission::Admission,
     retries: retry::Budget,
@@ -135,8 +136,10 @@
     membership: membership::Membership,
     config: config::Config,
     store: store::Store,
+    /// The commands of claims that are in progress, by ticket.
     commands: HashMap<u64, store::Purpose>,
-    calls: HashMap<u64, peering::Pending>,
+    /// The submissions and heartbeats that are sent to peers, by the number of the call.
+    calls: HashMap<u64, peering::OutgoingCall>,
     peers_reported_at: Time,
     timers: Timers,
     outputs: Vec<Output>,
@@ -216,9 +219,9 @@
                 bytes,
                 first,
             } => {
-                let waiter = stage::Waiter::Request(request);
+                let recipient = stage::Recipient::Request(request);
                 let arrival = submission::Arrival {
-                    waiter,
+                    recipient,
                     submission,
                     digest,
                     bytes,
@@ -235,9 +238,9 @@
             Input::Completed(Ticket::Config(ticket), result) => {
                 self.step_config(config::Input::Completed(ticket, result));
             }
-            Input::Ended(attempt, end) => self.on_attempt_end(attempt, end),
-            Input::Looked(attempt, status) => self.on_status(attempt, status),
-            Input::Called(caller, call) => self.on_call(caller, call),
+            Input::AttemptEnded(attempt, end) => self.on_attempt_end(attempt, end),
+            Input::Status(attempt, status) => self.on_status(attempt, status),
+            Input::Called(incoming, call) => self.on_call(incoming, call),
             Input::Returned(id, result) => self.on_return(id, result),
             Input::Listed(list) => self.apply_list(&list),
             Input::Tick => self.on_tick(),
@@ -250,7 +253,8 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Returns when the next timer is due: by then `step` has to be called even without an input.
+    /// Returns when the next timer is due; [`Self::step`] has to be called by then, with [`Input::Wake`] if there is no
+    /// other input.
     pub fn next_due(&self) -> Option<Time> {
         self.timers.next_due()
     }
@@ -289,6 +293,7 @@
         self.outputs.push(Output::Event(Event::new(code, detail)));
     }
 
+    /// Returns the next number for a job, a command or a call.
     fn next_serial(&mut self) -> u64 {
         self.serial += 1;
         self.serial
@@ -299,14 +304,15 @@
         Span(span.0 / 2 + self.random.random_range(0..=span.0))
     }
 
+    /// Runs the timers that are due.
     fn run_timers(&mut self) {
         while let Some(timer) = self.timers.pop_due(self.now) {
             match timer {
                 Timer::Deadline(job) => self.on_deadline(job),
-                Timer::Look(attempt) => self.check_overdue_attempt(attempt),
+                Timer::StatusCheck(attempt) => self.check_overdue_attempt(attempt),
                 Timer::Retry(item) => self.enqueue(item),
-                Timer::Settle(job) => self.read_back_claim(job),
-                Timer::Orphan(attempt) => self.drop_orphan(attempt),
+                Timer::ReadBackClaim(job) => self.read_back_claim(job),
+                Timer::DropOrphan(attempt) => self.drop_orphan(attempt),
             }
         }
     }
@@ -316,7 +322,9 @@
         self.first_listed.get_or_insert(self.now);
         self.membership.apply_list(self.now, &list.instances);
         // Only instances that use the same endpoints share their connections.
-        let sharing = self.membership.live_count_in(&self.identity.reach);
+        let sharing = self
+            .membership
+            .live_count_in(&self.identity.endpoint_centres);
         let changes = self.placement.apply_list(&list.endpoints, sharing);
         for change in changes {
             self.apply_endpoint_change(change);
@@ -331,7 +339,7 @@
             self.step_config(config::Input::Workers(list.endpoints.clone()));
         }
         self.outputs
-            .push(Output::Share(self.membership.live_count()));
+            .push(Output::ShareWriteRate(self.membership.live_count()));
         self.dispatch();
     }
 
@@ -339,37 +347,37 @@
     fn apply_endpoint_change(&mut self, change: placement::Change) {
         use placement::Change;
         match change {
-            Change::Added(slot) | Change::Updated(slot) => {
-                if let Some(worker) = self.placement.endpoint(slot) {
-                    self.health.insert(slot, worker);
+            Change::Added(id) | Change::Updated(id) => {
+                if let Some(worker) = self.placement.endpoint(id) {
+                    self.health.insert(id, worker);
                 }
             }
-            Change::Leaving(slot) | Change::Absent(slot) => {
-                let name = self.placement.endpoint(slot).map(|w| w.name.to_string());
+            Change::Leaving(id) | Change::Absent(id) => {
+                let name = self.placement.endpoint(id).map(|w| w.name.to_string());
                 self.log_event(Code::EndpointLeaving, name.unwrap_or_default());
             }
-            Change::Dropped(slot) => {
-                self.health.remove(slot);
-                self.endpoint_incarnations.remove(&slot);
+            Change::Dropped(id) => {
+                self.health.remove(id);
+                self.endpoint_incarnations.remove(&id);
             }
         }
     }
 
     /// Runs the periodic work.
     fn on_tick(&mut self) {
-        let dropped = self.registry.evict(self.now);
-        self.log_forgotten(dropped);
+        let evicted = self.registry.evict(self.now);
+        self.log_evicted(evicted);
         self.tick_health();
         self.tick_membership();
         self.step_config(config::Input::Tick);
         self.dispatch();
     }
 
-    /// Logs keys that were dropped because the registry is full.
-    fn log_forgotten(&mut self, dropped: usize) {
+    /// Logs the number of evicted keys if the registry is full.
+    fn log_evicted(&mut self, evicted: usize) {
         // Keys expire by age all the time; only a full registry is logged.
-        if dropped > 0 && self.registry.is_full() {
-            self.log_event(Code::AnswersDropped, format!("{dropped} keys"));
+        if evicted > 0 && self.registry.is_full() {
+            self.log_event(Code::AnswersDropped, format!("{evicted} keys"));
         }
     }
 
@@ -423,19 +431,19 @@
                 config::Output::Report(request, report) => {
                     self.outputs.push(Output::Report(request, report));
                 }
-                config::Output::Command(ticket, operate) => {
+                config::Output::Command(ticket, command) => {
                     self.outputs
-                        .push(Output::Command(Ticket::Config(ticket), operate));
+                        .push(Output::Command(Ticket::Config(ticket), command));
                 }
                 config::Output::Call(to, id, call) => {
                     self.call(to, CallId::Config(id), message::Call::Config(call), None);
                 }
-                config::Output::Return(caller, result) => {
+                config::Output::Return(incoming, result) => {
                     let result = message::Return::Config(result);
-                    self.outputs.push(Output::Return(caller, result));
+                    self.outputs.push(Output::Return(incoming, result));
                 }
                 config::Output::Event(event) => self.outputs.push(Output::Event(event)),
-                // The configuration has logged it; jobs keep the route that they were accepted with.
+                // The configuration has logged it; jobs keep the route that they were admitted with.
                 config::Output::InForce(_) => {}
             }
         }
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -259,10 +259,10 @@
     },
     /// A command to the platform completed.
     Completed(Ticket, Completion),
-    /// A start at an endpoint ended.
-    Ended(Attempt, End),
-    /// An endpoint reported the status of an attempt after a look or a stop; none if it can't be reached.
-    Looked(Attempt, Option<Status>),
+    /// The request that started an attempt ended.
+    AttemptEnded(Attempt, End),
+    /// An endpoint reported the status of an attempt after a check or a stop; none if it can't be reached.
+    Status(Attempt, Option<Status>),
     /// A peer calls.
     Called(IncomingCall, Call),
     /// A call to a peer ended.
@@ -304,7 +304,7 @@
     /// Asks an endpoint for the status of an attempt over a new connection.
     ///
     /// With `stop`, the endpoint also stops the attempt, and never starts it if it hasn't yet.
-    Look {
+    CheckStatus {
         /// The endpoint.
         endpoint: Endpoint,
         /// The address on which it listens.
@@ -329,8 +329,8 @@
     },
     /// Returns a call.
     Return(IncomingCall, Return),
-    /// Sets the number of live instances that share the platform's write rate.
-    Share(usize),
+    /// Divides the platform's write rate among this number of live instances.
+    ShareWriteRate(usize),
     /// Records a sample for the metrics.
     Measure(Sample),
     /// Writes an event to the log.
--- a/src/core/status_check.rs
+++ b/src/core/status_check.rs
@@ -10,7 +10,7 @@
         Output,
         Sample, //
     },
-    placement::Slot,
+    placement::EndpointId,
     queue::Item,
     stage::{
         Pending, //
@@ -64,12 +64,14 @@
         {
             return false;
         }
-        let slots: Vec<_> = progress
+        let endpoints: Vec<_> = progress
             .pending
             .iter()
-            .map(|pending| pending.slot)
+            .map(|pending| pending.endpoint)
             .collect();
-        slots.into_iter().for_each(|slot| progress.avoid(slot));
+        endpoints
+            .into_iter()
+            .for_each(|endpoint| progress.avoid(endpoint));
         self.outputs.push(Output::Measure(Sample::Hedged));
         self.schedule_status_check(attempt, MAX_CHECK_DELAY);
         self.enqueue(Item {
@@ -81,8 +83,8 @@
 
     /// Asks the endpoint for the status of an attempt; `stop` also tells it to stop the task, or never to start it.
     pub(super) fn request_status(&mut self, pending: &Pending, stop: bool) {
-        if let Some(worker) = self.placement.endpoint(pending.slot) {
-            self.outputs.push(Output::Look {
+        if let Some(worker) = self.placement.endpoint(pending.endpoint) {
+            self.outputs.push(Output::CheckStatus {
                 endpoint: worker.name.clone(),
                 address: worker.address.clone(),
                 attempt: pending.attempt,
@@ -109,7 +111,7 @@
         };
         match status {
             None if pending.missed_checks >= MAX_MISSED_CHECKS => {
-                self.record_failure(pending.slot, attempt.job);
+                self.record_failure(pending.endpoint, attempt.job);
                 self.abandon_connection(attempt);
                 self.conclude(attempt, None, Conclusion::Lost);
             }
@@ -125,10 +127,11 @@
             // Prevents a second run: the start request may still arrive, so it is barred before another attempt.
             Some(Status::Unseen) => self.request_status(&pending, true),
             Some(Status::Barred { incarnation }) => {
-                self.record_failure(pending.slot, attempt.job);
+                self.record_failure(pending.endpoint, attempt.job);
                 self.abandon_connection(attempt);
                 // Prevents a second run after a restart: a new incarnation of the endpoint doesn't know what the last
-                // one started. Only the incarnation that was known before the attempt was sent can deny the start.
+                // one started. Only the incarnation that was known before the attempt was sent can tell that it didn't
+                // start.
                 let same_incarnation =
                     pending.incarnation.is_some() && pending.incarnation == incarnation;
                 let conclusion = if same_incarnation {
@@ -143,7 +146,9 @@
 
     /// Sets the timer of the next status check of an attempt, in place of the current one.
     pub(super) fn schedule_status_check(&mut self, attempt: Attempt, delay: Span) {
-        let timer = self.timers.set(self.now + delay, Timer::Look(attempt));
+        let timer = self
+            .timers
+            .set(self.now + delay, Timer::StatusCheck(attempt));
         let replaced = self.with_pending(attempt, |pending| {
             std::mem::replace(&mut pending.check_timer, timer)
         });
@@ -155,24 +160,28 @@
         self.outputs.push(Output::Abandon(attempt));
     }
 
-    /// Stops an attempt whose result isn't needed. It occupies its place at the endpoint until it has ended.
+    /// Stops an attempt whose result isn't needed, and makes it an orphan.
+    ///
+    /// An orphan occupies its place at the endpoint until it has ended or [`MAX_CHECK_DELAY`] has passed.
     pub(super) fn stop_attempt(&mut self, pending: Pending) {
         self.timers.cancel(pending.check_timer);
         self.request_status(&pending, true);
-        self.orphans.insert(pending.attempt, pending.slot);
-        self.timers
-            .set(self.now + MAX_CHECK_DELAY, Timer::Orphan(pending.attempt));
+        self.orphans.insert(pending.attempt, pending.endpoint);
+        self.timers.set(
+            self.now + MAX_CHECK_DELAY,
+            Timer::DropOrphan(pending.attempt),
+        );
     }
 
-    /// Frees the place of a stopped attempt that has ended.
+    /// Frees the place of an orphan that has ended; does nothing for other attempts.
     pub(super) fn on_orphan_end(&mut self, attempt: Attempt) {
-        if let Some(slot) = self.orphans.remove(&attempt) {
-            self.placement.on_task_end(slot, None, None);
+        if let Some(endpoint) = self.orphans.remove(&attempt) {
+            self.placement.on_task_end(endpoint, None, None);
             self.dispatch();
         }
     }
 
-    /// Abandons a stopped attempt and frees its place, once its endpoint reports the end or the time for it is up.
+    /// Abandons an orphan and frees its place; called when its endpoint reports the end, and by the timer.
     pub(super) fn drop_orphan(&mut self, attempt: Attempt) {
         if self.orphans.contains_key(&attempt) {
             self.abandon_connection(attempt);
@@ -181,19 +190,19 @@
     }
 
     /// Stores the incarnation that an endpoint last reported.
-    pub(super) fn record_incarnation(&mut self, slot: Slot, reply: &Reply) {
+    pub(super) fn record_incarnation(&mut self, endpoint: EndpointId, reply: &Reply) {
         let (Reply::Done { load, .. }
         | Reply::Failed { load, .. }
         | Reply::NotStarted { load, .. }) = reply;
         match load.incarnation {
-            Some(incarnation) => self.endpoint_incarnations.insert(slot, incarnation),
-            None => self.endpoint_incarnations.remove(&slot),
+            Some(incarnation) => self.endpoint_incarnations.insert(endpoint, incarnation),
+            None => self.endpoint_incarnations.remove(&endpoint),
         };
     }
 
     /// Reports a failure of an endpoint to the outlier ejection.
-    pub(super) fn record_failure(&mut self, slot: Slot, job: u64) {
-        let change = self.health.on_failure(self.now, slot, job);
+    pub(super) fn record_failure(&mut self, endpoint: EndpointId, job: u64) {
+        let change = self.health.on_failure(self.now, endpoint, job);
         self.apply_health_change(change);
     }
 
@@ -209,8 +218,8 @@
         let Some(change) = change else {
             return;
         };
-        let (slot, eligibility) = change.eligibility();
-        self.placement.set_eligibility(slot, eligibility);
+        let (endpoint, eligibility) = change.eligibility();
+        self.placement.set_eligibility(endpoint, eligibility);
         let code = match change {
             health::Change::Ejected(_) => Code::EndpointEjected,
             health::Change::Suspected(_) => Code::EndpointSuspected,
@@ -218,7 +227,7 @@
         };
         let name = self
             .placement
-            .endpoint(slot)
+            .endpoint(endpoint)
             .map(|worker| worker.name.to_string());
         self.log_event(
             code,
--- a/src/core/timer.rs
+++ b/src/core/timer.rs
@@ -5,19 +5,19 @@
 use super::queue::Item;
 use crate::prelude::*;
 
-/// What happens when a timer is due. A timer whose job has ended does nothing.
+/// What happens when a timer is due. A timer whose job or attempt has ended does nothing.
 #[derive(Debug, Clone)]
 pub(super) enum Timer {
     /// A job has reached its deadline.
     Deadline(u64),
     /// An endpoint is asked for the status of an attempt without a reply.
-    Look(Attempt),
+    StatusCheck(Attempt),
     /// A task is queued for another attempt.
     Retry(Item),
     /// A claim whose commit wasn't acknowledged is read back.
-    Settle(u64),
-    /// An attempt of a job that has ended is abandoned.
-    Orphan(Attempt),
+    ReadBackClaim(u64),
+    /// A stopped attempt is abandoned if it hasn't ended.
+    DropOrphan(Attempt),
 }
 
 /// The timers that are set.
--- a/src/table.rs
+++ b/src/table.rs
@@ -162,7 +162,7 @@
 
     async fn handle(&mut self, CoreOutput(output): CoreOutput, ctx: &mut Context<Self>) {
         match output {
-            Output::Share(instances) => self.bucket.set_share(instances),
+            Output::ShareWriteRate(instances) => self.bucket.set_share(instances),
             Output::Command(ticket, Command::Commit(group)) => {
                 if self.count_waiting() >= MAX_WAITING_GROUPS {
                     self.client.spawn_complete(ticket, Completion::Refused);
--- a/src/time.rs
+++ b/src/time.rs
@@ -58,12 +58,12 @@
         self.0.div_ceil(1_000)
     }
 
-    /// Returns the span as the standard library's type.
+    /// Returns the span as a [`std::time::Duration`].
     pub const fn duration(self) -> std::time::Duration {
         std::time::Duration::from_micros(self.0)
     }
 
-    /// Returns the span multiplied by a factor, saturating.
+    /// Returns the span multiplied by a factor, at most the longest span.
     pub const fn times(self, factor: u64) -> Self {
         Self(self.0.saturating_mul(factor))
     }
@@ -104,7 +104,7 @@
 }
 
 impl FromStr for Span {
-    type Err = crate::id::Fault;
+    type Err = crate::id::ParseError;
 
     /// Parses whole milliseconds, with or without the unit `ms`, or whole seconds with the unit `s`.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
@@ -119,7 +119,7 @@
         let count: u64 = digits
             .trim()
             .parse()
-            .map_err(|_| crate::id::Fault::Number)?;
+            .map_err(|_| crate::id::ParseError::Number)?;
         Ok(Self::millis(count.saturating_mul(unit)))
     }
 }
