--- a/examples/failures.rs
+++ b/examples/failures.rs
@@ -4,12 +4,12 @@
 //! Instances are separate processes: this program starts itself again with the arguments of `poplarknot dispatch`.
 #![allow(dead_code)] // The modules shared with the tests have more than this example uses.
 
+#[path = "../tests/platform/endpoint.rs"]
+mod endpoint;
 #[path = "../tests/platform/fleet.rs"]
 mod fleet;
 #[path = "../tests/trace/incidents.rs"]
 mod incidents;
-#[path = "../tests/platform/runner.rs"]
-mod runner;
 #[path = "../tests/platform/store.rs"]
 mod store;
 #[path = "../tests/support.rs"]
--- a/examples/measure/control.rs
+++ b/examples/measure/control.rs
@@ -49,7 +49,7 @@
     async fn read(fleet: &Fleet) -> Result<Self> {
         let (mut cpu_us, mut memory_bytes) = (0.0, 0.0);
         for instance in &fleet.instances {
-            let usage = Usage::read(instance.id().ok_or("an instance has ended")?)?;
+            let usage = Usage::read(instance.process_id().ok_or("an instance has ended")?)?;
             cpu_us += usage.total_cpu_us();
             memory_bytes += usage.memory_bytes;
         }
--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -293,7 +293,7 @@
         });
         let instance = self.builder.instance_builder(i, platform).start().await?;
         if let Some(network) = &mut self.network {
-            network.add_instance_links(centre, instance.peers)?;
+            network.add_instance_links(centre, instance.peer_address)?;
         }
         self.instances.push(instance);
         Ok(())
@@ -301,7 +301,7 @@
 
     /// Publishes the list of all instances and endpoints on the platform.
     pub(crate) async fn publish_list(&mut self) -> Result {
-        let members = self.instances.iter().map(|i| i.member(i.peers));
+        let members = self.instances.iter().map(|i| i.member(i.peer_address));
         let members: Vec<Member> = members.collect::<Result<_>>()?;
         let list = List {
             instances: members,
@@ -379,7 +379,7 @@
 
     /// Returns the addresses for callers, one of each instance.
     pub(crate) fn caller_addresses(&self) -> Vec<SocketAddr> {
-        self.instances.iter().map(|i| i.callers).collect()
+        self.instances.iter().map(|i| i.caller_address).collect()
     }
 
     /// Stops all processes: the instances drain, the stand-ins see the end of their standard input.
@@ -388,7 +388,7 @@
             instance.stop()?;
         }
         for instance in &mut self.instances {
-            instance.wait_exit().await?;
+            instance.wait_for_exit().await?;
         }
         Ok(())
     }
--- a/examples/measure/load.rs
+++ b/examples/measure/load.rs
@@ -191,7 +191,7 @@
 
 /// Returns a job without a key, whose tasks sleep for the given numbers of milliseconds.
 pub(crate) fn sleep_job(sleeps_ms: impl IntoIterator<Item = u64>) -> Value {
-    let mut job = cluster::job("m", sleeps_ms);
+    let mut job = cluster::new_job("m", sleeps_ms);
     if let Some(fields) = job.as_object_mut() {
         fields.remove("key");
     }
--- a/examples/measure/outage.rs
+++ b/examples/measure/outage.rs
@@ -276,7 +276,7 @@
     let jobs = (0..2 * AFFECTED_JOBS)
         .map(|_| (key_source, sleep_job([LONG_TASK_MS])))
         .collect();
-    let pending = submit_concurrently(&callers, fleet.instances[0].callers, jobs);
+    let pending = submit_concurrently(&callers, fleet.instances[0].caller_address, jobs);
     tokio::time::sleep(FAILURE_DELAY).await;
     let failed = Instant::now();
     if silent {
@@ -284,7 +284,7 @@
             .proxies
             .iter()
             .take(AFFECTED_JOBS)
-            .for_each(|p| p.blackhole_open());
+            .for_each(|p| p.blackhole_open_connections());
     } else {
         fleet
             .send_to_workers(|i| i < AFFECTED_JOBS, Request::Kill)
@@ -298,7 +298,10 @@
 /// Kills or freezes the instance that owns the jobs, and resubmits them to another one.
 async fn fail_owner(key_source: KeySource, frozen: bool) -> Result<(Distribution, String)> {
     let mut fleet = fleet_builder(3, 16).start().await?;
-    let (owner, other) = (fleet.instances[0].callers, fleet.instances[1].callers);
+    let (owner, other) = (
+        fleet.instances[0].caller_address,
+        fleet.instances[1].caller_address,
+    );
     let callers = Arc::new(Callers::default());
     let mut jobs = Vec::new();
     for _ in 0..AFFECTED_JOBS {
--- a/examples/measure/response.rs
+++ b/examples/measure/response.rs
@@ -34,7 +34,7 @@
     let fleet = Builder::default().start().await?;
     let callers = Callers::default();
     let direct = DirectClient::new(&fleet.entries)?;
-    let to = fleet.instances[0].callers;
+    let to = fleet.instances[0].caller_address;
     let mut table = Table::new(&[
         "tasks",
         "way",
--- a/examples/measure/role.rs
+++ b/examples/measure/role.rs
@@ -96,8 +96,8 @@
         match serde_json::from_str(&line)? {
             Request::List(list) => platform.update_list(|l| *l = list),
             Request::Views(changed) => *lists.lock().unwrap() = changed,
-            Request::Down(true) => platform.take_down().await,
-            Request::Down(false) => platform.bring_up()?,
+            Request::Down(true) => platform.close().await,
+            Request::Down(false) => platform.reopen()?,
             _ => {}
         }
         print_json(&platform.counters())?;
--- a/examples/measure/throughput.rs
+++ b/examples/measure/throughput.rs
@@ -76,11 +76,13 @@
         due: Duration::from_secs_f64(i as f64 * gap),
         job: sleep_job(vec![TASK_MS; tasks]),
         ideal: TASK_MS as f64,
-        to: fleet.instances[0].callers,
+        to: fleet.instances[0].caller_address,
         key_source,
     };
     let arrivals = (0..(seconds / gap) as usize).map(arrival).collect();
-    let process = fleet.instances[0].id().ok_or("the instance has ended")?;
+    let process = fleet.instances[0]
+        .process_id()
+        .ok_or("the instance has ended")?;
     let before = Usage::read(process)?;
     let tally = submit_on_schedule(&callers, arrivals).await;
     Ok((tally, Usage::read(process)?.since(&before)))
@@ -184,7 +186,9 @@
         .flat_map(|load| key_sources.map(|key_source| (load, key_source)));
     for ((tasks, jobs_per_s), key_source) in kinds {
         let fleet = start_fleet().await?;
-        let process = fleet.instances[0].id().ok_or("the instance has ended")?;
+        let process = fleet.instances[0]
+            .process_id()
+            .ok_or("the instance has ended")?;
         let at_rest = Usage::read(process)?.memory_bytes;
         let rate = jobs_per_s * *tasks as f64;
         let (tally, _) =
--- a/examples/platform.rs
+++ b/examples/platform.rs
@@ -3,10 +3,10 @@
 //! Instances are separate processes: this program starts itself again with the arguments of `poplarknot dispatch`.
 #![allow(dead_code)] // The modules shared with the tests have more than this example uses.
 
+#[path = "../tests/platform/endpoint.rs"]
+mod endpoint;
 #[path = "../tests/platform/fleet.rs"]
 mod fleet;
-#[path = "../tests/platform/runner.rs"]
-mod runner;
 #[path = "../tests/platform/store.rs"]
 mod store;
 #[path = "../tests/support.rs"]
@@ -62,14 +62,14 @@
     println!("{INSTANCES} instances and {ENDPOINTS} endpoints are up; the store knows:");
     println!("  {}", fleet.store.keys("instances").join(", "));
     submit_jobs(&fleet, 0, "while all is well").await?;
-    fleet.nodes[0].signal(Signal::SIGKILL)?;
-    println!("{} is killed", fleet.nodes[0].name);
+    fleet.instances[0].signal(Signal::SIGKILL)?;
+    println!("{} is killed", fleet.instances[0].name);
     tokio::time::sleep(Duration::from_secs(1)).await;
     submit_jobs(&fleet, 1, "by the two that are left").await?;
-    let restarted = fleet.nodes[0].restart(&program).await?;
+    let restarted = fleet.instances[0].restart(&program).await?;
     restarted.wait_until_ready().await?;
     println!("{} is back", restarted.name);
-    fleet.nodes[0] = restarted;
+    fleet.instances[0] = restarted;
     submit_jobs(&fleet, 0, "by all three").await?;
     println!(
         "{} runs; no task ran twice at a time",
@@ -84,11 +84,11 @@
 async fn submit_jobs(fleet: &Fleet, first: usize, when: &str) -> Result {
     let mut slowest = Duration::ZERO;
     for n in 0..JOBS {
-        let nodes = &fleet.nodes[first..];
-        let node = &nodes[n as usize % nodes.len()];
+        let instances = &fleet.instances[first..];
+        let instance = &instances[n as usize % instances.len()];
         let begin = Instant::now();
         let id = rand::random();
-        let answer = node
+        let answer = instance
             .submit(id, TASKS_PER_JOB, TASK_DURATION.as_millis() as u64)
             .await?;
         if answer.status != 200 {
--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -169,7 +169,7 @@
 
     /// Publishes the list of all instances and workers on the platform.
     async fn publish_list(&self, platform: SocketAddr) -> Result {
-        let members = self.instances.iter().map(|i| i.member(i.peers));
+        let members = self.instances.iter().map(|i| i.member(i.peer_address));
         let list = List {
             instances: members.collect::<Result<_>>()?,
             endpoints: self.workers.clone(),
@@ -196,7 +196,7 @@
     async fn stop(mut self) -> Result {
         for instance in &mut self.instances {
             instance.stop()?;
-            instance.wait_exit().await?;
+            instance.wait_for_exit().await?;
         }
         for child in &mut self.children {
             drop(child.stdin.take());
@@ -226,12 +226,12 @@
             "  {} in {}, callers at {}",
             builder.name(),
             builder.centre(),
-            instance.callers
+            instance.caller_address
         );
     }
 
     let sleeps_ms = TASK_MS.iter().copied().cycle().take(TASKS);
-    let job = cluster::job("quickstart", sleeps_ms.clone());
+    let job = cluster::new_job("quickstart", sleeps_ms.clone());
     let ideal = Duration::from_millis(sleeps_ms.max().unwrap_or(0));
     println!("\nA burst of {TASKS} tasks goes to entry-0, under the key `quickstart`:");
     let (first, took) = submit(&processes.instances[0], &job).await?;
@@ -264,7 +264,7 @@
 
 /// Submits a job, and returns the response and the response time without that of connecting.
 async fn submit(instance: &Instance, job: &serde_json::Value) -> Result<(Response, Duration)> {
-    let mut client = Client::connect(instance.callers).await?;
+    let mut client = Client::connect(instance.caller_address).await?;
     let begin = Instant::now();
     let answer = client.post("/v1/jobs", &[], job).await?;
     Ok((answer, begin.elapsed()))
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -1,11 +1,11 @@
 //! When nobody reads an instance's log, lines are lost, and never requests.
 
+#[path = "platform/endpoint.rs"]
+#[allow(dead_code)]
+mod endpoint;
 #[path = "platform/fleet.rs"]
 #[allow(dead_code)] // The platform's own tests use the rest.
 mod fleet;
-#[path = "platform/runner.rs"]
-#[allow(dead_code)]
-mod runner;
 #[path = "platform/store.rs"]
 #[allow(dead_code)]
 mod store;
@@ -109,7 +109,7 @@
     let begun = Instant::now();
     let mut jobs = 0;
     while begun.elapsed() < span {
-        let answer = fleet.nodes[0].submit(0xf00 + jobs, 1, 20);
+        let answer = fleet.instances[0].submit(0xf00 + jobs, 1, 20);
         let answer = timeout(WAIT_TIMEOUT, answer).await??;
         assert_eq!(answer.status, 200, "job {jobs}");
         jobs += 1;
@@ -120,7 +120,7 @@
 
 /// Returns how many lines of an event were written or left out.
 async fn count_log_lines(fleet: &Fleet, event: &str) -> Result<u64> {
-    let metrics = fleet.nodes[0].metrics().await?;
+    let metrics = fleet.instances[0].metrics().await?;
     let name = format!("poplarknot_events_total{{kind=\"{event}\"}} ");
     let count = metrics.lines().find_map(|line| line.strip_prefix(&name));
     Ok(count.ok_or("no such counter")?.parse()?)
@@ -158,8 +158,8 @@
 
     // A pipe that is full again doesn't delay the drain.
     fill_pipe(&mut pipe)?;
-    fleet.nodes[0].signal(Signal::SIGTERM)?;
-    assert!(fleet.nodes[0].wait_for_exit().await?.success());
+    fleet.instances[0].signal(Signal::SIGTERM)?;
+    assert!(fleet.instances[0].wait_for_exit().await?.success());
     Ok(())
 }
 
@@ -177,7 +177,7 @@
         (answered == jobs).then_some(())
     })
     .await?;
-    fleet.nodes[0].signal(Signal::SIGTERM)?;
-    assert!(fleet.nodes[0].wait_for_exit().await?.success());
+    fleet.instances[0].signal(Signal::SIGTERM)?;
+    assert!(fleet.instances[0].wait_for_exit().await?.success());
     Ok(())
 }
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -1,9 +1,9 @@
 //! Real instances with stand-ins of the platform: a store with rows and feeds, and endpoints that run leased tasks.
 
+#[path = "platform/endpoint.rs"]
+mod endpoint;
 #[path = "platform/fleet.rs"]
 mod fleet;
-#[path = "platform/runner.rs"]
-mod runner;
 #[path = "platform/store.rs"]
 mod store;
 mod support;
@@ -14,20 +14,20 @@
     time::Duration, //
 };
 
+use endpoint::{
+    Crash,
+    CRASH, //
+};
 use fleet::{
     configure,
     configure_with_idle_timeout,
     Fleet,
-    Node,
+    Instance,
     HOST,
     PREFIX, //
 };
 use hyper::Method;
 use nix::sys::signal::Signal;
-use runner::{
-    Crash,
-    CRASH, //
-};
 use serde_json::json;
 use store::Behaviour;
 use support::{
@@ -67,8 +67,8 @@
 async fn jobs_complete() -> Result {
     let fleet = Fleet::start(program(), 3, 4, SHORT).await?;
     for id in 0..12 {
-        let node = &fleet.nodes[id % 3];
-        let answer = node.submit(id as u64, 3, 60).await?;
+        let instance = &fleet.instances[id % 3];
+        let answer = instance.submit(id as u64, 3, 60).await?;
         assert_eq!(
             (answer.status, job_state(&answer).as_str()),
             (200, "completed")
@@ -83,26 +83,27 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_requests_are_told() -> Result {
     let fleet = Fleet::start(program(), 1, 1, SHORT).await?;
-    let node = &fleet.nodes[0];
+    let instance = &fleet.instances[0];
     let id = format!("{PREFIX}{:016x}", 1);
     let no_steps = json!({"spec": "x", "best_effort": true, "steps": []});
-    let answer = node.post(&id, &no_steps).await?;
+    let answer = instance.post(&id, &no_steps).await?;
     assert_eq!(answer.status, 400);
     assert!(String::from_utf8_lossy(&answer.body).contains("steps"));
     let text = json!({"spec": 7, "steps": [{"count": 1}]});
-    let answer = node.post(&id, &text).await?;
+    let answer = instance.post(&id, &text).await?;
     assert!(String::from_utf8_lossy(&answer.body).contains("spec"));
     assert_eq!(
-        node.post("/other/0000000000000001", &no_steps)
+        instance
+            .post("/other/0000000000000001", &no_steps)
             .await?
             .status,
         404
     );
-    assert_eq!(node.post("/q/17", &no_steps).await?.status, 404);
+    assert_eq!(instance.post("/q/17", &no_steps).await?.status, 404);
     let long = json!({"spec": "x".repeat(5_000), "steps": [{"count": 1}]});
-    assert_eq!(node.post(&id, &long).await?.status, 413);
+    assert_eq!(instance.post(&id, &long).await?.status, 413);
     let gang = json!({"spec": "x", "steps": [{"count": 2, "cpu": 1000, "gang": true}]});
-    let answer = node.post(&id, &gang).await?;
+    let answer = instance.post(&id, &gang).await?;
     assert_eq!(answer.status, 503);
     assert!(answer.header("retry-after").is_some());
     assert_eq!(fleet.assert_no_overlapping_runs(), 0);
@@ -116,15 +117,15 @@
     let fleet = Fleet::start(program(), 2, 2, SHORT).await?;
     fleet.store.compact();
     configure(&fleet.store, 9, 3_000);
-    for node in &fleet.nodes {
+    for instance in &fleet.instances {
         wait_until("the configuration is in force", || async {
-            node.log().contains("\"version\":9").then_some(())
+            instance.log().contains("\"version\":9").then_some(())
         })
         .await?;
     }
     for behaviour in [Behaviour::Refuse, Behaviour::Ignore] {
         fleet.store.set_behaviour(behaviour);
-        let answer = fleet.nodes[1].submit(behaviour as u64, 2, 60).await?;
+        let answer = fleet.instances[1].submit(behaviour as u64, 2, 60).await?;
         assert_eq!(job_state(&answer), "completed");
     }
     Ok(())
@@ -140,23 +141,23 @@
     const STALL: Duration = Duration::from_millis(400);
     let fleet = Fleet::start(program(), 2, 4, SHORT).await?;
     for id in 0..4 {
-        let answer = fleet.nodes[0].submit(id, 8, 60).await?;
+        let answer = fleet.instances[0].submit(id, 8, 60).await?;
         assert_eq!(job_state(&answer), "completed");
     }
     for stall in 0..STALLS {
-        fleet.nodes[1].signal(Signal::SIGSTOP)?;
+        fleet.instances[1].signal(Signal::SIGSTOP)?;
         // Some of its tasks go to racks of the peer that is stopped.
-        let job = fleet.nodes[0].submit(100 + stall, 24, 60);
+        let job = fleet.instances[0].submit(100 + stall, 24, 60);
         let ((), answer) = tokio::join!(tokio::time::sleep(STALL), async {
             tokio::time::timeout(STALL, job).await
         });
         drop(answer);
-        fleet.nodes[1].signal(Signal::SIGCONT)?;
+        fleet.instances[1].signal(Signal::SIGCONT)?;
         tokio::time::sleep(Duration::from_millis(600)).await;
     }
-    for node in &fleet.nodes {
-        let open = node.count_peer_connections()?;
-        assert!(open <= 2, "{} has {open} with its only peer", node.name);
+    for instance in &fleet.instances {
+        let open = instance.count_peer_connections()?;
+        assert!(open <= 2, "{} has {open} with its only peer", instance.name);
     }
     Ok(())
 }
@@ -186,18 +187,23 @@
         .set(table, "i-94", &row("cells", "ready", "somewhere"));
     fleet.store.set(table, "i-95", &json!(["cells"]));
     fleet.store.set_raw(table, "i-0", json!("?"));
-    let new_node = Node::start(program(), "instance-9", "ulemiste", &fleet.store.address()).await?;
-    new_node.wait_until_ready().await?;
+    let new_instance =
+        Instance::start(program(), "instance-9", "ulemiste", &fleet.store.address()).await?;
+    new_instance.wait_until_ready().await?;
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let before = fleet.runners[0].history().len();
+    let before = fleet.endpoints[0].history().len();
     for id in 0..8 {
-        let node = [&fleet.nodes[0], &new_node][id % 2];
-        let answer = node.submit(id as u64, 8, 60).await?;
-        assert_eq!(job_state(&answer), "completed", "{}", new_node.log());
+        let instance = [&fleet.instances[0], &new_instance][id % 2];
+        let answer = instance.submit(id as u64, 8, 60).await?;
+        assert_eq!(job_state(&answer), "completed", "{}", new_instance.log());
     }
     assert_eq!(fleet.assert_no_overlapping_runs(), 64);
-    assert_eq!(fleet.runners[0].history().len(), before);
-    assert!(!new_node.log().contains("cellars"), "{}", new_node.log());
+    assert_eq!(fleet.endpoints[0].history().len(), before);
+    assert!(
+        !new_instance.log().contains("cellars"),
+        "{}",
+        new_instance.log()
+    );
     Ok(())
 }
 
@@ -211,23 +217,23 @@
     /// Shorter than the pause after which an instance treats all its leases as expired.
     const STALL: Duration = Duration::from_millis(300);
     let fleet = Fleet::start(program(), 1, 1, SHORT).await?;
-    let node = &fleet.nodes[0];
+    let instance = &fleet.instances[0];
     configure_with_idle_timeout(&fleet.store, 9, 4_000, IDLE.as_millis() as u64);
     wait_until("the configuration is in force", || async {
-        node.log().contains("\"version\":9").then_some(())
+        instance.log().contains("\"version\":9").then_some(())
     })
     .await?;
     let headers = [("host", HOST)];
     let mut clients = Vec::new();
     for _ in 0..CONNECTIONS {
-        clients.push(Client::connect(node.caller_address()).await?);
+        clients.push(Client::connect(instance.caller_address()).await?);
     }
     for client in &mut clients {
         let answer = client.send(Method::GET, PREFIX, &headers, Vec::new());
         assert_eq!(answer.await?.status, 200);
     }
     tokio::time::sleep(IDLE - STALL / 2).await;
-    node.signal(Signal::SIGSTOP)?;
+    instance.signal(Signal::SIGSTOP)?;
     let requests: Vec<_> = clients
         .into_iter()
         .map(|mut client| {
@@ -245,12 +251,17 @@
         })
         .collect();
     tokio::time::sleep(STALL).await;
-    node.signal(Signal::SIGCONT)?;
+    instance.signal(Signal::SIGCONT)?;
     let mut unanswered = 0;
     for answer in requests {
         unanswered += usize::from(!answer.await?);
     }
-    assert_eq!(unanswered, 0, "of {CONNECTIONS} requests; {}", node.log());
+    assert_eq!(
+        unanswered,
+        0,
+        "of {CONNECTIONS} requests; {}",
+        instance.log()
+    );
     Ok(())
 }
 
@@ -259,13 +270,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn half_a_request_keeps_no_connection() -> Result {
     let fleet = Fleet::start(program(), 1, 1, SHORT).await?;
-    let node = &fleet.nodes[0];
+    let instance = &fleet.instances[0];
     configure_with_idle_timeout(&fleet.store, 9, 4_000, 400);
     wait_until("the configuration is in force", || async {
-        node.log().contains("\"version\":9").then_some(())
+        instance.log().contains("\"version\":9").then_some(())
     })
     .await?;
-    let mut stream = TcpStream::connect(node.caller_address()).await?;
+    let mut stream = TcpStream::connect(instance.caller_address()).await?;
     stream.write_all(b"GET /q/ HTT").await?;
     let mut rest = Vec::new();
     tokio::time::timeout(WAIT_TIMEOUT, stream.read_to_end(&mut rest)).await??;
@@ -277,11 +288,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_instance_is_outlived() -> Result {
     let fleet = Fleet::start(program(), 3, 4, LONG).await?;
-    let (first, second) = tokio::join!(fleet.nodes[0].submit(5, 4, 900), async {
+    let (first, second) = tokio::join!(fleet.instances[0].submit(5, 4, 900), async {
         tokio::time::sleep(Duration::from_millis(300)).await;
-        fleet.nodes[0].signal(Signal::SIGKILL)?;
+        fleet.instances[0].signal(Signal::SIGKILL)?;
         tokio::time::sleep(Duration::from_millis(1_300)).await;
-        fleet.nodes[1].submit(5, 4, 900).await
+        fleet.instances[1].submit(5, 4, 900).await
     });
     assert!(first.is_err());
     assert_eq!(job_state(&second?), "completed", "{}", fleet.logs());
@@ -294,21 +305,21 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn drain_cuts_nothing_off() -> Result {
     let mut fleet = Fleet::start(program(), 3, 4, LONG).await?;
-    let nodes = &fleet.nodes;
+    let instances = &fleet.instances;
     let (one, two, three) = tokio::join!(
-        nodes[0].submit(1, 3, 900),
-        nodes[1].submit(2, 3, 900),
+        instances[0].submit(1, 3, 900),
+        instances[1].submit(2, 3, 900),
         async {
             tokio::time::sleep(Duration::from_millis(300)).await;
-            nodes[0].signal(Signal::SIGTERM)?;
+            instances[0].signal(Signal::SIGTERM)?;
             tokio::time::sleep(Duration::from_millis(200)).await;
-            nodes[2].submit(3, 3, 900).await
+            instances[2].submit(3, 3, 900).await
         }
     );
     for answer in [one?, two?, three?] {
         assert_eq!(job_state(&answer), "completed");
     }
-    assert!(fleet.nodes[0].wait_for_exit().await?.success());
+    assert!(fleet.instances[0].wait_for_exit().await?.success());
     assert_eq!(fleet.assert_no_overlapping_runs(), 9, "{}", fleet.logs());
     Ok(())
 }
@@ -318,17 +329,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn paused_instance_recovers() -> Result {
     let fleet = Fleet::start(program(), 3, 4, SHORT).await?;
-    fleet.nodes[1].signal(Signal::SIGSTOP)?;
+    fleet.instances[1].signal(Signal::SIGSTOP)?;
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    let answer = fleet.nodes[0].submit(1, 6, 60).await?;
+    let answer = fleet.instances[0].submit(1, 6, 60).await?;
     assert_eq!(job_state(&answer), "completed", "{}", fleet.logs());
-    fleet.nodes[1].signal(Signal::SIGCONT)?;
+    fleet.instances[1].signal(Signal::SIGCONT)?;
     wait_until("the paused instance serves again", || async {
-        let answer = fleet.nodes[1].submit(2, 6, 60).await.ok()?;
+        let answer = fleet.instances[1].submit(2, 6, 60).await.ok()?;
         (job_state(&answer) == "completed").then_some(())
     })
     .await?;
-    assert!(fleet.nodes[1].log().contains("\"event\":\"awoke\""));
+    assert!(fleet.instances[1].log().contains("\"event\":\"awoke\""));
     fleet.assert_no_overlapping_runs();
     Ok(())
 }
@@ -338,9 +349,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_answers_are_asked_again() -> Result {
     let fleet = Fleet::start(program(), 1, 1, SHORT).await?;
-    fleet.runners[0].drop_responses(2);
-    let answer = fleet.nodes[0].submit(1, 3, 60).await?;
-    assert_eq!(job_state(&answer), "completed", "{}", fleet.nodes[0].log());
+    fleet.endpoints[0].drop_responses(2);
+    let answer = fleet.instances[0].submit(1, 3, 60).await?;
+    assert_eq!(
+        job_state(&answer),
+        "completed",
+        "{}",
+        fleet.instances[0].log()
+    );
     assert_eq!(fleet.assert_no_overlapping_runs(), 3);
     Ok(())
 }
@@ -349,19 +365,19 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_endpoint_gets_nothing_new() -> Result {
     let fleet = Fleet::start(program(), 2, 4, SHORT).await?;
-    fleet.runners[0].start_draining(&fleet.store);
+    fleet.endpoints[0].start_draining(&fleet.store);
     wait_until("an owner has noticed", || async {
         fleet.logs().contains("endpoint_leaving").then_some(())
     })
     .await?;
-    let before = fleet.runners[0].history().len();
+    let before = fleet.endpoints[0].history().len();
     for id in 0..8 {
         assert_eq!(
-            job_state(&fleet.nodes[id % 2].submit(id as u64, 3, 60).await?),
+            job_state(&fleet.instances[id % 2].submit(id as u64, 3, 60).await?),
             "completed"
         );
     }
-    assert_eq!(fleet.runners[0].history().len(), before);
+    assert_eq!(fleet.endpoints[0].history().len(), before);
     fleet.store.remove("servers", "i-0");
     assert!(!fleet.store.keys("instances").is_empty());
     Ok(())
@@ -372,10 +388,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn evacuated_centre_gets_nothing_new() -> Result {
     let mut fleet = Fleet::start(program(), 2, 4, LONG).await?;
-    let first = fleet.nodes[0].submit(90, 12, 900);
+    let first = fleet.instances[0].submit(90, 12, 900);
     let runs_in_centre = |fleet: &Fleet| -> usize {
         [0, 2]
-            .map(|i| fleet.runners[i].history().len())
+            .map(|i| fleet.endpoints[i].history().len())
             .iter()
             .sum()
     };
@@ -386,8 +402,8 @@
         .await?;
         fleet.store.set("op", "evacuate/ulemiste", &json!({}));
         wait_until("all instances have noticed", || async {
-            let noticed = |node: &Node| node.log().contains("centre_evacuated");
-            fleet.nodes.iter().all(noticed).then_some(())
+            let noticed = |instance: &Instance| instance.log().contains("centre_evacuated");
+            fleet.instances.iter().all(noticed).then_some(())
         })
         .await
     };
@@ -396,33 +412,33 @@
     assert_eq!(job_state(&answer?), "completed", "{}", fleet.logs());
     let before = runs_in_centre(&fleet);
     assert_eq!(
-        job_state(&fleet.nodes[1].submit(91, 6, 900).await?),
+        job_state(&fleet.instances[1].submit(91, 6, 900).await?),
         "completed"
     );
-    fleet.nodes[0].signal(Signal::SIGKILL)?;
-    fleet.nodes[0].wait_for_exit().await?;
-    fleet.nodes[0] = fleet.nodes[0].restart(program()).await?;
-    fleet.nodes[0].wait_until_ready().await?;
+    fleet.instances[0].signal(Signal::SIGKILL)?;
+    fleet.instances[0].wait_for_exit().await?;
+    fleet.instances[0] = fleet.instances[0].restart(program()).await?;
+    fleet.instances[0].wait_until_ready().await?;
     fleet.store.compact();
     for id in 92..96 {
         assert_eq!(
-            job_state(&fleet.nodes[id % 2].submit(id as u64, 2, 900).await?),
+            job_state(&fleet.instances[id % 2].submit(id as u64, 2, 900).await?),
             "completed"
         );
     }
     assert_eq!(runs_in_centre(&fleet), before, "{}", fleet.logs());
     fleet.store.remove("op", "evacuate/ulemiste");
     wait_until("all instances have noticed", || async {
-        let noticed = |node: &Node| node.log().contains("centre_returned");
-        fleet.nodes.iter().all(noticed).then_some(())
+        let noticed = |instance: &Instance| instance.log().contains("centre_returned");
+        fleet.instances.iter().all(noticed).then_some(())
     })
     .await?;
     assert_eq!(
-        job_state(&fleet.nodes[0].submit(97, 12, 900).await?),
+        job_state(&fleet.instances[0].submit(97, 12, 900).await?),
         "completed"
     );
     assert!(runs_in_centre(&fleet) > before);
-    let metrics = fleet.nodes[0].metrics().await?;
+    let metrics = fleet.instances[0].metrics().await?;
     assert!(
         metrics.contains(r#"poplarknot_standing{kind="evacuated"} 0"#),
         "{metrics}"
@@ -437,22 +453,22 @@
 async fn endpoint_starts_again_under_its_name() -> Result {
     let mut fleet = Fleet::start(program(), 2, 2, LONG).await?;
     for id in 0..3 {
-        let answer = fleet.nodes[0].submit(id, 4, 900).await?;
+        let answer = fleet.instances[0].submit(id, 4, 900).await?;
         assert_eq!(job_state(&answer), "completed", "{}", fleet.logs());
     }
-    let job = fleet.nodes[0].submit(10, 8, 900);
-    let mut runners = std::mem::take(&mut fleet.runners);
+    let job = fleet.instances[0].submit(10, 8, 900);
+    let mut endpoints = std::mem::take(&mut fleet.endpoints);
     let restart = async {
         tokio::time::sleep(LONG / 3).await;
-        for runner in &mut runners {
-            runner.restart(&fleet.store);
+        for endpoint in &mut endpoints {
+            endpoint.restart(&fleet.store);
         }
     };
     let (answer, ()) = tokio::join!(job, restart);
     assert_eq!(job_state(&answer?), "completed", "{}", fleet.logs());
-    let answer = fleet.nodes[1].submit(11, 8, 900).await?;
+    let answer = fleet.instances[1].submit(11, 8, 900).await?;
     assert_eq!(job_state(&answer), "completed", "{}", fleet.logs());
-    fleet.runners = runners;
+    fleet.endpoints = endpoints;
     assert_eq!(fleet.assert_no_overlapping_runs(), 12 + 8 + 8 + 8);
     Ok(())
 }
@@ -462,10 +478,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn task_that_crashes_endpoints_fails_its_job() -> Result {
     let fleet = Fleet::start(program(), 2, 3, SHORT).await?;
-    let crash = fleet.nodes[0].submit_spec(1, CRASH);
+    let crash = fleet.instances[0].submit_spec(1, CRASH);
     let others = async {
         for id in 2..12 {
-            let answer = fleet.nodes[1].submit(id, 1, 60).await?;
+            let answer = fleet.instances[1].submit(id, 1, 60).await?;
             assert_eq!(job_state(&answer), "completed", "{}", fleet.logs());
             tokio::time::sleep(SHORT * 4).await;
         }
@@ -475,9 +491,9 @@
     others?;
     assert_eq!(job_state(&answer?), "failed", "{}", fleet.logs());
     // Tasks that ran on the same endpoint are lost too, and run again.
-    let of_each = fleet.runners.iter();
+    let of_each = fleet.endpoints.iter();
     let mut crashes: Vec<Crash> = of_each
-        .flat_map(|runner| runner.crashes_of_job("0000000000000001."))
+        .flat_map(|endpoint| endpoint.crashes_of_job("0000000000000001."))
         .collect();
     crashes.sort_by_key(|crash| crash.at);
     let second_shared = crashes.get(1).is_some_and(|crash| crash.shared);
@@ -492,15 +508,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn capacity_that_shrinks_is_kept_to() -> Result {
     let mut fleet = Fleet::start(program(), 1, 1, LONG).await?;
-    let mut runner = fleet.runners.remove(0);
-    let job = fleet.nodes[0].submit(1, 10, 900);
+    let mut endpoint = fleet.endpoints.remove(0);
+    let job = fleet.instances[0].submit(1, 10, 900);
     let resize = async {
         tokio::time::sleep(LONG / 3).await;
-        runner.resize(&fleet.store, 2);
+        endpoint.resize(&fleet.store, 2);
     };
     let (answer, ()) = tokio::join!(job, resize);
     assert_eq!(job_state(&answer?), "completed", "{}", fleet.logs());
-    let runs = runner.history();
+    let runs = endpoint.history();
     let shrunk = runs[0].started + LONG;
     let running_at = |at: Instant| {
         runs.iter()
@@ -510,9 +526,9 @@
     for run in runs.iter().filter(|run| run.started > shrunk) {
         assert!(running_at(run.started) <= 2, "{runs:?}");
     }
-    runner.resize(&fleet.store, 4);
+    endpoint.resize(&fleet.store, 4);
     assert_eq!(
-        job_state(&fleet.nodes[0].submit(2, 8, 900).await?),
+        job_state(&fleet.instances[0].submit(2, 8, 900).await?),
         "completed"
     );
     Ok(())
@@ -522,18 +538,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn all_are_killed() -> Result {
     let mut fleet = Fleet::start(program(), 2, 2, SHORT).await?;
-    for node in &mut fleet.nodes {
-        node.signal(Signal::SIGKILL)?;
-        node.wait_for_exit().await?;
+    for instance in &mut fleet.instances {
+        instance.signal(Signal::SIGKILL)?;
+        instance.wait_for_exit().await?;
     }
     let mut restarted = Vec::new();
-    for node in &fleet.nodes {
-        restarted.push(node.restart(program()).await?);
+    for instance in &fleet.instances {
+        restarted.push(instance.restart(program()).await?);
     }
-    fleet.nodes = restarted;
-    for (id, node) in fleet.nodes.iter().enumerate() {
-        node.wait_until_ready().await?;
-        let answer = node.submit(id as u64, 2, 60).await?;
+    fleet.instances = restarted;
+    for (id, instance) in fleet.instances.iter().enumerate() {
+        instance.wait_until_ready().await?;
+        let answer = instance.submit(id as u64, 2, 60).await?;
         assert_eq!(job_state(&answer), "completed");
     }
     Ok(())
@@ -543,16 +559,16 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn log_and_metrics_tell_the_cause() -> Result {
     let fleet = Fleet::start(program(), 1, 1, SHORT).await?;
-    let node = &fleet.nodes[0];
-    let answer = node.submit(0xabc, 1, 60_000).await?;
+    let instance = &fleet.instances[0];
+    let answer = instance.submit(0xabc, 1, 60_000).await?;
     assert_eq!(answer.status, 503);
     wait_until("the log names the cause", || async {
-        let log = node.log();
+        let log = instance.log();
         let line = log.lines().find(|line| line.contains("0000000000000abc"))?;
         line.contains("it would end too late").then_some(())
     })
     .await?;
-    let metrics = node.metrics().await?;
+    let metrics = instance.metrics().await?;
     assert!(
         metrics.contains("poplarknot_answers_total{kind=\"refused\"} 1"),
         "{metrics}"
@@ -567,28 +583,31 @@
 async fn stored_job_outlives_all_instances() -> Result {
     let mut fleet = Fleet::start(program(), 2, 2, LONG).await?;
     let path = format!("{PREFIX}{:016x}", 0x51);
-    let answer = fleet.nodes[0]
+    let answer = fleet.instances[0]
         .post(&path, &stored_job_body(3, &[0]))
         .await?;
     assert_eq!(answer.status, 200, "{}", fleet.logs());
-    for node in &fleet.nodes {
-        node.signal(Signal::SIGKILL)?;
+    for instance in &fleet.instances {
+        instance.signal(Signal::SIGKILL)?;
     }
     let killed = Instant::now();
-    for i in 0..fleet.nodes.len() {
-        fleet.nodes[i].wait_for_exit().await?;
-        fleet.nodes[i] = fleet.nodes[i].restart(program()).await?;
+    for i in 0..fleet.instances.len() {
+        fleet.instances[i].wait_for_exit().await?;
+        fleet.instances[i] = fleet.instances[i].restart(program()).await?;
     }
-    for node in &fleet.nodes {
-        node.wait_until_ready().await?;
+    for instance in &fleet.instances {
+        instance.wait_until_ready().await?;
     }
     wait_until("the job is complete", || async {
-        let answer = fleet.nodes[1].get(&path).await.ok()?;
+        let answer = fleet.instances[1].get(&path).await.ok()?;
         (job_state(&answer) == "completed").then_some(())
     })
     .await?;
     fleet.assert_no_overlapping_runs();
-    let runs = fleet.runners.iter().flat_map(|runner| runner.history());
+    let runs = fleet
+        .endpoints
+        .iter()
+        .flat_map(|endpoint| endpoint.history());
     let done: Vec<_> = runs.filter(|p| p.outcome == "done").collect();
     let tasks: HashSet<&str> = done.iter().map(|p| p.task.as_str()).collect();
     assert_eq!(tasks.len(), 6, "{done:?}");
@@ -609,25 +628,31 @@
     let fleet = Fleet::start(program(), 2, 2, Duration::from_secs(30)).await?;
     let path = format!("{PREFIX}{:016x}", 0x52);
     assert_eq!(
-        fleet.nodes[0]
+        fleet.instances[0]
             .post(&path, &stored_job_body(2, &[]))
             .await?
             .status,
         200
     );
     wait_until("a task runs", || async {
-        let mut runs = fleet.runners.iter().flat_map(|runner| runner.history());
+        let mut runs = fleet
+            .endpoints
+            .iter()
+            .flat_map(|endpoint| endpoint.history());
         runs.next().map(|_| ())
     })
     .await?;
-    assert_eq!(fleet.nodes[1].delete(&path).await?.status, 200);
-    for node in &fleet.nodes {
-        assert_eq!(job_state(&node.get(&path).await?), "cancelled");
+    assert_eq!(fleet.instances[1].delete(&path).await?.status, 200);
+    for instance in &fleet.instances {
+        assert_eq!(job_state(&instance.get(&path).await?), "cancelled");
         let unknown = format!("{PREFIX}{:016x}", 0x99);
-        assert_eq!(node.get(&unknown).await?.status, 410);
+        assert_eq!(instance.get(&unknown).await?.status, 410);
     }
     wait_until("nothing runs", || async {
-        let mut runs = fleet.runners.iter().flat_map(|runner| runner.history());
+        let mut runs = fleet
+            .endpoints
+            .iter()
+            .flat_map(|endpoint| endpoint.history());
         runs.all(|p| p.ended.is_some()).then_some(())
     })
     .await
--- a/tests/platform/runner.rs
+++ b/tests/platform/endpoint.rs
@@ -101,14 +101,14 @@
 }
 
 /// An endpoint.
-pub(crate) struct Runner {
+pub(crate) struct Endpoint {
     pub(crate) id: String,
     state: Arc<Mutex<State>>,
     row: Value,
     server: Server,
 }
 
-impl Runner {
+impl Endpoint {
     pub(crate) fn start(
         id: &str,
         centre: &str,
--- a/tests/platform/fleet.rs
+++ b/tests/platform/fleet.rs
@@ -37,7 +37,7 @@
 };
 
 use super::{
-    runner::Runner,
+    endpoint::Endpoint,
     store::Store, //
 };
 use crate::support::{
@@ -67,7 +67,7 @@
 }
 
 /// A running instance; its process is killed when it is dropped.
-pub(crate) struct Node {
+pub(crate) struct Instance {
     pub(crate) name: String,
     pub(crate) ip: String,
     centre: String,
@@ -76,7 +76,7 @@
     folder: tempfile::TempDir,
 }
 
-impl Node {
+impl Instance {
     pub(crate) async fn start(
         program: &Path,
         name: &str,
@@ -271,8 +271,8 @@
 /// A store, endpoints in two data centres, and instances.
 pub(crate) struct Fleet {
     pub(crate) store: Store,
-    pub(crate) runners: Vec<Runner>,
-    pub(crate) nodes: Vec<Node>,
+    pub(crate) endpoints: Vec<Endpoint>,
+    pub(crate) instances: Vec<Instance>,
     /// The proxies in front of each endpoint, and of the store for each instance.
     pub(crate) proxies: Proxies,
 }
@@ -288,28 +288,28 @@
     /// Starts a fleet, and waits until its instances are ready.
     pub(crate) async fn start(
         program: &Path,
-        nodes: usize,
-        runners: usize,
+        instances: usize,
+        endpoints: usize,
         task_duration: Duration,
     ) -> Result<Self> {
-        Self::assemble(program, nodes, runners, task_duration, false).await
+        Self::assemble(program, instances, endpoints, task_duration, false).await
     }
 
     #[allow(dead_code)] // Used by the soak only.
     /// Starts a fleet with proxies between the instances and what they call.
     pub(crate) async fn start_behind_proxies(
         program: &Path,
-        nodes: usize,
-        runners: usize,
+        instances: usize,
+        endpoints: usize,
         task_duration: Duration,
     ) -> Result<Self> {
-        Self::assemble(program, nodes, runners, task_duration, true).await
+        Self::assemble(program, instances, endpoints, task_duration, true).await
     }
 
     async fn assemble(
         program: &Path,
-        nodes: usize,
-        runners: usize,
+        instances: usize,
+        endpoints: usize,
         task_duration: Duration,
         proxied: bool,
     ) -> Result<Self> {
@@ -318,22 +318,22 @@
         let centre = |i: usize| ["ulemiste", "maardu"][i % 2];
         let mut fleet = Self {
             store,
-            runners: Vec::new(),
-            nodes: Vec::new(),
+            endpoints: Vec::new(),
+            instances: Vec::new(),
             proxies: Proxies::default(),
         };
-        for i in 0..runners {
+        for i in 0..endpoints {
             let (id, rack) = (format!("i-{i}"), format!("r{}", i % 2));
-            let mut runner = Runner::start(&id, centre(i), &rack, 4, task_duration)?;
+            let mut endpoint = Endpoint::start(&id, centre(i), &rack, 4, task_duration)?;
             if proxied {
-                let proxy = Proxy::start(runner.address())?;
-                runner = runner.with_proxy(&proxy);
+                let proxy = Proxy::start(endpoint.address())?;
+                endpoint = endpoint.with_proxy(&proxy);
                 fleet.proxies.endpoints.push(proxy);
             }
-            runner.register(&fleet.store);
-            fleet.runners.push(runner);
+            endpoint.register(&fleet.store);
+            fleet.endpoints.push(endpoint);
         }
-        for i in 0..nodes {
+        for i in 0..instances {
             let name = format!("instance-{i}");
             let mut store = fleet.store.address();
             if proxied {
@@ -341,18 +341,18 @@
                 store = proxy.address().to_string();
                 fleet.proxies.stores.push(proxy);
             }
-            let node = Node::start(program, &name, centre(i), &store).await?;
-            fleet.nodes.push(node);
+            let instance = Instance::start(program, &name, centre(i), &store).await?;
+            fleet.instances.push(instance);
         }
-        for node in &fleet.nodes {
-            node.wait_until_ready().await?;
+        for instance in &fleet.instances {
+            instance.wait_until_ready().await?;
         }
         Ok(fleet)
     }
 
     /// Asserts that no task ran twice at the same time, and returns the number of runs.
     pub(crate) fn assert_no_overlapping_runs(&self) -> usize {
-        let runs: Vec<_> = self.runners.iter().flat_map(|r| r.history()).collect();
+        let runs: Vec<_> = self.endpoints.iter().flat_map(|r| r.history()).collect();
         for (i, one) in runs.iter().enumerate() {
             for other in &runs[i + 1..] {
                 let disjoint = one.ended.is_some_and(|u| u <= other.started)
@@ -364,7 +364,7 @@
     }
 
     pub(crate) fn logs(&self) -> String {
-        self.nodes.iter().map(Node::log).collect()
+        self.instances.iter().map(Instance::log).collect()
     }
 }
 
--- a/tests/proofs.rs
+++ b/tests/proofs.rs
@@ -42,7 +42,7 @@
         Headers, //
     },
     cluster::{
-        job,
+        new_job,
         Builder,
         Cluster, //
     },
@@ -92,13 +92,13 @@
 /// Until the first heartbeats have arrived, an instance doesn't know the other incarnations and answers "unknown".
 async fn launch(builder: Builder) -> Result<Cluster> {
     let cluster = builder.start().await?;
-    let nowhere = with_field(job("nowhere", [1]), "service", "nowhere");
+    let nowhere = with_field(new_job("nowhere", [1]), "service", "nowhere");
     for owner in &cluster.instances {
         let range = fetch_range(owner).await?;
         let job = with_field(nowhere.clone(), "key", format!("{range}.known"));
         for other in &cluster.instances {
             wait_until("the instances can forward submissions", || async {
-                let response = post_job(other.callers, &job, &[]).await.ok()?;
+                let response = post_job(other.caller_address, &job, &[]).await.ok()?;
                 (response.answer.reason == Reason::NoService).then_some(())
             })
             .await?;
@@ -109,7 +109,9 @@
 
 /// Returns the range from which an instance has callers take keys.
 async fn fetch_range(instance: &Instance) -> Result<String> {
-    let body: Value = client::get(instance.callers, "/v1/range").await?.json()?;
+    let body: Value = client::get(instance.caller_address, "/v1/range")
+        .await?
+        .json()?;
     Ok(body["range"].as_str().ok_or("no range")?.to_owned())
 }
 
@@ -192,12 +194,12 @@
 
 /// Submits a job at an instance and waits for the answer.
 async fn submit(cluster: &Cluster, instance: usize, job: &Value) -> Result<Response> {
-    post_job(cluster.instances[instance].callers, job, &[]).await
+    post_job(cluster.instances[instance].caller_address, job, &[]).await
 }
 
 /// Submits a job at an instance in a task of its own, which returns the answer.
 fn spawn_submit(cluster: &Cluster, instance: usize, job: &Value) -> JoinHandle<Result<Response>> {
-    let (callers, job) = (cluster.instances[instance].callers, job.clone());
+    let (callers, job) = (cluster.instances[instance].caller_address, job.clone());
     tokio::spawn(async move { post_job(callers, &job, &[]).await })
 }
 
--- a/tests/proofs/answers.rs
+++ b/tests/proofs/answers.rs
@@ -26,7 +26,7 @@
 async fn each_caller_gets_its_own_answer() -> Result {
     let cluster = launch(cluster_builder().instances(3).workers(4)).await?;
     let random = &mut SmallRng::seed_from_u64(5);
-    let first = job("first", [10]);
+    let first = new_job("first", [10]);
     let range = submit(&cluster, 0, &first).await?.range;
     set_random_delays(&cluster, random);
     let jobs: Vec<_> = (0..60)
@@ -39,7 +39,11 @@
                 format!("{range}.{i}")
             };
             let class = ["once", "non-idempotent", "idempotent"][i % 3];
-            with_field(with_field(job(&name, sleeps), "key", key), "class", class)
+            with_field(
+                with_field(new_job(&name, sleeps), "key", key),
+                "class",
+                class,
+            )
         })
         .collect();
     let cluster = &cluster;
--- a/tests/proofs/callers.rs
+++ b/tests/proofs/callers.rs
@@ -8,7 +8,7 @@
 async fn wait_until_in_progress(cluster: &Cluster, instance: usize, key: &str) -> Result {
     let path = format!("/v1/jobs/risk/{key}");
     wait_until("the job is in progress", || async {
-        let response = client::get(cluster.instances[instance].callers, &path)
+        let response = client::get(cluster.instances[instance].caller_address, &path)
             .await
             .ok()?;
         (response.status == 202).then_some(())
@@ -33,7 +33,7 @@
 /// instance may have claimed the key.
 async fn wait_until_admitted(cluster: &Cluster, instance: usize, tasks: usize) -> Result {
     wait_until("all tasks are admitted", || async {
-        let callers = cluster.instances[instance].callers;
+        let callers = cluster.instances[instance].caller_address;
         let metrics = client::get(callers, "/metrics").await.ok()?;
         let text = String::from_utf8_lossy(&metrics.body).into_owned();
         let line = text
@@ -58,7 +58,7 @@
     ))
     .await?;
     let cancelled_job = |i| {
-        let mut job = job(&format!("cancelled-{i}"), [90_000, 1]);
+        let mut job = new_job(&format!("cancelled-{i}"), [90_000, 1]);
         job["tasks"][0]["expected_ms"] = json!(1);
         job
     };
@@ -73,7 +73,7 @@
     wait_until_admitted(&cluster, 0, 2 * jobs.len()).await?;
     let cancels = (0..jobs.len()).map(|i| {
         let path = format!("/v1/jobs/risk/cancelled-{i}");
-        let callers = cluster.instances[0].callers;
+        let callers = cluster.instances[0].caller_address;
         async move { client::delete(callers, &path, &[]).await?.answer() }
     });
     let cancelled = timeout(ANSWER_TIMEOUT, try_join_all(cancels)).await??;
@@ -87,7 +87,7 @@
         outcomes.push(answer.outcome);
     }
     wait_until_idle(&cluster).await?;
-    let last = job("last", [1; 8]);
+    let last = new_job("last", [1; 8]);
     submit(&cluster, 0, &last).await?.assert_complete(&last);
     for (job, outcome) in jobs.iter().zip(&outcomes) {
         match outcome {
@@ -106,7 +106,7 @@
 #[tokio::test]
 async fn an_answer_outlives_its_caller() -> Result {
     let cluster = launch(cluster_builder()).await?;
-    let (early, late) = (job("early", [300]), job("late", [300]));
+    let (early, late) = (new_job("early", [300]), new_job("late", [300]));
     let caller = spawn_submit(&cluster, 0, &late);
     wait_for_start(&cluster, &late).await?;
     caller.abort();
@@ -126,9 +126,9 @@
 #[tokio::test]
 async fn what_can_never_run_is_refused_at_once() -> Result {
     let cluster = launch(cluster_builder()).await?;
-    let mut large = job("large", [10, 10]);
+    let mut large = new_job("large", [10, 10]);
     large["tasks"][1]["need"]["cores"] = json!(1_000);
-    let nowhere = with_field(job("nowhere", [10]), "service", "nowhere");
+    let nowhere = with_field(new_job("nowhere", [10]), "service", "nowhere");
     for instance in [0, 1] {
         let response = submit(&cluster, instance, &large).await?;
         response.assert_is(Outcome::NotRun, Reason::Impossible, 422);
@@ -140,8 +140,13 @@
         response.assert_is(Outcome::NotRun, Reason::NoService, 404);
     }
     // Without the table the instance can't tell whether an earlier submission ran, unless the key is new.
-    cluster.platform.take_down().await;
-    let response = post_job(cluster.instances[0].callers, &large, FIRST_SUBMISSION).await?;
+    cluster.platform.close().await;
+    let response = post_job(
+        cluster.instances[0].caller_address,
+        &large,
+        FIRST_SUBMISSION,
+    )
+    .await?;
     response.assert_is(Outcome::NotRun, Reason::Impossible, 422);
     let response = submit(&cluster, 0, &large).await?;
     response.assert_is(Outcome::Unknown, Reason::Impossible, 422);
@@ -159,18 +164,18 @@
         .instances(1)
         .configure_worker(one_slot);
     let cluster = launch(builder.set("limits", "outstanding", 1)).await?;
-    let busy = job("busy", [600]);
+    let busy = new_job("busy", [600]);
     let first = spawn_submit(&cluster, 0, &busy);
     wait_for_start(&cluster, &busy).await?;
     let waiting =
-        (0..5).map(|i| with_field(job(&format!("waiting-{i}"), [1]), "deadline_ms", 1_000));
+        (0..5).map(|i| with_field(new_job(&format!("waiting-{i}"), [1]), "deadline_ms", 1_000));
     let waiting: Vec<_> = waiting.collect();
     let callers: Vec<_> = waiting
         .iter()
         .map(|job| spawn_submit(&cluster, 0, job))
         .collect();
     wait_until("five tasks wait for the slot", || async {
-        let metrics = client::get(cluster.instances[0].callers, "/metrics")
+        let metrics = client::get(cluster.instances[0].caller_address, "/metrics")
             .await
             .ok()?;
         let text = String::from_utf8_lossy(&metrics.body);
@@ -180,7 +185,7 @@
     cluster.instances[0].pause()?;
     wait_until_idle(&cluster).await?;
     sleep(Duration::from_millis(1_100)).await;
-    let later = job("later", [1]);
+    let later = new_job("later", [1]);
     let last = spawn_submit(&cluster, 0, &later);
     cluster.instances[0].resume()?;
     first.await??.assert_complete(&busy);
@@ -201,25 +206,33 @@
 #[tokio::test]
 async fn a_malformed_request_is_told_what_is_wrong() -> Result {
     let cluster = launch(cluster_builder().set("limits", "body", "4KiB")).await?;
-    let mut empty = job("empty", [10]);
+    let mut empty = new_job("empty", [10]);
     empty["tasks"] = json!([]);
-    let mut long = job("long", [10]);
+    let mut long = new_job("long", [10]);
     long["tasks"][0]["payload"]["id"] = json!("x".repeat(5_000));
     let cases = [
-        (with_field(job("a", [10]), "colour", "red"), 400, "colour"),
         (
-            with_field(job("a", [10]), "tasks", json!(null)),
+            with_field(new_job("a", [10]), "colour", "red"),
+            400,
+            "colour",
+        ),
+        (
+            with_field(new_job("a", [10]), "tasks", json!(null)),
             400,
             "tasks",
         ),
         (
-            with_field(job("a", [10]), "key", "no spaces"),
+            with_field(new_job("a", [10]), "key", "no spaces"),
             400,
             "holds ' '",
         ),
-        (with_field(job("a", [10]), "class", "twice"), 400, "twice"),
         (
-            with_field(job("a", [10]), "deadline_ms", 0),
+            with_field(new_job("a", [10]), "class", "twice"),
+            400,
+            "twice",
+        ),
+        (
+            with_field(new_job("a", [10]), "deadline_ms", 0),
             400,
             "deadline_ms",
         ),
@@ -234,7 +247,7 @@
         );
         assert!(response.answer.detail.contains(field), "{response:?}");
     }
-    let mut client = Client::connect(cluster.instances[0].callers).await?;
+    let mut client = Client::connect(cluster.instances[0].caller_address).await?;
     let response = client
         .send(Method::POST, "/v1/jobs", &[], "{\"team\":")
         .await?;
@@ -252,7 +265,7 @@
 async fn a_slow_sender_is_told_so() -> Result {
     let cluster = launch(cluster_builder().set("timing", "receive", "300ms")).await?;
     for (first, outcome) in [("true", "not-run"), ("false", "unknown")] {
-        let mut stream = TcpStream::connect(cluster.instances[0].callers).await?;
+        let mut stream = TcpStream::connect(cluster.instances[0].caller_address).await?;
         let head = format!(
             "POST /v1/jobs HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\
              poplarknot-first: {first}\r\ncontent-length: 900\r\n\r\n{{"
@@ -274,7 +287,7 @@
 #[tokio::test]
 async fn connections_beyond_the_bound_are_turned_away() -> Result {
     let cluster = launch(cluster_builder().set("limits", "connections", 3)).await?;
-    let callers = cluster.instances[0].callers;
+    let callers = cluster.instances[0].caller_address;
     let mut held = Vec::new();
     wait_until("three connections are held", || async {
         let mut client = Client::connect(callers).await.ok()?;
@@ -287,7 +300,7 @@
         client.get("/healthz").await?;
         held.push(client);
     }
-    let bound = job("bound", [10]);
+    let bound = new_job("bound", [10]);
     let response = submit(&cluster, 0, &bound).await?;
     response.assert_is(Outcome::Unknown, Reason::Busy, 503);
     assert_start_counts(&cluster, &bound, 0);
@@ -308,12 +321,12 @@
         .set("limits", "jobs", 4)
         .set("limits", "waiting", 40);
     let cluster = launch(cluster).await?;
-    let running = ["one", "two"].map(|key| job(key, [1_500, 1_500]));
+    let running = ["one", "two"].map(|key| new_job(key, [1_500, 1_500]));
     let callers = running.each_ref().map(|job| spawn_submit(&cluster, 0, job));
     for job in &running {
         wait_for_start(&cluster, job).await?;
     }
-    let (refused, huge) = (job("refused", [1, 1]), job("huge", [1; 41]));
+    let (refused, huge) = (new_job("refused", [1, 1]), new_job("huge", [1; 41]));
     for job in [&refused, &huge] {
         let response = submit(&cluster, 0, job).await?;
         assert_eq!(response.answer.outcome, Outcome::NotRun, "{response:?}");
@@ -322,7 +335,7 @@
     let response = submit(&cluster, 0, &refused).await?;
     response.assert_is(Outcome::NotRun, Reason::Busy, 429);
     assert!(response.answer.retry_after.is_some(), "{response:?}");
-    let other = with_field(job("other", [1]), "team", "treasury");
+    let other = with_field(new_job("other", [1]), "team", "treasury");
     submit(&cluster, 0, &other).await?.assert_complete(&other);
     for (job, caller) in running.iter().zip(callers) {
         caller.await??.assert_complete(job);
@@ -339,11 +352,11 @@
     let cluster = launch(cluster_builder().set("limits", "ring", 16)).await?;
     let range = fetch_range(&cluster.instances[0]).await?;
     let flood_job = |i: usize| {
-        let job = job(&format!("flood-{i}"), [5, 5, 5, 5]);
+        let job = new_job(&format!("flood-{i}"), [5, 5, 5, 5]);
         with_field(job, "key", format!("{range}.{i}"))
     };
     let jobs: Vec<_> = (0..400).map(flood_job).collect();
-    let callers = cluster.instances[0].callers;
+    let callers = cluster.instances[0].caller_address;
     let calls = jobs
         .iter()
         .map(|job| post_job(callers, job, FIRST_SUBMISSION));
--- a/tests/proofs/fault_pairs.rs
+++ b/tests/proofs/fault_pairs.rs
@@ -78,7 +78,10 @@
             Self::DrainInstance => first.stop().unwrap_or_default(),
             Self::KillWorker => cluster.workers[0].kill().await,
             Self::FreezeWorker => cluster.workers[0].set_paused(true),
-            Self::SilenceWorkers => proxies.workers.iter().for_each(|p| p.blackhole_open()),
+            Self::SilenceWorkers => proxies
+                .workers
+                .iter()
+                .for_each(|p| p.blackhole_open_connections()),
             Self::SwallowWorker => proxies.workers[0].set_mode(Mode::DROP_ANSWERS),
             Self::CutWorker => proxies.workers[0].close().await,
             Self::LeaveWorker => cluster.workers[0].update_behaviour(|b| b.leaving = true),
@@ -87,7 +90,10 @@
                 proxies.peers[0].set_mode(Mode::Delay { up, down });
             }
             Self::CutPeers => proxies.peers[0].close().await,
-            Self::SilencePeers => proxies.peers.iter().for_each(|p| p.blackhole_open()),
+            Self::SilencePeers => proxies
+                .peers
+                .iter()
+                .for_each(|p| p.blackhole_open_connections()),
             Self::LoseClaims => cluster.platform.update_faults(|f| f.dropped_answers = 3),
             Self::DelayClaims => {
                 let late = Duration::from_millis(700);
@@ -104,7 +110,7 @@
             Self::CancelJobs => {
                 for i in (0..JOB_COUNT).step_by(3) {
                     let path = format!("/v1/jobs/risk/job-{i}");
-                    let callers = cluster.instances[i % 3].callers;
+                    let callers = cluster.instances[i % 3].caller_address;
                     tokio::spawn(async move { client::delete(callers, &path, &[]).await.ok() });
                 }
             }
@@ -141,7 +147,7 @@
     let tasks = random.random_range(1..4);
     let sleeps: Vec<_> = (0..tasks).map(|_| random.random_range(1..250)).collect();
     let class = ["once", "non-idempotent", "idempotent"][random.random_range(0..3)];
-    let job = with_field(job(&format!("job-{i}"), sleeps), "class", class);
+    let job = with_field(new_job(&format!("job-{i}"), sleeps), "class", class);
     match random.random_range(0..4) {
         0 => with_field(job, "key", Value::Null),
         1 => {
@@ -220,7 +226,7 @@
         let entry = Arc::new(Mutex::new(JobRecord { job, answers }));
         let start = random.random_range(0..3);
         let order = [start, (start + 1) % 3, (start + 2) % 3];
-        let callers = order.map(|i| cluster.instances[i].callers);
+        let callers = order.map(|i| cluster.instances[i].caller_address);
         calls.push(tokio::spawn(submit_in_turn(callers, entry.clone())));
         entries.push(entry);
         match i {
--- a/tests/proofs/leaving.rs
+++ b/tests/proofs/leaving.rs
@@ -7,7 +7,7 @@
 /// Submits `jobs` jobs of two tasks, alternating between two instances, and returns them when all are complete.
 async fn submit_burst(cluster: &Cluster, name: &str, jobs: usize) -> Result<Vec<Value>> {
     let jobs: Vec<_> = (0..jobs)
-        .map(|i| job(&format!("{name}-{i}"), [30, 60]))
+        .map(|i| new_job(&format!("{name}-{i}"), [30, 60]))
         .collect();
     let calls = jobs.iter().enumerate();
     let calls = calls.map(|(i, job)| async move {
@@ -38,7 +38,7 @@
         ..Settings::default()
     };
     let cluster = launch(cluster_builder().platform(platform).workers(3)).await?;
-    let long = job("long", [1_500; 24]);
+    let long = new_job("long", [1_500; 24]);
     let caller = spawn_submit(&cluster, 0, &long);
     wait_for_start(&cluster, &long).await?;
     let mut entry = cluster.workers[0].entry();
@@ -66,7 +66,7 @@
 #[tokio::test]
 async fn an_endpoint_that_says_it_leaves_gets_nothing() -> Result {
     let cluster = launch(cluster_builder().workers(3)).await?;
-    let long = job("long", [800; 24]);
+    let long = new_job("long", [800; 24]);
     let caller = spawn_submit(&cluster, 0, &long);
     wait_for_start(&cluster, &long).await?;
     cluster.workers[0].update_behaviour(|b| b.leaving = true);
@@ -97,19 +97,25 @@
 #[tokio::test]
 async fn a_drain_under_load_cuts_nothing_off() -> Result {
     let mut cluster = launch(cluster_builder()).await?;
-    let range = submit(&cluster, 0, &job("first", [1])).await?.range;
+    let range = submit(&cluster, 0, &new_job("first", [1])).await?.range;
     let table: Vec<_> = (0..20)
-        .map(|i| job(&format!("table-{i}"), [300, 200 + 20 * i]))
+        .map(|i| new_job(&format!("table-{i}"), [300, 200 + 20 * i]))
         .collect();
     let ranged = |i: u64| {
         with_field(
-            job(&format!("ranged-{i}"), [300 + i]),
+            new_job(&format!("ranged-{i}"), [300 + i]),
             "key",
             format!("{range}.{i}"),
         )
     };
     let ranged: Vec<_> = (0..10).map(ranged).collect();
-    let keyless = |i: u64| with_field(job(&format!("keyless-{i}"), [500 + i]), "key", Value::Null);
+    let keyless = |i: u64| {
+        with_field(
+            new_job(&format!("keyless-{i}"), [500 + i]),
+            "key",
+            Value::Null,
+        )
+    };
     let keyless: Vec<_> = (0..10).map(keyless).collect();
     let at_first = table.iter().chain(&keyless).map(|job| (job, 0));
     let all: Vec<_> = at_first.chain(ranged.iter().map(|job| (job, 1))).collect();
@@ -120,7 +126,7 @@
     for (job, _) in &all {
         wait_for_start(&cluster, job).await?;
     }
-    let elsewhere = job("elsewhere", [1]);
+    let elsewhere = new_job("elsewhere", [1]);
     submit(&cluster, 1, &elsewhere)
         .await?
         .assert_complete(&elsewhere);
@@ -129,7 +135,7 @@
         cluster.instances[0].log().contains("E003").then_some(())
     })
     .await?;
-    let late = job("late", [10]);
+    let late = new_job("late", [10]);
     submit(&cluster, 0, &late)
         .await?
         .assert_is(Outcome::NotRun, Reason::Draining, 503);
@@ -140,7 +146,7 @@
     for ((job, _), caller) in all.iter().zip(callers) {
         caller.await??.assert_complete(job);
     }
-    assert_eq!(cluster.instances[0].wait_exit().await?.code(), Some(0));
+    assert_eq!(cluster.instances[0].wait_for_exit().await?.code(), Some(0));
     for job in &table {
         submit(&cluster, 1, job).await?.assert_complete(job);
     }
@@ -157,13 +163,13 @@
 async fn the_last_answers_leave_before_the_process_ends() -> Result {
     for round in 0..4 {
         let mut cluster = launch(cluster_builder()).await?;
-        let callers = cluster.instances[0].callers;
-        let range = submit(&cluster, 0, &job(&format!("range-{round}"), [1]))
+        let callers = cluster.instances[0].caller_address;
+        let range = submit(&cluster, 0, &new_job(&format!("range-{round}"), [1]))
             .await?
             .range;
         let sizes = [("here", 300, 0), ("there", 300 + 300 * (round % 2), 1)];
         let jobs = sizes.map(|(name, sleep, instance)| {
-            let mut job = job(&format!("{name}-{round}"), [sleep]);
+            let mut job = new_job(&format!("{name}-{round}"), [sleep]);
             job["tasks"][0]["payload"]["bytes"] = 2_000_000.into();
             (with_field(job, "key", format!("{range}.{name}")), instance)
         });
@@ -188,7 +194,7 @@
             response.contains("poplarknot-outcome: not-run"),
             "{response}"
         );
-        assert_eq!(cluster.instances[0].wait_exit().await?.code(), Some(0));
+        assert_eq!(cluster.instances[0].wait_for_exit().await?.code(), Some(0));
     }
     Ok(())
 }
--- a/tests/proofs/ranges.rs
+++ b/tests/proofs/ranges.rs
@@ -4,7 +4,7 @@
 
 /// Returns a job under a key of a range.
 fn range_job(range: &str, name: &str) -> Value {
-    with_field(job(name, [10]), "key", format!("{range}.{name}"))
+    with_field(new_job(name, [10]), "key", format!("{range}.{name}"))
 }
 
 /// Jobs under range keys must complete during a table outage, also when another instance forwards them to the owner. While
@@ -13,7 +13,7 @@
 async fn a_range_is_served_through_an_outage_and_a_cut() -> Result {
     let mut cluster = launch(cluster_builder()).await?;
     let range = fetch_range(&cluster.instances[0]).await?;
-    cluster.platform.take_down().await;
+    cluster.platform.close().await;
     let (here, there, cut) = (
         range_job(&range, "a"),
         range_job(&range, "b"),
@@ -62,7 +62,7 @@
         .await??
         .assert_is(Outcome::Unknown, Reason::OwnerGone, 504);
     cluster.restart(0).await?;
-    cluster.instances[0].wait_ready().await?;
+    cluster.instances[0].wait_until_ready().await?;
     for instance in [0, 1] {
         for job in [&ended, &slow, &new] {
             let response = submit(&cluster, instance, job).await?;
--- a/tests/proofs/restart.rs
+++ b/tests/proofs/restart.rs
@@ -58,7 +58,7 @@
         let mut jobs = Vec::new();
         while !self.is_stopped.load(Ordering::Acquire) {
             let number = self.next_job.fetch_add(1, Ordering::AcqRel);
-            let job = job(&format!("restart-{number}"), [20, 40]);
+            let job = new_job(&format!("restart-{number}"), [20, 40]);
             self.submit_in_turn(&job, number).await?;
             jobs.push(job);
         }
@@ -73,7 +73,7 @@
     let mut cluster = launch(cluster_builder().instances(3)).await?;
     let load = Arc::new(Load::default());
     let publish_addresses = |cluster: &Cluster| {
-        let callers = cluster.instances.iter().map(|i| i.callers).collect();
+        let callers = cluster.instances.iter().map(|i| i.caller_address).collect();
         *load.callers.lock().expect("no caller panics") = callers;
     };
     publish_addresses(&cluster);
@@ -82,9 +82,9 @@
         .collect();
     for i in 0..cluster.instances.len() {
         cluster.instances[i].stop()?;
-        assert_eq!(cluster.instances[i].wait_exit().await?.code(), Some(0));
+        assert_eq!(cluster.instances[i].wait_for_exit().await?.code(), Some(0));
         cluster.restart(i).await?;
-        cluster.instances[i].wait_ready().await?;
+        cluster.instances[i].wait_until_ready().await?;
         publish_addresses(&cluster);
     }
     load.is_stopped.store(true, Ordering::Release);
--- a/tests/proofs/resubmission.rs
+++ b/tests/proofs/resubmission.rs
@@ -7,7 +7,7 @@
 #[tokio::test]
 async fn a_resubmission_joins_the_job_or_gets_its_answer() -> Result {
     let cluster = launch(cluster_builder().instances(3)).await?;
-    let job = job("join", [400, 600]);
+    let job = new_job("join", [400, 600]);
     let first = spawn_submit(&cluster, 0, &job);
     wait_for_start(&cluster, &job).await?;
     let resubmissions: Vec<_> = (0..3).map(|i| spawn_submit(&cluster, i, &job)).collect();
@@ -28,9 +28,9 @@
 #[tokio::test]
 async fn the_same_key_with_another_body_is_refused() -> Result {
     let cluster = launch(cluster_builder()).await?;
-    let kept = job("digest", [10]);
+    let kept = new_job("digest", [10]);
     submit(&cluster, 0, &kept).await?.assert_complete(&kept);
-    let other = with_field(job("other", [10]), "key", "digest");
+    let other = with_field(new_job("other", [10]), "key", "digest");
     for instance in [0, 1] {
         let response = submit(&cluster, instance, &other).await?;
         response.assert_is(Outcome::NotRun, Reason::Conflict, 409);
@@ -45,7 +45,7 @@
 #[tokio::test]
 async fn a_stopped_owner_is_answered_for_and_never_replaced() -> Result {
     let cluster = launch(cluster_builder()).await?;
-    let job = job("stopped", [700, 20]);
+    let job = new_job("stopped", [700, 20]);
     let first = spawn_submit(&cluster, 0, &job);
     wait_for_start(&cluster, &job).await?;
     cluster.instances[0].pause()?;
@@ -63,7 +63,11 @@
 #[tokio::test]
 async fn a_killed_owner_leaves_its_claims_and_outcomes() -> Result {
     let mut cluster = launch(cluster_builder()).await?;
-    let (short, mut long, lost) = (job("short", [10]), job("long", [10]), job("lost", [700]));
+    let (short, mut long, lost) = (
+        new_job("short", [10]),
+        new_job("long", [10]),
+        new_job("lost", [700]),
+    );
     long["tasks"][0]["payload"]["bytes"] = json!(40_000);
     for job in [&short, &long] {
         submit(&cluster, 0, job).await?.assert_complete(job);
@@ -82,7 +86,7 @@
     response.assert_is(Outcome::Unknown, Reason::OwnerGone, 504);
     cluster.restart(0).await?;
     for instance in &cluster.instances {
-        instance.wait_ready().await?;
+        instance.wait_until_ready().await?;
     }
     for instance in [0, 1] {
         let response = submit(&cluster, instance, &lost).await?;
@@ -102,7 +106,9 @@
 #[tokio::test]
 async fn two_instances_at_the_same_moment_run_it_once() -> Result {
     let cluster = launch(cluster_builder()).await?;
-    let jobs: Vec<_> = (0..40).map(|i| job(&format!("same-{i}"), [20])).collect();
+    let jobs: Vec<_> = (0..40)
+        .map(|i| new_job(&format!("same-{i}"), [20]))
+        .collect();
     let cluster = &cluster;
     let both = jobs.iter().flat_map(|job| [(job, 0), (job, 1)]);
     let calls = both.map(|(job, instance)| async move {
@@ -121,14 +127,14 @@
 #[tokio::test]
 async fn a_key_dropped_from_memory_stays_claimed() -> Result {
     let cluster = launch(cluster_builder().set("limits", "kept", "64KiB")).await?;
-    let first = job("dropped", [10]);
+    let first = new_job("dropped", [10]);
     submit(&cluster, 0, &first).await?.assert_complete(&first);
     let path = "/v1/jobs/risk/dropped";
     for i in 0.. {
-        let mut filler = job(&format!("filler-{i}"), [1]);
+        let mut filler = new_job(&format!("filler-{i}"), [1]);
         filler["tasks"][0]["payload"]["bytes"] = json!(15_000);
         submit(&cluster, 0, &filler).await?.assert_complete(&filler);
-        let response = client::get(cluster.instances[0].callers, path).await?;
+        let response = client::get(cluster.instances[0].caller_address, path).await?;
         if response.status == 410 {
             break;
         }
--- a/tests/proofs/store.rs
+++ b/tests/proofs/store.rs
@@ -14,7 +14,7 @@
 async fn a_lost_answer_to_a_claim_is_read_back() -> Result {
     let cluster = launch(cluster_builder()).await?;
     for i in 0..4 {
-        let job = job(&format!("lost-{i}"), [10]);
+        let job = new_job(&format!("lost-{i}"), [10]);
         cluster.platform.update_faults(|f| f.dropped_answers = 1);
         submit(&cluster, 0, &job).await?.assert_complete(&job);
         submit(&cluster, 1, &job).await?.assert_complete(&job);
@@ -32,7 +32,7 @@
 #[tokio::test]
 async fn a_claim_that_lands_late_changes_nothing() -> Result {
     let cluster = launch(cluster_builder()).await?;
-    let job = job("late", [10]);
+    let job = new_job("late", [10]);
     let lateness = Duration::from_millis(900);
     cluster
         .platform
@@ -53,12 +53,12 @@
 #[tokio::test]
 async fn a_claim_that_lands_after_the_refusal_starts_nothing() -> Result {
     let cluster = launch(cluster_builder()).await?;
-    let job = with_field(job("after", [10]), "deadline_ms", 500);
+    let job = with_field(new_job("after", [10]), "deadline_ms", 500);
     let late = Duration::from_millis(1_500);
     cluster
         .platform
         .update_faults(|f| (f.late_commits, f.commit_delay) = (9, late));
-    let response = post_job(cluster.instances[0].callers, &job, FIRST_SUBMISSION).await?;
+    let response = post_job(cluster.instances[0].caller_address, &job, FIRST_SUBMISSION).await?;
     assert_retryable(&response, Outcome::NotRun);
     cluster.platform.update_faults(|f| f.late_commits = 0);
     wait_until("the claim is written", || async {
@@ -75,25 +75,29 @@
 fn jobs_without_claim(name: &str, range: &str) -> [Value; 3] {
     [
         with_field(
-            job(&format!("{name}-idempotent"), [10]),
+            new_job(&format!("{name}-idempotent"), [10]),
             "class",
             "idempotent",
         ),
         with_field(
-            job(&format!("{name}-range"), [10]),
+            new_job(&format!("{name}-range"), [10]),
             "key",
             format!("{range}.{name}"),
         ),
-        with_field(job(&format!("{name}-keyless"), [10]), "key", Value::Null),
+        with_field(
+            new_job(&format!("{name}-keyless"), [10]),
+            "key",
+            Value::Null,
+        ),
     ]
 }
 
 /// Checks that jobs without a claim complete and others are refused while the table doesn't answer, and returns the latter.
 async fn check_during_outage(cluster: &Cluster, name: &str) -> Result<[Value; 2]> {
-    let callers = cluster.instances[0].callers;
+    let callers = cluster.instances[0].caller_address;
     let (new, old) = (
-        job(&format!("{name}-new"), [10]),
-        job(&format!("{name}-old"), [10]),
+        new_job(&format!("{name}-new"), [10]),
+        new_job(&format!("{name}-old"), [10]),
     );
     assert_retryable(
         &post_job(callers, &new, FIRST_SUBMISSION).await?,
@@ -126,9 +130,9 @@
 #[tokio::test]
 async fn an_outage_refuses_only_what_needs_a_claim() -> Result {
     let cluster = launch(cluster_builder()).await?;
-    cluster.platform.take_down().await;
+    cluster.platform.close().await;
     let down = check_during_outage(&cluster, "down").await?;
-    cluster.platform.bring_up()?;
+    cluster.platform.reopen()?;
     check_after_outage(&cluster, &down).await?;
     cluster.platform.update_faults(|f| f.unavailable = true);
     let unavailable = check_during_outage(&cluster, "unavailable").await?;
@@ -160,7 +164,7 @@
     cluster
         .platform
         .update_faults(|f| f.delay = Duration::from_millis(150));
-    let job = job("slow", [10, 10]);
+    let job = new_job("slow", [10, 10]);
     for instance in [0, 1] {
         submit(&cluster, instance, &job)
             .await?
--- a/tests/proofs/workers.rs
+++ b/tests/proofs/workers.rs
@@ -6,12 +6,12 @@
 const START_ONCE_CLASSES: [&str; 2] = ["once", "non-idempotent"];
 
 fn job_of_class(class: &str, sleep: u64) -> Value {
-    with_field(job(class, [sleep]), "class", class)
+    with_field(new_job(class, [sleep]), "class", class)
 }
 
 /// Runs a job on all workers, so that the instance has idle connections to each.
 async fn open_connections(cluster: &Cluster) -> Result {
-    let job = with_field(job("warm", [30; 16]), "key", Value::Null);
+    let job = with_field(new_job("warm", [30; 16]), "key", Value::Null);
     submit(cluster, 0, &job).await?.assert_complete(&job);
     let is_unused = |worker: &Worker| worker.started_tasks().is_empty();
     assert!(!cluster.workers.iter().any(is_unused));
@@ -93,7 +93,7 @@
             .proxies
             .workers
             .iter()
-            .for_each(|proxy| proxy.blackhole_open());
+            .for_each(|proxy| proxy.blackhole_open_connections());
         submit(&cluster, 0, &job).await?.assert_complete(&job);
         // An idempotent task may have been hedged instead.
         if class != "idempotent" {
@@ -117,10 +117,10 @@
         .proxies
         .workers
         .iter()
-        .for_each(|proxy| proxy.blackhole_open());
+        .for_each(|proxy| proxy.blackhole_open_connections());
     sleep(Duration::from_millis(150)).await;
     let (_, stops) = start_and_stop_counts(&cluster);
-    let job = job("trusted", [20; 8]);
+    let job = new_job("trusted", [20; 8]);
     submit(&cluster, 0, &job).await?.assert_complete(&job);
     assert_start_counts(&cluster, &job, 1);
     assert_eq!(
@@ -144,7 +144,7 @@
             .proxies
             .workers
             .iter()
-            .for_each(|proxy| proxy.blackhole_open());
+            .for_each(|proxy| proxy.blackhole_open_connections());
         caller.await??.assert_complete(&job);
         assert_start_counts(&cluster, &job, 1);
     }
@@ -177,7 +177,7 @@
 #[tokio::test]
 async fn a_job_with_a_failed_task_has_no_results() -> Result {
     let cluster = launch(cluster_builder()).await?;
-    let mut job = job("failed", [10, 200, 90_000]);
+    let mut job = new_job("failed", [10, 200, 90_000]);
     job["tasks"][1]["payload"]["fail"] = json!(true);
     for instance in [0, 1] {
         let response = submit(&cluster, instance, &job).await?;
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -10,10 +10,10 @@
 //! faults. `SOAK_SEEDS=FROM-TO cargo test --test soak` runs other seeds than the default ones.
 #![allow(dead_code)] // Other tests use more of these modules.
 
+#[path = "platform/endpoint.rs"]
+mod endpoint;
 #[path = "platform/fleet.rs"]
 mod fleet;
-#[path = "platform/runner.rs"]
-mod runner;
 #[path = "platform/store.rs"]
 mod store;
 mod support;
@@ -35,7 +35,7 @@
     configure,
     job_body,
     Fleet,
-    Node,
+    Instance,
     PREFIX, //
 };
 use futures::stream::{
@@ -92,7 +92,7 @@
 
 /// The state of an instance across its processes.
 struct Slot {
-    node: Mutex<Arc<Node>>,
+    instance: Mutex<Arc<Instance>>,
     /// The time of the last kill, or of the start or end of the last pause.
     disrupted_at: Mutex<Option<Instant>>,
     /// The logs of its former processes.
@@ -169,13 +169,13 @@
     let (instances, endpoints, callers) = fleet_size();
     let mut fleet =
         Fleet::start_behind_proxies(program(), instances, endpoints, task_duration).await?;
-    let nodes = std::mem::take(&mut fleet.nodes);
-    let slot = |node| Slot {
-        node: Mutex::new(Arc::new(node)),
+    let instances = std::mem::take(&mut fleet.instances);
+    let slot = |instance| Slot {
+        instance: Mutex::new(Arc::new(instance)),
         disrupted_at: Mutex::default(),
         log: Mutex::default(),
     };
-    let slots: Slots = Arc::new(nodes.into_iter().map(slot).collect());
+    let slots: Slots = Arc::new(instances.into_iter().map(slot).collect());
     let ledger: Arc<Mutex<Ledger>> = Arc::default();
     let end = Instant::now() + FAULT_SPAN;
     let callers: Vec<_> = (0..callers)
@@ -217,9 +217,9 @@
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("soak-{seed}"));
     std::fs::create_dir_all(&folder)?;
     for slot in slots.iter() {
-        let node = slot.node.lock().unwrap();
-        let log = slot.log.lock().unwrap().clone() + &node.log();
-        std::fs::write(folder.join(&node.name), log)?;
+        let instance = slot.instance.lock().unwrap();
+        let log = slot.log.lock().unwrap().clone() + &instance.log();
+        std::fs::write(folder.join(&instance.name), log)?;
     }
     println!("  logs are in {}", folder.display());
     Ok(())
@@ -232,9 +232,9 @@
         let mut turn = 0;
         let complete = wait_until("a stored job is complete", || {
             turn += 1;
-            let node = slots[turn % slots.len()].node.lock().unwrap().clone();
+            let instance = slots[turn % slots.len()].instance.lock().unwrap().clone();
             async move {
-                let answer = node.get(&format!("{PREFIX}{id:016x}")).await.ok()?;
+                let answer = instance.get(&format!("{PREFIX}{id:016x}")).await.ok()?;
                 let text = String::from_utf8_lossy(&answer.body).into_owned();
                 text.contains("completed").then_some(())
             }
@@ -257,7 +257,11 @@
     let mut ledger = ledger.lock().unwrap();
     let mut done: HashMap<String, HashSet<String>> = HashMap::new();
     let mut started_at: HashMap<String, Instant> = HashMap::new();
-    for past in fleet.runners.iter().flat_map(|runner| runner.history()) {
+    for past in fleet
+        .endpoints
+        .iter()
+        .flat_map(|endpoint| endpoint.history())
+    {
         let job = past.task.split('.').next().unwrap_or_default().to_owned();
         let first = started_at.entry(job.clone()).or_insert(past.started);
         *first = past.started.min(*first);
@@ -316,7 +320,7 @@
         let id = caller << 32 | job;
         for attempt in 0..3 {
             let slot = &slots[random.random_range(0..slots.len())];
-            let node = slot.node.lock().unwrap().clone();
+            let instance = slot.instance.lock().unwrap().clone();
             let is_aborted = random.random_ratio(1, ABORT_RATIO);
             let wait = match is_aborted {
                 true => Duration::from_millis(random.random_range(1..200)),
@@ -324,15 +328,15 @@
             };
             let estimate = task_duration.as_millis() as u64;
             let body = job_body(TASK_COUNT, estimate, !is_stored);
-            let is_reused = connections.contains_key(&node.ip);
+            let is_reused = connections.contains_key(&instance.ip);
             let submit = async {
-                let mut client = match connections.remove(&node.ip) {
+                let mut client = match connections.remove(&instance.ip) {
                     Some(client) => client,
-                    None => Client::connect(node.caller_address()).await?,
+                    None => Client::connect(instance.caller_address()).await?,
                 };
-                let answer = node.submit_over(&mut client, id, &body).await?;
+                let answer = instance.submit_over(&mut client, id, &body).await?;
                 if is_keep_alive && answer.header("connection") != Some("close") {
-                    connections.insert(node.ip.clone(), client);
+                    connections.insert(instance.ip.clone(), client);
                 }
                 Ok(answer)
             };
@@ -346,9 +350,11 @@
                 ledger.refused.insert(id, false);
                 // After a retry, an earlier submission may have started tasks.
                 if attempt == 0 && !slot.is_disrupted() {
-                    ledger.closed.push((id, node.name.clone(), Instant::now()));
+                    ledger
+                        .closed
+                        .push((id, instance.name.clone(), Instant::now()));
                 }
-            } else if record_answer(&ledger, id, slot, &node.name, &answer) {
+            } else if record_answer(&ledger, id, slot, &instance.name, &answer) {
                 break;
             }
             sleep(RETRY_DELAY).await;
@@ -426,7 +432,7 @@
                 }));
             }
             6 => fleet.store.compact(),
-            7 => fleet.runners[random.random_range(0..fleet.runners.len())].drop_responses(3),
+            7 => fleet.endpoints[random.random_range(0..fleet.endpoints.len())].drop_responses(3),
             _ => {
                 version += 3;
                 configure(&fleet.store, version, 4_000);
@@ -473,7 +479,7 @@
         };
         let link = &links[random.random_range(0..links.len())];
         if random.random_ratio(1, 5) {
-            link.blackhole_open();
+            link.blackhole_open_connections();
             continue;
         }
         link.set_mode(modes[random.random_range(0..modes.len())]);
@@ -489,22 +495,22 @@
 /// Ends an instance with a signal and restarts it after `down`.
 async fn restart(slots: Slots, i: usize, signal: Signal, down: Duration) -> Result {
     let slot = &slots[i];
-    let node = slot.node.lock().unwrap().clone();
+    let instance = slot.instance.lock().unwrap().clone();
     if signal == Signal::SIGKILL {
         *slot.disrupted_at.lock().unwrap() = Some(Instant::now());
     }
-    if node.signal(signal).is_err() {
+    if instance.signal(signal).is_err() {
         // Another fault has ended the instance and restarts it.
         return Ok(());
     }
-    while node.is_running() {
+    while instance.is_running() {
         sleep(Duration::from_millis(20)).await;
     }
-    slot.log.lock().unwrap().push_str(&node.log());
+    slot.log.lock().unwrap().push_str(&instance.log());
     sleep(down).await;
-    let restarted = node.restart(program()).await?;
-    let mut current = slot.node.lock().unwrap();
-    if Arc::ptr_eq(&current, &node) {
+    let restarted = instance.restart(program()).await?;
+    let mut current = slot.instance.lock().unwrap();
+    if Arc::ptr_eq(&current, &instance) {
         *current = Arc::new(restarted);
     }
     Ok(())
@@ -513,13 +519,13 @@
 /// Pauses an instance for a span.
 async fn pause(slots: Slots, i: usize, span: Duration) -> Result {
     let slot = &slots[i];
-    let node = slot.node.lock().unwrap().clone();
+    let instance = slot.instance.lock().unwrap().clone();
     *slot.disrupted_at.lock().unwrap() = Some(Instant::now());
-    if node.signal(Signal::SIGSTOP).is_ok() {
+    if instance.signal(Signal::SIGSTOP).is_ok() {
         sleep(span).await;
         *slot.disrupted_at.lock().unwrap() = Some(Instant::now());
         // Another fault may have killed the instance.
-        node.signal(Signal::SIGCONT).ok();
+        instance.signal(Signal::SIGCONT).ok();
     }
     Ok(())
 }
--- a/tests/standin.rs
+++ b/tests/standin.rs
@@ -91,7 +91,7 @@
 #[tokio::test]
 async fn groups_are_decided_one_by_one() -> Result {
     let platform = Platform::start(Settings::default())?;
-    platform.put("b", "old");
+    platform.put_row("b", "old");
     let mut client = Client::connect(platform.address()).await?;
 
     let answer = client
@@ -143,11 +143,11 @@
     let mut open = Client::connect(platform.address()).await?;
     open.get("/instances").await?;
 
-    platform.take_down().await;
+    platform.close().await;
     assert!(open.get("/instances").await.is_err());
     assert!(Client::connect(platform.address()).await.is_err());
 
-    platform.bring_up()?;
+    platform.reopen()?;
     assert_eq!(
         client::get(platform.address(), "/instances").await?.status,
         200
@@ -245,7 +245,7 @@
     let mut old = Client::connect(proxy.address()).await?;
     old.get("/instances").await?;
 
-    proxy.blackhole_open();
+    proxy.blackhole_open_connections();
 
     tokio::select! {
         biased;
@@ -305,7 +305,10 @@
         .set("timing", "list", "100ms");
 
     let mut first = builder.start().await?;
-    assert_eq!((first.callers.port(), first.peers.port()), (1, 2));
+    assert_eq!(
+        (first.caller_address.port(), first.peer_address.port()),
+        (1, 2)
+    );
     assert!(
         first.log().contains("[timing]\nlist = 100ms\n"),
         "{}",
@@ -314,10 +317,10 @@
     first.pause()?;
     first.stop()?;
     first.resume()?;
-    assert_eq!(first.wait_exit().await?.code(), Some(3));
+    assert_eq!(first.wait_for_exit().await?.code(), Some(3));
 
     let mut second = builder.start().await?;
     second.kill().await?;
-    assert!(second.id().is_none());
+    assert!(second.process_id().is_none());
     Ok(())
 }
--- a/tests/support/cluster.rs
+++ b/tests/support/cluster.rs
@@ -59,7 +59,7 @@
 /// Submits the configuration through the first instance and waits until all instances have it.
 pub async fn apply_records(instances: &[Instance], records: &[Value]) -> Result {
     for instance in instances {
-        instance.wait_ready().await?;
+        instance.wait_until_ready().await?;
     }
     let token = format!("Bearer {TOKEN}");
     let headers = [("authorization", token.as_str())];
@@ -67,7 +67,7 @@
         return Ok(());
     };
     for record in records {
-        let answer = client::post(first.callers, "/v1/records", &headers, record).await?;
+        let answer = client::post(first.caller_address, "/v1/records", &headers, record).await?;
         if !(200..300).contains(&answer.status) {
             let text = String::from_utf8_lossy(&answer.body);
             return Err(
@@ -80,7 +80,7 @@
     let path = format!("/v1/records/{}/{}", text("kind"), text("name"));
     for instance in instances {
         wait_until("the configuration is in force", || async {
-            let mut client = Client::connect(instance.callers).await.ok()?;
+            let mut client = Client::connect(instance.caller_address).await.ok()?;
             let answer = client.send(Method::GET, &path, &headers, "").await.ok()?;
             (answer.status == 200).then_some(())
         })
@@ -266,7 +266,7 @@
     /// Starts an instance and registers it with the platform.
     pub async fn add_instance(&mut self, instance: &instance::Builder) -> Result {
         let instance = instance.start().await?;
-        let mut address = instance.peers;
+        let mut address = instance.peer_address;
         if self.proxies.platform.is_some() {
             let proxy = Proxy::start(address)?;
             address = proxy.address();
@@ -290,7 +290,7 @@
 
     /// Submits a job to one instance and waits for the answer.
     pub async fn submit(&self, instance: usize, job: &Value) -> Result<Response> {
-        submit(self.instances[instance].callers, job).await
+        submit(self.instances[instance].caller_address, job).await
     }
 
     /// Returns the number of starts of each task, by name, over all workers.
@@ -305,7 +305,7 @@
 }
 
 /// Returns a job of tasks named `KEY/0`, `KEY/1` and so on, which sleep for the given milliseconds.
-pub fn job(key: &str, sleeps_ms: impl IntoIterator<Item = u64>) -> Value {
+pub fn new_job(key: &str, sleeps_ms: impl IntoIterator<Item = u64>) -> Value {
     let task = |(i, sleep_ms): (usize, u64)| {
         json!({
             "payload": {"sleep_ms": sleep_ms, "id": format!("{key}/{i}")},
--- a/tests/support/instance.rs
+++ b/tests/support/instance.rs
@@ -130,7 +130,7 @@
             .kill_on_drop(true)
             .spawn()?;
         let addresses = tokio::time::timeout(WAIT_TIMEOUT, read_addresses(&mut child)).await;
-        let (callers, peers) = addresses
+        let (caller_address, peer_address) = addresses
             .map_err(Into::into)
             .and_then(|addresses| addresses)
             .map_err(|e| {
@@ -142,8 +142,8 @@
             })?;
         Ok(Instance {
             builder: self.clone(),
-            callers,
-            peers,
+            caller_address,
+            peer_address,
             child,
             folder,
         })
@@ -181,9 +181,9 @@
     /// The builder; starting it again gives a new process of the same name.
     pub builder: Builder,
     /// The address for callers.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// The address for peers.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     child: Child,
     folder: tempfile::TempDir,
 }
@@ -225,15 +225,15 @@
     }
 
     /// Waits until the process exits.
-    pub async fn wait_exit(&mut self) -> Result<ExitStatus> {
+    pub async fn wait_for_exit(&mut self) -> Result<ExitStatus> {
         Ok(tokio::time::timeout(WAIT_TIMEOUT, self.child.wait()).await??)
     }
 
     /// Waits until the instance reports that it's ready.
-    pub async fn wait_ready(&self) -> Result {
+    pub async fn wait_until_ready(&self) -> Result {
         let what = format!("{} is ready", self.builder.name);
         wait_until(&what, || async {
-            let answer = client::get(self.callers, "/readyz").await.ok()?;
+            let answer = client::get(self.caller_address, "/readyz").await.ok()?;
             (answer.status == 200).then_some(())
         })
         .await
@@ -246,7 +246,7 @@
     }
 
     /// Returns the process id, or `None` once the process has exited.
-    pub fn id(&self) -> Option<u32> {
+    pub fn process_id(&self) -> Option<u32> {
         self.child.id()
     }
 }
--- a/tests/support/platform.rs
+++ b/tests/support/platform.rs
@@ -384,13 +384,13 @@
     }
 
     /// Drops all connections and refuses new ones.
-    pub async fn take_down(&self) {
+    pub async fn close(&self) {
         self.server.close().await;
     }
 
     /// Listens again on the same address.
-    pub fn bring_up(&self) -> Result {
-        Ok(self.server.open()?)
+    pub fn reopen(&self) -> Result {
+        Ok(self.server.reopen()?)
     }
 
     /// Changes the injected faults.
@@ -435,7 +435,7 @@
     }
 
     /// Writes a row without a commit.
-    pub fn put(&self, key: &str, value: &str) {
+    pub fn put_row(&self, key: &str, value: &str) {
         self.shared.state().write(key, Some(value));
     }
 }
--- a/tests/support/proxy.rs
+++ b/tests/support/proxy.rs
@@ -138,7 +138,7 @@
     }
 
     /// Drops all further bytes of the open connections, both ways, and hides their close from the other side.
-    pub fn blackhole_open(&self) {
+    pub fn blackhole_open_connections(&self) {
         self.shared.generation.fetch_add(1, Ordering::SeqCst);
     }
 
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -161,7 +161,7 @@
             max_connections,
             accept_loop: Mutex::default(),
         };
-        server.open()?;
+        server.reopen()?;
         Ok(server)
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// Listens again after a close.
-    pub fn open(&self) -> std::io::Result<()> {
+    pub fn reopen(&self) -> std::io::Result<()> {
         let (handler, max_connections) = (self.handler.clone(), self.max_connections);
         let serve = move |stream| serve(stream, handler.clone());
         let accept_loop = AcceptLoop::start(self.port.listen()?, max_connections, serve);
--- a/tests/support/worker.rs
+++ b/tests/support/worker.rs
@@ -460,7 +460,7 @@
         let mut state = self.shared.state();
         state.attempts.clear();
         state.load = initial_load();
-        Ok(self.server.open()?)
+        Ok(self.server.reopen()?)
     }
 
     /// Returns the counters.
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -1,5 +1,8 @@
 //! Tests of `poplarknot trace`: which lines of which logs it prints, and in which order.
 
+#[path = "platform/endpoint.rs"]
+#[allow(dead_code)]
+mod endpoint;
 #[path = "trace/files.rs"]
 mod files;
 #[path = "platform/fleet.rs"]
@@ -7,9 +10,6 @@
 mod fleet;
 #[path = "trace/incidents.rs"]
 mod incidents;
-#[path = "platform/runner.rs"]
-#[allow(dead_code)]
-mod runner;
 #[path = "trace/runs.rs"]
 mod runs;
 #[path = "platform/store.rs"]
--- a/tests/trace/incidents.rs
+++ b/tests/trace/incidents.rs
@@ -14,7 +14,7 @@
 use crate::{
     fleet::{
         Fleet,
-        Node,
+        Instance,
         PREFIX, //
     },
     store::Behaviour,
@@ -68,11 +68,11 @@
         .map_err(|e| format!("{e}\n{}", fleet.logs()))?;
         // Instances write their lines in batches, so other logs may be a little behind.
         sleep(STEP_DELAY).await;
-        let log = |node: &Node| Log {
-            instance: node.name.clone(),
-            text: node.log(),
+        let log = |instance: &Instance| Log {
+            instance: instance.name.clone(),
+            text: instance.log(),
         };
-        let logs = fleet.nodes.iter().map(log).collect();
+        let logs = fleet.instances.iter().map(log).collect();
         Ok(Self {
             response,
             job,
@@ -83,11 +83,11 @@
 
 async fn start_warm(
     program: &Path,
-    nodes: usize,
-    runners: usize,
+    instances: usize,
+    endpoints: usize,
     task_duration: Duration,
 ) -> Result<Fleet> {
-    let fleet = Fleet::start(program, nodes, runners, task_duration).await?;
+    let fleet = Fleet::start(program, instances, endpoints, task_duration).await?;
     sleep(WARM_UP).await;
     Ok(fleet)
 }
@@ -97,16 +97,16 @@
 pub(crate) async fn lost_instance(program: &Path) -> Result<Incident> {
     let fleet = start_warm(program, 3, 4, UNFINISHED_TASK_DURATION).await?;
     let id = 0xa01;
-    let (first, second) = tokio::join!(fleet.nodes[0].submit(id, 2, 900), async {
+    let (first, second) = tokio::join!(fleet.instances[0].submit(id, 2, 900), async {
         sleep(STEP_DELAY).await;
-        fleet.nodes[0].signal(Signal::SIGKILL)?;
+        fleet.instances[0].signal(Signal::SIGKILL)?;
         // Running tasks go on until they are stopped; new ones get the shorter duration, so that the retry succeeds.
         fleet
-            .runners
+            .endpoints
             .iter()
-            .for_each(|runner| runner.set_task_duration(TASK_DURATION));
+            .for_each(|endpoint| endpoint.set_task_duration(TASK_DURATION));
         sleep(RETRY_DELAY).await;
-        fleet.nodes[1].submit(id, 2, 900).await
+        fleet.instances[1].submit(id, 2, 900).await
     });
     let response = match first {
         Ok(answer) => answer.status.to_string(),
@@ -120,10 +120,10 @@
 pub(crate) async fn lost_endpoint(program: &Path) -> Result<Incident> {
     let mut fleet = start_warm(program, 1, 1, UNFINISHED_TASK_DURATION).await?;
     let id = 0xa02;
-    let runner = fleet.runners.pop();
-    let (answer, ()) = tokio::join!(fleet.nodes[0].submit(id, 2, 900), async {
+    let endpoint = fleet.endpoints.pop();
+    let (answer, ()) = tokio::join!(fleet.instances[0].submit(id, 2, 900), async {
         sleep(STEP_DELAY).await;
-        drop(runner);
+        drop(endpoint);
     });
     let response = answer?.status.to_string();
     Incident::collect(response, id, &fleet, "job_answered").await
@@ -132,12 +132,12 @@
 /// Submits more jobs than the endpoint can run before their deadlines; the last one is refused at once.
 pub(crate) async fn overload(program: &Path) -> Result<Incident> {
     let fleet = start_warm(program, 1, 1, TASK_DURATION).await?;
-    let node = &fleet.nodes[0];
+    let instance = &fleet.instances[0];
     let id = 0xb00 + OVERLOAD_JOBS;
-    let earlier = join_all((0..OVERLOAD_JOBS).map(|n| node.submit(0xb00 + n, 4, 900)));
+    let earlier = join_all((0..OVERLOAD_JOBS).map(|n| instance.submit(0xb00 + n, 4, 900)));
     let (_, answer) = tokio::join!(earlier, async {
         sleep(STEP_DELAY).await;
-        node.submit(id, 4, 900).await
+        instance.submit(id, 4, 900).await
     });
     let response = answer?.status.to_string();
     Incident::collect(response, id, &fleet, "job_refused").await
@@ -152,12 +152,12 @@
     let step = json!({"count": 2, "cpu": 1000, "mem_mb": 64, "estimated_ms": 900});
     let body = json!({"spec": "cell", "steps": [step]});
     let path = |id: u64| format!("{PREFIX}{id:016x}");
-    let node = &fleet.nodes[0];
-    let answer = node.post(&path(before.unwrap_or(id)), &body).await?;
+    let instance = &fleet.instances[0];
+    let answer = instance.post(&path(before.unwrap_or(id)), &body).await?;
     if answer.status != 200 {
         return Err(format!("the first job was answered {}", answer.status).into());
     }
     fleet.store.set_behaviour(Behaviour::Ignore);
-    let response = node.post(&path(id), &body).await?.status.to_string();
+    let response = instance.post(&path(id), &body).await?.status.to_string();
     Incident::collect(response, id, &fleet, "request_unanswered").await
 }
