--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -105,7 +105,7 @@
 
 /// Orders are encoded with the field names of the wire, and replies are decoded by status and reason.
 #[test]
-fn orders_are_written_and_answers_read() {
+fn orders_are_encoded_and_answers_decoded() {
     let task = TaskId {
         job: JobId(0x5c0e_7a21_d94b_36f8),
         step: 1,
@@ -199,7 +199,7 @@
 /// A malformed row leaves the others readable: a value that isn't base64 or a string, a version that is a string, a
 /// row without a key. If it made the whole response invalid, no endpoint would be known and no job served.
 #[test]
-fn unreadable_rows_leave_the_others() {
+fn unreadable_rows_do_not_hide_the_others() {
     let body = br#"{"rows":[{"key":"a","value":"eA==","ver":3},{"key":"b","value":"?","ver":4},
         {"key":"c","value":7,"ver":4},{"key":"d","value":"eA==","ver":"5"},{"value":"eA==","ver":5},
         "row",{"key":"e","value":null,"ver":5},{"key":"f","value":"eQ==","ver":6}],"ver":6}"#;
@@ -221,7 +221,7 @@
 /// A row names an endpoint only if it is complete and has a known state. An unknown state taken for draining would
 /// have the rack of another program's row claimed and polled.
 #[test]
-fn rows_that_name_no_endpoint() {
+fn incomplete_rows_name_no_endpoint() {
     let whole = json!({"service": "s", "address": "10.0.0.9:80", "zone": "a", "state": "ready",
         "capacity": {"cpu": 16000, "mem_mb": 1, "gpu": 0}, "labels": ["a", "r1-3"]});
     let read = |row: &Value| record::parse_endpoint("i-1", row.to_string().as_bytes());
@@ -255,7 +255,7 @@
 
 /// No decoder panics on what another program writes: random bytes, or valid texts with some bytes changed.
 #[test]
-fn decoders_bear_any_bytes() {
+fn decoders_never_panic() {
     fn decode_all(bytes: &[u8]) {
         let _ = store::parse_page(bytes);
         let _ = store::parse_version(bytes);
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -442,7 +442,7 @@
 /// With a key, the burst is sent to the second instance, which recognizes a duplicate only if the resubmission is
 /// identical byte for byte.
 #[test]
-fn submit_with_a_key_is_repeated_to_the_byte() {
+fn submit_with_a_key_resends_the_same_bytes() {
     let first = FakeInstance::new([Action::Close]);
     let second = FakeInstance::new([Action::Answer(200, COMPLETE)]);
     let args = [
@@ -463,7 +463,7 @@
 /// The first request may have run, and the second is refused by a draining instance. "Not run" would be wrong for
 /// the burst, so the outcome must be reported as unknown.
 #[test]
-fn submit_does_not_say_not_run_after_a_lost_request() {
+fn submit_does_not_report_not_run_after_a_lost_request() {
     let first = FakeInstance::new([Action::Close]);
     let second = FakeInstance::new([Action::Answer(503, DRAINING)]);
     let args = [
@@ -483,7 +483,7 @@
 /// The first instance is overloaded and doesn't know whether an earlier request with this key ran. The key makes a
 /// second request safe, so the next instance must be asked.
 #[test]
-fn submit_with_a_key_goes_on_from_an_instance_that_is_in_doubt() {
+fn submit_with_a_key_tries_the_next_instance_after_an_unknown_outcome() {
     const UNKNOWN: &str = r#"{"outcome":"unknown","reason":"busy","detail":"no room"}"#;
     let first = FakeInstance::new([Action::Answer(429, UNKNOWN), Action::Answer(429, UNKNOWN)]);
     let second = FakeInstance::new([Action::Answer(200, COMPLETE)]);
@@ -505,7 +505,7 @@
 /// A key isn't new once a request with it was lost. If it were still announced as new, the next instance could
 /// answer "not run" for a burst that may have run.
 #[test]
-fn submit_says_that_a_key_is_new_only_until_it_may_have_arrived() {
+fn submit_declares_a_key_new_only_until_it_may_have_arrived() {
     let first = FakeInstance::new([Action::Answer(503, DRAINING)]);
     let second = FakeInstance::new([Action::Close]);
     let third = FakeInstance::new([Action::Answer(200, COMPLETE)]);
@@ -529,7 +529,7 @@
 }
 
 #[test]
-fn submit_goes_on_where_nothing_was_run() {
+fn submit_tries_the_next_instance_when_nothing_was_run() {
     let draining = FakeInstance::new([Action::Answer(503, DRAINING)]);
     let last = FakeInstance::new([Action::Answer(200, COMPLETE)]);
     let closed = ClosedPort::new();
@@ -570,7 +570,7 @@
 }
 
 #[test]
-fn record_tells_a_change_that_may_be_in_force() {
+fn record_prints_the_operation_of_a_change_that_may_be_in_force() {
     let fake = FakeInstance::new([Action::Close, Action::Close, Action::Close]);
     let args = [
         "record",
@@ -592,7 +592,7 @@
 }
 
 #[test]
-fn record_and_audit_ask_what_they_are_told_to() {
+fn record_and_audit_send_the_requests_that_their_arguments_name() {
     let cases: [(&[&str], &str); 5] = [
         (&["record", "list"], "GET /v1/records HTTP"),
         (
--- a/tests/events.rs
+++ b/tests/events.rs
@@ -61,14 +61,14 @@
 }
 
 #[test]
-fn every_line_of_the_catalogue_is_an_event() {
+fn every_row_of_the_catalogue_is_an_event() {
     let numbers: Vec<String> = parse_rows().into_iter().map(|row| row.number).collect();
     let events: Vec<String> = Code::ALL.iter().map(|code| number(*code)).collect();
     assert_eq!(numbers, events);
 }
 
 #[test]
-fn every_line_says_what_it_means_and_what_to_do() {
+fn every_row_has_a_meaning_and_an_action() {
     for row in parse_rows() {
         let filled = row.rest.iter().filter(|cell| !cell.is_empty()).count();
         assert_eq!((row.rest.len(), filled), (2, 2), "{}", row.number);
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -96,7 +96,7 @@
 // Task results arrive in any order, some twice, some by a status lookup. A complete answer must have each task's
 // own result at the task's index; any other answer has no results.
 #[test]
-fn an_answer_is_whole_or_has_no_results() {
+fn an_answer_has_all_results_or_none() {
     fn property(steps: Vec<Step>) -> bool {
         let world = run(steps);
         world.answers.iter().all(|(submitted, answer)| {
@@ -135,7 +135,7 @@
 
 // A draining instance must report that it has drained, but only when every request that it accepted has its answer.
 #[test]
-fn a_drain_ends_when_everything_is_answered() {
+fn a_drain_ends_when_every_request_is_answered() {
     fn property(mut steps: Vec<Step>) -> bool {
         let after_drain = steps.split_off(steps.len() / 2);
         let mut world = World::new(LONG_RETENTION);
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -19,8 +19,8 @@
     CRASH, //
 };
 use fleet::{
-    configure,
-    configure_with_idle_timeout,
+    write_configuration,
+    write_configuration_with_idle_timeout,
     Fleet,
     Instance,
     HOST,
@@ -48,10 +48,12 @@
     time::Instant, //
 };
 
-const SHORT: Duration = Duration::from_millis(60);
-const LONG: Duration = Duration::from_millis(900);
+/// The duration of tasks that need not run when a fault begins.
+const SHORT_TASK: Duration = Duration::from_millis(60);
+/// The duration of tasks that run when a fault begins.
+const LONG_TASK: Duration = Duration::from_millis(900);
 /// The longest lease that an endpoint grants.
-const LEASE: Duration = Duration::from_millis(1_000);
+const MAX_LEASE: Duration = Duration::from_millis(1_000);
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_poplarknot"))
@@ -65,7 +67,7 @@
 /// Jobs submitted at every instance are answered once their last task has ended, and each task runs once.
 #[tokio::test(flavor = "multi_thread")]
 async fn jobs_complete() -> Result {
-    let fleet = Fleet::start(program(), 3, 4, SHORT).await?;
+    let fleet = Fleet::start(program(), 3, 4, SHORT_TASK).await?;
     for id in 0..12 {
         let instance = &fleet.instances[id % 3];
         let answer = instance.submit(id as u64, 3, 60).await?;
@@ -81,8 +83,8 @@
 /// An invalid request is refused at once with a status of its own, and nothing runs: an unknown route, a malformed or
 /// too long body, a job whose tasks must run together.
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_requests_are_told() -> Result {
-    let fleet = Fleet::start(program(), 1, 1, SHORT).await?;
+async fn invalid_requests_are_refused_at_once() -> Result {
+    let fleet = Fleet::start(program(), 1, 1, SHORT_TASK).await?;
     let instance = &fleet.instances[0];
     let id = format!("{PREFIX}{:016x}", 1);
     let no_steps = json!({"spec": "x", "best_effort": true, "steps": []});
@@ -113,10 +115,10 @@
 /// A new configuration is in force at every instance in time, even if the store has just compacted its history. While
 /// the store refuses all calls or doesn't answer, the last configuration stays in force.
 #[tokio::test(flavor = "multi_thread")]
-async fn configuration_is_followed() -> Result {
-    let fleet = Fleet::start(program(), 2, 2, SHORT).await?;
+async fn configuration_is_applied_and_kept_in_an_outage() -> Result {
+    let fleet = Fleet::start(program(), 2, 2, SHORT_TASK).await?;
     fleet.store.compact();
-    configure(&fleet.store, 9, 3_000);
+    write_configuration(&fleet.store, 9, 3_000);
     for instance in &fleet.instances {
         wait_until("the configuration is in force", || async {
             instance.log().contains("\"version\":9").then_some(())
@@ -131,15 +133,15 @@
     Ok(())
 }
 
-/// A peer that stalls for longer than a delivery may take gets its envelopes again over a new connection, and the old
-/// one is closed at both ends. Open connections with their buffers would exhaust descriptors and memory.
+/// Messages that a stalled peer doesn't acknowledge in time are sent again over a new connection. The old one must be
+/// closed at both ends; otherwise open connections would exhaust descriptors and memory.
 #[tokio::test(flavor = "multi_thread")]
-async fn given_up_connections_are_closed() -> Result {
+async fn timed_out_peer_connections_are_closed() -> Result {
     const STALLS: u64 = 10;
     /// Longer than the delivery timeout, and shorter than the pause after which an instance treats all its leases as
     /// expired.
     const STALL: Duration = Duration::from_millis(400);
-    let fleet = Fleet::start(program(), 2, 4, SHORT).await?;
+    let fleet = Fleet::start(program(), 2, 4, SHORT_TASK).await?;
     for id in 0..4 {
         let answer = fleet.instances[0].submit(id, 8, 60).await?;
         assert_eq!(job_state(&answer), "completed");
@@ -157,17 +159,20 @@
     }
     for instance in &fleet.instances {
         let open = instance.count_peer_connections()?;
-        assert!(open <= 2, "{} has {open} with its only peer", instance.name);
+        assert!(
+            open <= 2,
+            "{} has {open} connections with its only peer",
+            instance.name
+        );
     }
     Ok(())
 }
 
-/// Rows of other programs in the endpoint table don't hide the endpoints: neither unreadable values nor unknown
-/// states, services and types. If one such row made the whole response invalid, an instance that starts would know no
-/// endpoint and never become ready. An endpoint whose own row becomes unreadable gets no new tasks.
+/// Unreadable or foreign rows in the endpoint table must not hide the endpoints; a starting instance would never become
+/// ready. An endpoint whose own row becomes unreadable gets no new tasks.
 #[tokio::test(flavor = "multi_thread")]
 async fn rows_of_other_programs_name_no_endpoint() -> Result {
-    let fleet = Fleet::start(program(), 1, 4, SHORT).await?;
+    let fleet = Fleet::start(program(), 1, 4, SHORT_TASK).await?;
     let row = |service: &str, state: &str, address: &str| {
         json!({"service": service, "address": address, "zone": "ulemiste", "state": state,
             "capacity": {"cpu": 4_000, "mem_mb": 4_000}, "labels": ["a", "r9"]})
@@ -207,18 +212,17 @@
     Ok(())
 }
 
-/// A request that arrives as the idle timeout passes is answered. An instance short of processor time finds both in
-/// the same turn; if the timeout went first, a caller that has sent a complete request would get neither an answer
-/// nor a refusal.
+/// A request that arrives as the idle timeout passes must be answered. An instance short of processor time finds both at
+/// once, and a timeout that is handled first would leave the complete request without an answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn request_goes_before_the_idle_timeout() -> Result {
+async fn request_takes_precedence_over_the_idle_timeout() -> Result {
     const CONNECTIONS: usize = 24;
     const IDLE: Duration = Duration::from_millis(400);
     /// Shorter than the pause after which an instance treats all its leases as expired.
     const STALL: Duration = Duration::from_millis(300);
-    let fleet = Fleet::start(program(), 1, 1, SHORT).await?;
+    let fleet = Fleet::start(program(), 1, 1, SHORT_TASK).await?;
     let instance = &fleet.instances[0];
-    configure_with_idle_timeout(&fleet.store, 9, 4_000, IDLE.as_millis() as u64);
+    write_configuration_with_idle_timeout(&fleet.store, 9, 4_000, IDLE.as_millis() as u64);
     wait_until("the configuration is in force", || async {
         instance.log().contains("\"version\":9").then_some(())
     })
@@ -259,19 +263,19 @@
     assert_eq!(
         unanswered,
         0,
-        "of {CONNECTIONS} requests; {}",
+        "requests of {CONNECTIONS} were not answered; {}",
         instance.log()
     );
     Ok(())
 }
 
-/// A connection with half a request head is closed some seconds after the idle timeout. Otherwise such connections
-/// would take the places of all others.
+/// A connection with half a request head must be closed some seconds after the idle timeout. Otherwise such connections
+/// would exhaust the limit.
 #[tokio::test(flavor = "multi_thread")]
-async fn half_a_request_keeps_no_connection() -> Result {
-    let fleet = Fleet::start(program(), 1, 1, SHORT).await?;
+async fn connection_with_half_a_request_is_closed() -> Result {
+    let fleet = Fleet::start(program(), 1, 1, SHORT_TASK).await?;
     let instance = &fleet.instances[0];
-    configure_with_idle_timeout(&fleet.store, 9, 4_000, 400);
+    write_configuration_with_idle_timeout(&fleet.store, 9, 4_000, 400);
     wait_until("the configuration is in force", || async {
         instance.log().contains("\"version\":9").then_some(())
     })
@@ -286,8 +290,8 @@
 /// A caller whose instance is killed retries at another one after 1.3 s. By then the tasks of the first attempt are
 /// stopped, so that none runs twice at a time, and the second attempt completes.
 #[tokio::test(flavor = "multi_thread")]
-async fn killed_instance_is_outlived() -> Result {
-    let fleet = Fleet::start(program(), 3, 4, LONG).await?;
+async fn retry_after_a_kill_completes() -> Result {
+    let fleet = Fleet::start(program(), 3, 4, LONG_TASK).await?;
     let (first, second) = tokio::join!(fleet.instances[0].submit(5, 4, 900), async {
         tokio::time::sleep(Duration::from_millis(300)).await;
         fleet.instances[0].signal(Signal::SIGKILL)?;
@@ -303,8 +307,8 @@
 /// An instance that gets SIGTERM hands over its racks with the tasks that run there. Every caller gets its complete
 /// answer, nothing runs again, and the instance exits in time.
 #[tokio::test(flavor = "multi_thread")]
-async fn drain_cuts_nothing_off() -> Result {
-    let mut fleet = Fleet::start(program(), 3, 4, LONG).await?;
+async fn drain_completes_all_jobs() -> Result {
+    let mut fleet = Fleet::start(program(), 3, 4, LONG_TASK).await?;
     let instances = &fleet.instances;
     let (one, two, three) = tokio::join!(
         instances[0].submit(1, 3, 900),
@@ -328,7 +332,7 @@
 /// state, and serves again.
 #[tokio::test(flavor = "multi_thread")]
 async fn paused_instance_recovers() -> Result {
-    let fleet = Fleet::start(program(), 3, 4, SHORT).await?;
+    let fleet = Fleet::start(program(), 3, 4, SHORT_TASK).await?;
     fleet.instances[1].signal(Signal::SIGSTOP)?;
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let answer = fleet.instances[0].submit(1, 6, 60).await?;
@@ -347,8 +351,8 @@
 /// Starts that an endpoint carries out without answering are sent again over new connections and confirmed; each task
 /// runs once.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_answers_are_asked_again() -> Result {
-    let fleet = Fleet::start(program(), 1, 1, SHORT).await?;
+async fn starts_without_an_answer_are_sent_again() -> Result {
+    let fleet = Fleet::start(program(), 1, 1, SHORT_TASK).await?;
     fleet.endpoints[0].drop_responses(2);
     let answer = fleet.instances[0].submit(1, 3, 60).await?;
     assert_eq!(
@@ -363,10 +367,10 @@
 
 /// A draining endpoint gets no new tasks, and jobs run elsewhere.
 #[tokio::test(flavor = "multi_thread")]
-async fn leaving_endpoint_gets_nothing_new() -> Result {
-    let fleet = Fleet::start(program(), 2, 4, SHORT).await?;
+async fn draining_endpoint_gets_no_new_tasks() -> Result {
+    let fleet = Fleet::start(program(), 2, 4, SHORT_TASK).await?;
     fleet.endpoints[0].start_draining(&fleet.store);
-    wait_until("an owner has noticed", || async {
+    wait_until("an owner has read the drain", || async {
         fleet.logs().contains("endpoint_leaving").then_some(())
     })
     .await?;
@@ -386,8 +390,8 @@
 /// An evacuated data centre gets no new tasks, even if an instance restarts or the store compacts its history, while
 /// tasks that run there end by themselves. It is used again once the evacuation is withdrawn.
 #[tokio::test(flavor = "multi_thread")]
-async fn evacuated_centre_gets_nothing_new() -> Result {
-    let mut fleet = Fleet::start(program(), 2, 4, LONG).await?;
+async fn evacuated_centre_gets_no_new_tasks() -> Result {
+    let mut fleet = Fleet::start(program(), 2, 4, LONG_TASK).await?;
     let first = fleet.instances[0].submit(90, 12, 900);
     let runs_in_centre = |fleet: &Fleet| -> usize {
         [0, 2]
@@ -401,14 +405,14 @@
         })
         .await?;
         fleet.store.set("op", "evacuate/ulemiste", &json!({}));
-        wait_until("all instances have noticed", || async {
-            let noticed = |instance: &Instance| instance.log().contains("centre_evacuated");
-            fleet.instances.iter().all(noticed).then_some(())
+        wait_until("all instances have read the evacuation", || async {
+            let has_read = |instance: &Instance| instance.log().contains("centre_evacuated");
+            fleet.instances.iter().all(has_read).then_some(())
         })
         .await
     };
-    let (answer, noticed) = tokio::join!(first, evacuate);
-    noticed?;
+    let (answer, evacuated) = tokio::join!(first, evacuate);
+    evacuated?;
     assert_eq!(job_state(&answer?), "completed", "{}", fleet.logs());
     let before = runs_in_centre(&fleet);
     assert_eq!(
@@ -428,9 +432,9 @@
     }
     assert_eq!(runs_in_centre(&fleet), before, "{}", fleet.logs());
     fleet.store.remove("op", "evacuate/ulemiste");
-    wait_until("all instances have noticed", || async {
-        let noticed = |instance: &Instance| instance.log().contains("centre_returned");
-        fleet.instances.iter().all(noticed).then_some(())
+    wait_until("all instances have read the withdrawal", || async {
+        let has_read = |instance: &Instance| instance.log().contains("centre_returned");
+        fleet.instances.iter().all(has_read).then_some(())
     })
     .await?;
     assert_eq!(
@@ -450,8 +454,8 @@
 /// An endpoint restarts under its name, with its clock and the serials of ended runs reset. The tasks that it ran are
 /// run again, and the ends of later ones are noticed although their serials were seen before.
 #[tokio::test(flavor = "multi_thread")]
-async fn endpoint_starts_again_under_its_name() -> Result {
-    let mut fleet = Fleet::start(program(), 2, 2, LONG).await?;
+async fn restarted_endpoint_runs_its_tasks_again() -> Result {
+    let mut fleet = Fleet::start(program(), 2, 2, LONG_TASK).await?;
     for id in 0..3 {
         let answer = fleet.instances[0].submit(id, 4, 900).await?;
         assert_eq!(job_state(&answer), "completed", "{}", fleet.logs());
@@ -459,7 +463,7 @@
     let job = fleet.instances[0].submit(10, 8, 900);
     let mut endpoints = std::mem::take(&mut fleet.endpoints);
     let restart = async {
-        tokio::time::sleep(LONG / 3).await;
+        tokio::time::sleep(LONG_TASK / 3).await;
         for endpoint in &mut endpoints {
             endpoint.restart(&fleet.store);
         }
@@ -477,13 +481,13 @@
 /// another job, which must not fail, shared the second. Other jobs are served in the meantime.
 #[tokio::test(flavor = "multi_thread")]
 async fn task_that_crashes_endpoints_fails_its_job() -> Result {
-    let fleet = Fleet::start(program(), 2, 3, SHORT).await?;
+    let fleet = Fleet::start(program(), 2, 3, SHORT_TASK).await?;
     let crash = fleet.instances[0].submit_spec(1, CRASH);
     let others = async {
         for id in 2..12 {
             let answer = fleet.instances[1].submit(id, 1, 60).await?;
             assert_eq!(job_state(&answer), "completed", "{}", fleet.logs());
-            tokio::time::sleep(SHORT * 4).await;
+            tokio::time::sleep(SHORT_TASK * 4).await;
         }
         Result::Ok(())
     };
@@ -491,14 +495,19 @@
     others?;
     assert_eq!(job_state(&answer?), "failed", "{}", fleet.logs());
     // Tasks that ran on the same endpoint are lost too, and run again.
-    let of_each = fleet.endpoints.iter();
-    let mut crashes: Vec<Crash> = of_each
+    let mut crashes: Vec<Crash> = fleet
+        .endpoints
+        .iter()
         .flat_map(|endpoint| endpoint.crashes_of_job("0000000000000001."))
         .collect();
     crashes.sort_by_key(|crash| crash.at);
     let second_shared = crashes.get(1).is_some_and(|crash| crash.shared);
-    let most = 2 + usize::from(second_shared);
-    assert!((2..=most).contains(&crashes.len()), "{}", fleet.logs());
+    let max_crashes = 2 + usize::from(second_shared);
+    assert!(
+        (2..=max_crashes).contains(&crashes.len()),
+        "{}",
+        fleet.logs()
+    );
     fleet.assert_no_overlapping_runs();
     Ok(())
 }
@@ -506,27 +515,27 @@
 /// An endpoint that doesn't check its capacity loses half of it while full. No task starts there until enough have
 /// ended, and it is filled again once the capacity is back.
 #[tokio::test(flavor = "multi_thread")]
-async fn capacity_that_shrinks_is_kept_to() -> Result {
-    let mut fleet = Fleet::start(program(), 1, 1, LONG).await?;
+async fn reduced_capacity_is_respected() -> Result {
+    let mut fleet = Fleet::start(program(), 1, 1, LONG_TASK).await?;
     let mut endpoint = fleet.endpoints.remove(0);
     let job = fleet.instances[0].submit(1, 10, 900);
-    let resize = async {
-        tokio::time::sleep(LONG / 3).await;
-        endpoint.resize(&fleet.store, 2);
+    let shrink = async {
+        tokio::time::sleep(LONG_TASK / 3).await;
+        endpoint.set_unchecked_capacity(&fleet.store, 2);
     };
-    let (answer, ()) = tokio::join!(job, resize);
+    let (answer, ()) = tokio::join!(job, shrink);
     assert_eq!(job_state(&answer?), "completed", "{}", fleet.logs());
     let runs = endpoint.history();
-    let shrunk = runs[0].started + LONG;
+    let shrunk_at = runs[0].started_at + LONG_TASK;
     let running_at = |at: Instant| {
         runs.iter()
-            .filter(|p| p.started <= at && p.ended.is_none_or(|u| u > at))
+            .filter(|p| p.started_at <= at && p.ended_at.is_none_or(|u| u > at))
             .count()
     };
-    for run in runs.iter().filter(|run| run.started > shrunk) {
-        assert!(running_at(run.started) <= 2, "{runs:?}");
+    for run in runs.iter().filter(|run| run.started_at > shrunk_at) {
+        assert!(running_at(run.started_at) <= 2, "{runs:?}");
     }
-    endpoint.resize(&fleet.store, 4);
+    endpoint.set_unchecked_capacity(&fleet.store, 4);
     assert_eq!(
         job_state(&fleet.instances[0].submit(2, 8, 900).await?),
         "completed"
@@ -536,8 +545,8 @@
 
 /// All instances are killed at once, so that only the store survives. Once restarted they find each other and serve.
 #[tokio::test(flavor = "multi_thread")]
-async fn all_are_killed() -> Result {
-    let mut fleet = Fleet::start(program(), 2, 2, SHORT).await?;
+async fn fleet_recovers_from_a_kill_of_all_instances() -> Result {
+    let mut fleet = Fleet::start(program(), 2, 2, SHORT_TASK).await?;
     for instance in &mut fleet.instances {
         instance.signal(Signal::SIGKILL)?;
         instance.wait_for_exit().await?;
@@ -557,8 +566,8 @@
 
 /// The log leads from a refused job's ID to the cause, and the metrics count the refusal.
 #[tokio::test(flavor = "multi_thread")]
-async fn log_and_metrics_tell_the_cause() -> Result {
-    let fleet = Fleet::start(program(), 1, 1, SHORT).await?;
+async fn log_and_metrics_show_the_cause_of_a_refusal() -> Result {
+    let fleet = Fleet::start(program(), 1, 1, SHORT_TASK).await?;
     let instance = &fleet.instances[0];
     let answer = instance.submit(0xabc, 1, 60_000).await?;
     assert_eq!(answer.status, 503);
@@ -576,12 +585,11 @@
     Ok(())
 }
 
-/// An accepted job survives the kill of all instances in its first step: those that start read it from the store and
-/// run the rest. A run whose end nobody noticed counts, unless the endpoint's lease expired before a new owner came;
-/// then the task may run again, after the lease.
+/// An accepted job survives the kill of all instances in its first step: restarted ones read it from the store and run the
+/// rest. A task may run again only after the endpoint's lease has expired.
 #[tokio::test(flavor = "multi_thread")]
-async fn stored_job_outlives_all_instances() -> Result {
-    let mut fleet = Fleet::start(program(), 2, 2, LONG).await?;
+async fn stored_job_survives_a_kill_of_all_instances() -> Result {
+    let mut fleet = Fleet::start(program(), 2, 2, LONG_TASK).await?;
     let path = format!("{PREFIX}{:016x}", 0x51);
     let answer = fleet.instances[0]
         .post(&path, &stored_job_body(3, &[0]))
@@ -590,7 +598,7 @@
     for instance in &fleet.instances {
         instance.signal(Signal::SIGKILL)?;
     }
-    let killed = Instant::now();
+    let killed_at = Instant::now();
     for i in 0..fleet.instances.len() {
         fleet.instances[i].wait_for_exit().await?;
         fleet.instances[i] = fleet.instances[i].restart(program()).await?;
@@ -614,9 +622,12 @@
     for run in &done {
         let rerun = done
             .iter()
-            .find(|p| p.task == run.task && p.started > run.started);
-        let lapsed = rerun.is_none_or(|rerun| rerun.started > killed + LEASE);
-        assert!(lapsed, "{run:?} and {rerun:?}");
+            .find(|p| p.task == run.task && p.started_at > run.started_at);
+        let is_after_lease = rerun.is_none_or(|rerun| rerun.started_at > killed_at + MAX_LEASE);
+        assert!(
+            is_after_lease,
+            "{rerun:?} started before the lease of {run:?} expired"
+        );
     }
     Ok(())
 }
@@ -653,7 +664,7 @@
             .endpoints
             .iter()
             .flat_map(|endpoint| endpoint.history());
-        runs.all(|p| p.ended.is_some()).then_some(())
+        runs.all(|p| p.ended_at.is_some()).then_some(())
     })
     .await
 }
--- a/tests/platform/endpoint.rs
+++ b/tests/platform/endpoint.rs
@@ -29,7 +29,7 @@
 use crate::support::{
     proxy::Proxy,
     server::{
-        json_response as answer,
+        json_response,
         Request,
         Response,
         Server, //
@@ -39,13 +39,13 @@
 /// The `spec` of a task that crashes its endpoint.
 pub(crate) const CRASH: &str = "crash";
 
-/// How long an endpoint is down after a crash.
+/// The time for which an endpoint is down after a crash.
 const CRASH_DOWNTIME: Duration = Duration::from_millis(1_500);
 
 /// The time on an endpoint's clock when it starts, in milliseconds.
 const INITIAL_CLOCK_MS: u64 = 5_000;
 
-/// When an endpoint's first process started, in milliseconds since 1970.
+/// The start of an endpoint's first process, in milliseconds since 1970.
 const FIRST_BORN_MS: u64 = 1_700_000_000_000;
 
 /// A run of a task, with its start and end.
@@ -53,12 +53,12 @@
 pub(crate) struct Execution {
     pub(crate) task: String,
     pub(crate) run: u64,
-    pub(crate) started: Instant,
-    pub(crate) ended: Option<Instant>,
+    pub(crate) started_at: Instant,
+    pub(crate) ended_at: Option<Instant>,
     pub(crate) outcome: &'static str,
 }
 
-/// How long an owner may be unaware of a run's end, so that it still counts the run.
+/// The time for which an owner may be unaware of a run's end and still count the run.
 const END_REPORT_DELAY: Duration = Duration::from_millis(150);
 
 /// A crash in a run of a job.
@@ -68,7 +68,7 @@
     pub(crate) shared: bool,
 }
 
-struct Active {
+struct ActiveRun {
     run: u64,
     ends_at: Instant,
     history_index: usize,
@@ -76,31 +76,36 @@
 
 #[derive(Default)]
 struct State {
-    running: HashMap<String, Active>,
+    running: HashMap<String, ActiveRun>,
+    /// Ended runs that no instance has acknowledged: serial, task, run and outcome.
     finished: Vec<(u64, String, u64, &'static str)>,
+    /// The last run of each task that must not start.
     forbidden_runs: BTreeMap<String, u64>,
     history: Vec<Execution>,
     /// Tasks of orders that arrived while the endpoint was down, with the times.
     orders_while_down: Vec<(String, Instant)>,
+    /// The serial of the last ended run.
     serial: u64,
+    /// The time on the endpoint's clock, in milliseconds, at which unfinished runs end.
     lease: u64,
+    /// The highest fencing token received.
     token: u64,
     /// When the process started, in milliseconds since 1970 and on the test's clock.
     born: u64,
     started_at: Option<Instant>,
-    /// Until when the endpoint is down: it answers nothing, and restarts then.
+    /// The end of the downtime after a crash: until then the endpoint answers nothing, then it restarts.
     down_until: Option<Instant>,
     /// Whether it starts tasks beyond its capacity.
-    unguarded: bool,
+    ignores_capacity: bool,
     /// How long tasks run.
     task_duration: Duration,
-    /// How many tasks fit.
+    /// The number of tasks that fit.
     slots: usize,
-    /// How many of the next orders are carried out without an answer.
+    /// The number of next orders that are carried out without an answer.
     responses_to_drop: usize,
 }
 
-/// An endpoint.
+/// A running endpoint; stopped when dropped.
 pub(crate) struct Endpoint {
     pub(crate) id: String,
     state: Arc<Mutex<State>>,
@@ -127,7 +132,7 @@
         let (s, name) = (state.clone(), id.to_owned());
         let server = Server::start(64, move |request| {
             let (state, ended, name) = (s.clone(), ended.clone(), name.clone());
-            async move { serve(&state, &ended, &name, request).await }
+            async move { handle_request(&state, &ended, &name, request).await }
         })?;
         let address = server.address().to_string();
         let row = json!({
@@ -171,21 +176,22 @@
     /// Returns the crashes in runs of a job's tasks.
     pub(crate) fn crashes_of_job(&self, job: &str) -> Vec<Crash> {
         let state = self.state.lock().unwrap();
-        let own = |task: &str| task.starts_with(job);
+        let is_own = |task: &str| task.starts_with(job);
         let crash = |past: &Execution| {
             let at = past
-                .ended
-                .filter(|_| own(&past.task) && past.outcome == "crashed")?;
-            let beside = |other: &Execution| {
-                let ended = other.ended.map_or(at, |until| until + END_REPORT_DELAY);
-                !own(&other.task) && other.started <= at && ended >= at
+                .ended_at
+                .filter(|_| is_own(&past.task) && past.outcome == "crashed")?;
+            let ran_beside = |other: &Execution| {
+                let ended = other.ended_at.map_or(at, |until| until + END_REPORT_DELAY);
+                !is_own(&other.task) && other.started_at <= at && ended >= at
             };
-            let mut missed = state
+            let mut orders_of_others = state
                 .orders_while_down
                 .iter()
-                .filter(|(task, _)| !own(task));
-            let ordered = missed.any(|(_, when)| *when >= at && *when <= at + CRASH_DOWNTIME);
-            let shared = ordered || state.history.iter().any(beside);
+                .filter(|(task, _)| !is_own(task));
+            let was_ordered =
+                orders_of_others.any(|(_, when)| *when >= at && *when <= at + CRASH_DOWNTIME);
+            let shared = was_ordered || state.history.iter().any(ran_beside);
             Some(Crash { at, shared })
         };
         state.history.iter().filter_map(crash).collect()
@@ -200,9 +206,9 @@
         self.register(store);
     }
 
-    /// Changes the capacity in the row, and stops checking it.
-    pub(crate) fn resize(&mut self, store: &Store, slots: usize) {
-        self.state.lock().unwrap().unguarded = true;
+    /// Changes the capacity in the row, and makes the endpoint accept tasks beyond it.
+    pub(crate) fn set_unchecked_capacity(&mut self, store: &Store, slots: usize) {
+        self.state.lock().unwrap().ignores_capacity = true;
         self.row["capacity"]["cpu"] = json!(slots * 1_000);
         self.register(store);
     }
@@ -213,7 +219,7 @@
         self.state.lock().unwrap().task_duration = task_duration;
     }
 
-    /// Carries out the next orders without answering them.
+    /// Makes the endpoint carry out the next `orders` orders without answering them.
     pub(crate) fn drop_responses(&self, orders: usize) {
         self.state.lock().unwrap().responses_to_drop = orders;
     }
@@ -224,7 +230,7 @@
     fn crash(&mut self) {
         for run in std::mem::take(&mut self.running).into_values() {
             (
-                self.history[run.history_index].ended,
+                self.history[run.history_index].ended_at,
                 self.history[run.history_index].outcome,
             ) = (Some(Instant::now()), "crashed");
         }
@@ -238,7 +244,7 @@
             started_at: Some(Instant::now()),
             task_duration: self.task_duration,
             slots: self.slots,
-            unguarded: self.unguarded,
+            ignores_capacity: self.ignores_capacity,
             history: std::mem::take(&mut self.history),
             orders_while_down: std::mem::take(&mut self.orders_while_down),
             ..Self::default()
@@ -267,28 +273,29 @@
     fn end_due_runs(&mut self) {
         let now = Instant::now();
         let started_at = self.started_at.unwrap_or(now);
-        let lapse = started_at + Duration::from_millis(self.lease.saturating_sub(INITIAL_CLOCK_MS));
-        let over: Vec<(String, Instant)> = self
+        let lease_end =
+            started_at + Duration::from_millis(self.lease.saturating_sub(INITIAL_CLOCK_MS));
+        let due: Vec<(String, Instant)> = self
             .running
             .iter()
-            .map(|(task, run)| (task.clone(), run.ends_at.min(lapse)))
+            .map(|(task, run)| (task.clone(), run.ends_at.min(lease_end)))
             .filter(|(_, end)| *end <= now)
             .collect();
-        for (task, end) in over {
-            let done = self.running[&task].ends_at <= lapse;
+        for (task, end) in due {
+            let done = self.running[&task].ends_at <= lease_end;
             self.end(&task, if done { "done" } else { "lapsed" }, end);
         }
     }
 
-    fn end(&mut self, task: &str, how: &'static str, at: Instant) {
+    fn end(&mut self, task: &str, outcome: &'static str, at: Instant) {
         let Some(run) = self.running.remove(task) else {
             return;
         };
         self.serial += 1;
-        let past = &mut self.history[run.history_index];
-        (past.ended, past.outcome) = (Some(at), how);
+        let execution = &mut self.history[run.history_index];
+        (execution.ended_at, execution.outcome) = (Some(at), outcome);
         self.forbid_run(task, run.run);
-        let row = (self.serial, task.to_owned(), run.run, how);
+        let row = (self.serial, task.to_owned(), run.run, outcome);
         self.finished.push(row);
     }
 
@@ -306,7 +313,11 @@
         ) else {
             return Err("malformed");
         };
-        if self.running.get(task).is_some_and(|known| known.run == run) {
+        if self
+            .running
+            .get(task)
+            .is_some_and(|active| active.run == run)
+        {
             return Ok(());
         }
         if self
@@ -319,12 +330,12 @@
         if lease <= clock {
             return Err("late");
         }
-        if !self.unguarded && self.running.len() >= self.slots {
+        if !self.ignores_capacity && self.running.len() >= self.slots {
             return Err("room");
         }
         self.lease = self.lease.max(lease.min(clock + 1_000));
         let now = Instant::now();
-        let active = Active {
+        let active = ActiveRun {
             run,
             ends_at: now + self.task_duration,
             history_index: self.history.len(),
@@ -332,8 +343,8 @@
         self.history.push(Execution {
             task: task.to_owned(),
             run,
-            started: now,
-            ended: None,
+            started_at: now,
+            ended_at: None,
             outcome: "",
         });
         self.running.insert(task.to_owned(), active);
@@ -345,17 +356,22 @@
         let running: Vec<Value> = running.map(|(t, r)| json!([t, r.run, "", 40])).collect();
         let finished = self.finished.iter();
         let finished: Vec<Value> = finished
-            .map(|(n, task, run, how)| json!([n, task, run, how, ""]))
+            .map(|(serial, task, run, outcome)| json!([serial, task, run, outcome, ""]))
             .collect();
         json!({"clock_ms": self.clock(), "born": self.born, "running": running, "finished": finished})
     }
 }
 
-async fn serve(state: &Mutex<State>, ended: &Notify, name: &str, request: Request) -> Response {
+async fn handle_request(
+    state: &Mutex<State>,
+    ended: &Notify,
+    name: &str,
+    request: Request,
+) -> Response {
     let body: Value = serde_json::from_slice(&request.body).ok()?;
     let expected = request.header("x-poplarknot-expected-instance");
     if expected.is_some_and(|expected| expected != name) {
-        return answer(421, &json!({}));
+        return json_response(421, &json!({}));
     }
     let response = {
         let mut state = state.lock().unwrap();
@@ -370,7 +386,7 @@
         state.end_due_runs();
         let token = body["fencing_token"].as_u64().unwrap_or(0);
         if token < state.token {
-            return answer(409, &json!({"clock_ms": state.clock(), "reason": "fence"}));
+            return json_response(409, &json!({"clock_ms": state.clock(), "reason": "fence"}));
         }
         state.token = token;
         let response = match request.path.as_str() {
@@ -383,8 +399,10 @@
                 }
                 let clock = state.clock();
                 Some(match started {
-                    Ok(()) => answer(200, &json!({"clock_ms": clock})),
-                    Err(reason) => answer(409, &json!({"clock_ms": clock, "reason": reason})),
+                    Ok(()) => json_response(200, &json!({"clock_ms": clock})),
+                    Err(reason) => {
+                        json_response(409, &json!({"clock_ms": clock, "reason": reason}))
+                    }
                 })
             }
             "/api/run-stop" => {
@@ -392,13 +410,13 @@
                 if state
                     .running
                     .get(task)
-                    .is_some_and(|known| known.run <= run)
+                    .is_some_and(|active| active.run <= run)
                 {
                     state.end(task, "stopped", Instant::now());
                     ended.notify_waiters();
                 }
                 state.forbid_run(task, run);
-                Some(answer(200, &json!({"clock_ms": state.clock()})))
+                Some(json_response(200, &json!({"clock_ms": state.clock()})))
             }
             "/api/hold" => {
                 if let Some(lease) = body["deadline_ms"].as_u64() {
@@ -408,7 +426,7 @@
                 state.finished.retain(|(n, ..)| *n > seen);
                 None
             }
-            _ => return answer(404, &json!({})),
+            _ => return json_response(404, &json!({})),
         };
         if response.is_some() && state.responses_to_drop > 0 {
             state.responses_to_drop -= 1;
@@ -434,7 +452,7 @@
             }
             state.end_due_runs();
             if !state.finished.is_empty() || Instant::now() >= until {
-                return answer(200, &state.lists());
+                return json_response(200, &state.lists());
             }
             state.running.values().map(|run| run.ends_at).min()
         };
--- a/tests/platform/fleet.rs
+++ b/tests/platform/fleet.rs
@@ -95,7 +95,7 @@
     ) -> Result<Self> {
         let folder = tempfile::tempdir()?;
         let settings = folder.path().join("boot.toml");
-        std::fs::write(&settings, settings_file(name, centre, store, &ip))?;
+        std::fs::write(&settings, render_settings(name, centre, store, &ip))?;
         let log = File::create(folder.path().join("log"))?;
         let child = Command::new(program)
             .args(["dispatch", "--settings"])
@@ -180,7 +180,7 @@
         Ok(kill(Pid::from_raw(id.try_into()?), signal)?)
     }
 
-    #[allow(dead_code)] // Used by the soak only.
+    #[allow(dead_code)] // Used by the soak test only.
     /// Returns whether the process runs, and reaps it if it has exited.
     pub(crate) fn is_running(&self) -> bool {
         let ended = self.child.lock().unwrap().try_wait();
@@ -245,7 +245,7 @@
     }
 }
 
-fn settings_file(name: &str, centre: &str, store: &str, ip: &str) -> String {
+fn render_settings(name: &str, centre: &str, store: &str, ip: &str) -> String {
     format!(
         r#"node = "{name}"
 zone = "{centre}"
@@ -295,7 +295,7 @@
         Self::assemble(program, instances, endpoints, task_duration, false).await
     }
 
-    #[allow(dead_code)] // Used by the soak only.
+    #[allow(dead_code)] // Used by the soak test only.
     /// Starts a fleet with proxies between the instances and what they call.
     pub(crate) async fn start_behind_proxies(
         program: &Path,
@@ -314,7 +314,7 @@
         proxied: bool,
     ) -> Result<Self> {
         let store = Store::start()?;
-        configure(&store, 7, 4_000);
+        write_configuration(&store, 7, 4_000);
         let centre = |i: usize| ["ulemiste", "maardu"][i % 2];
         let mut fleet = Self {
             store,
@@ -355,9 +355,12 @@
         let runs: Vec<_> = self.endpoints.iter().flat_map(|r| r.history()).collect();
         for (i, one) in runs.iter().enumerate() {
             for other in &runs[i + 1..] {
-                let disjoint = one.ended.is_some_and(|u| u <= other.started)
-                    || other.ended.is_some_and(|u| u <= one.started);
-                assert!(one.task != other.task || disjoint, "{one:?} and {other:?}");
+                let disjoint = one.ended_at.is_some_and(|end| end <= other.started_at)
+                    || other.ended_at.is_some_and(|end| end <= one.started_at);
+                assert!(
+                    one.task != other.task || disjoint,
+                    "{one:?} and {other:?} overlap"
+                );
             }
         }
         runs.len()
@@ -377,12 +380,17 @@
 }
 
 /// Writes a configuration with one route; `timeout` is in milliseconds.
-pub(crate) fn configure(store: &Store, version: u64, timeout: u64) {
-    configure_with_idle_timeout(store, version, timeout, 15_000);
+pub(crate) fn write_configuration(store: &Store, version: u64, timeout: u64) {
+    write_configuration_with_idle_timeout(store, version, timeout, 15_000);
 }
 
 /// Writes a configuration that closes callers' connections after `idle` milliseconds without a request.
-pub(crate) fn configure_with_idle_timeout(store: &Store, version: u64, timeout: u64, idle: u64) {
+pub(crate) fn write_configuration_with_idle_timeout(
+    store: &Store,
+    version: u64,
+    timeout: u64,
+    idle: u64,
+) {
     let configuration = json!({
         "version": version,
         "routes": [{
--- a/tests/platform/store.rs
+++ b/tests/platform/store.rs
@@ -26,7 +26,7 @@
 };
 
 use crate::support::server::{
-    json_response as answer,
+    json_response,
     Request,
     Response,
     Server, //
@@ -115,7 +115,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Compacts the history: feeds must read whole tables again.
+    /// Compacts the history, so that readers of a feed must read whole tables again.
     pub(crate) fn compact(&self) {
         let mut tables = self.tables.lock().unwrap();
         tables.version += 1;
@@ -145,7 +145,7 @@
         let current = tables.rows.get(&key(row)?);
         let version = current.map_or(0, |(value, version)| value.as_ref().map_or(0, |_| *version));
         if row["ver"].as_u64()? != version {
-            return answer(
+            return json_response(
                 412,
                 &json!({"rows": [], "ver": tables.version, "now_ms": 1}),
             );
@@ -157,14 +157,14 @@
     for row in body["remove"].as_array()? {
         write_row(tables, key(row)?, None);
     }
-    answer(200, &json!({"ver": tables.version, "now_ms": 1}))
+    json_response(200, &json!({"ver": tables.version, "now_ms": 1}))
 }
 
 async fn handle_request(tables: &Mutex<Tables>, changed: &Notify, request: Request) -> Response {
     let behaviour = tables.lock().unwrap().behaviour;
     match behaviour {
         Behaviour::Serve => {}
-        Behaviour::Refuse => return answer(503, &json!({"error": "busy"})),
+        Behaviour::Refuse => return json_response(503, &json!({"error": "busy"})),
         Behaviour::Ignore => {
             tokio::time::sleep(Duration::from_secs(30)).await;
             return None;
@@ -190,10 +190,10 @@
                 row["part"] == part && key >= from.as_str() && before
             });
             let body = json!({"rows": rows, "has_more": false, "ver": tables.version, "now_ms": 1});
-            answer(200, &body)
+            json_response(200, &body)
         }
         "/api/rows-feed" => poll_changes(tables, changed, &request).await,
-        _ => answer(404, &json!({})),
+        _ => json_response(404, &json!({})),
     }
 }
 
@@ -207,12 +207,12 @@
         {
             let tables = tables.lock().unwrap();
             if after < tables.compacted_version {
-                return answer(410, &json!({}));
+                return json_response(410, &json!({}));
             }
             let rows = select_rows(&tables, &table, after, true);
             if !rows.is_empty() || Instant::now() >= end {
                 let body = json!({"rows": rows, "ver": tables.version, "now_ms": 1});
-                return answer(200, &body);
+                return json_response(200, &body);
             }
         }
         let rest = end.saturating_duration_since(Instant::now());
--- a/tests/proofs/callers.rs
+++ b/tests/proofs/callers.rs
@@ -104,7 +104,7 @@
 /// A job must go on when its caller disconnects, which may only be a network fault. A resubmission at any instance gets the
 /// complete answer.
 #[tokio::test]
-async fn an_answer_outlives_its_caller() -> Result {
+async fn a_job_completes_after_its_caller_disconnects() -> Result {
     let cluster = launch(cluster_builder()).await?;
     let (early, late) = (new_job("early", [300]), new_job("late", [300]));
     let caller = spawn_submit(&cluster, 0, &late);
@@ -124,7 +124,7 @@
 /// A job with a task that no worker has the resources for, or for a service that doesn't exist, must be refused at once
 /// instead of waiting for its deadline. None of its tasks starts.
 #[tokio::test]
-async fn what_can_never_run_is_refused_at_once() -> Result {
+async fn jobs_that_can_never_run_are_refused_at_once() -> Result {
     let cluster = launch(cluster_builder()).await?;
     let mut large = new_job("large", [10, 10]);
     large["tasks"][1]["need"]["cores"] = json!(1_000);
@@ -204,7 +204,7 @@
 
 /// The answer to a malformed request must have a status and an outcome, and name the faulty field.
 #[tokio::test]
-async fn a_malformed_request_is_told_what_is_wrong() -> Result {
+async fn the_answer_to_a_malformed_request_names_the_fault() -> Result {
     let cluster = launch(cluster_builder().set("limits", "body", "4KiB")).await?;
     let mut empty = new_job("empty", [10]);
     empty["tasks"] = json!([]);
@@ -262,7 +262,7 @@
 /// A caller that sends its body too slowly must not occupy a connection for longer than the timeout. The answer is "not
 /// run" only if the header declares the key new: the key is in the missing body, and a job under it may have run.
 #[tokio::test]
-async fn a_slow_sender_is_told_so() -> Result {
+async fn a_slow_sender_is_timed_out() -> Result {
     let cluster = launch(cluster_builder().set("timing", "receive", "300ms")).await?;
     for (first, outcome) in [("true", "not-run"), ("false", "unknown")] {
         let mut stream = TcpStream::connect(cluster.instances[0].caller_address).await?;
@@ -285,7 +285,7 @@
 /// Connections beyond the limit are refused at once, without reading the request. The answer is "unknown", since a job
 /// under the unread key may have run. Connections within the limit are served, and a closed one makes room.
 #[tokio::test]
-async fn connections_beyond_the_bound_are_turned_away() -> Result {
+async fn connections_beyond_the_limit_are_refused() -> Result {
     let cluster = launch(cluster_builder().set("limits", "connections", 3)).await?;
     let callers = cluster.instances[0].caller_address;
     let mut held = Vec::new();
@@ -316,7 +316,7 @@
 /// An instance at its limits must refuse a job as a whole, with a retry delay, instead of running a part of it. One team
 /// gets at most half of the limits, so another team's job is still accepted.
 #[tokio::test]
-async fn a_full_instance_takes_no_part_of_a_job() -> Result {
+async fn a_full_instance_refuses_whole_jobs() -> Result {
     let cluster = cluster_builder()
         .set("limits", "jobs", 4)
         .set("limits", "waiting", 40);
--- a/tests/proofs/fault_pairs.rs
+++ b/tests/proofs/fault_pairs.rs
@@ -256,7 +256,7 @@
 /// No pair of faults may make an answer false or start a start-once task twice. A complete answer has the results of tasks
 /// that ran, and after "not run" no task has started by the end of the round.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn two_faults_at_once() -> Result {
+async fn answers_are_true_under_two_faults() -> Result {
     let seeds = std::env::var("SEEDS")
         .ok()
         .and_then(|text| text.parse().ok());
--- a/tests/proofs/leaving.rs
+++ b/tests/proofs/leaving.rs
@@ -31,7 +31,7 @@
 /// An endpoint that the platform's list marks as leaving must get no new tasks once the instances have read the list. It
 /// completes the tasks that it got before.
 #[tokio::test]
-async fn an_endpoint_that_the_list_calls_leaving_gets_nothing() -> Result {
+async fn an_endpoint_listed_as_leaving_gets_no_new_tasks() -> Result {
     let lag = Duration::from_millis(400);
     let platform = Settings {
         list_lag: lag,
@@ -64,7 +64,7 @@
 /// An endpoint that refuses a start because it is leaving must get no more tasks, although the list has it as live. The
 /// refusal proves that the task didn't start, so it is sent to another endpoint.
 #[tokio::test]
-async fn an_endpoint_that_says_it_leaves_gets_nothing() -> Result {
+async fn an_endpoint_that_refuses_as_leaving_gets_no_new_tasks() -> Result {
     let cluster = launch(cluster_builder().workers(3)).await?;
     let long = new_job("long", [800; 24]);
     let caller = spawn_submit(&cluster, 0, &long);
@@ -80,7 +80,7 @@
 /// When an endpoint refuses connections before the list reports it, jobs must still complete. A refused connection proves
 /// that the start wasn't sent, so the task is sent to another endpoint.
 #[tokio::test]
-async fn an_endpoint_whose_connections_close_costs_nothing() -> Result {
+async fn an_endpoint_that_refuses_connections_fails_no_job() -> Result {
     let mut cluster = launch(cluster_builder().workers(3)).await?;
     submit_burst(&cluster, "before", 10).await?;
     let before = cluster.workers[0].counters();
@@ -95,7 +95,7 @@
 /// A draining instance must complete all jobs in progress, including forwarded ones, before it exits with code 0. It refuses
 /// new jobs.
 #[tokio::test]
-async fn a_drain_under_load_cuts_nothing_off() -> Result {
+async fn a_drain_under_load_completes_all_jobs() -> Result {
     let mut cluster = launch(cluster_builder()).await?;
     let range = submit(&cluster, 0, &new_job("first", [1])).await?.range;
     let table: Vec<_> = (0..20)
--- a/tests/proofs/ranges.rs
+++ b/tests/proofs/ranges.rs
@@ -10,7 +10,7 @@
 /// Jobs under range keys must complete during a table outage, also when another instance forwards them to the owner. While
 /// the owner is unreachable the other instance must answer "unknown" and start nothing: only the owner knows the key.
 #[tokio::test]
-async fn a_range_is_served_through_an_outage_and_a_cut() -> Result {
+async fn range_keys_are_served_in_an_outage_but_only_by_their_owner() -> Result {
     let mut cluster = launch(cluster_builder()).await?;
     let range = fetch_range(&cluster.instances[0]).await?;
     cluster.platform.close().await;
@@ -43,7 +43,7 @@
 /// No other incarnation may start a job under a range key whose owner was killed: its tasks may have run. The answer is
 /// "unknown" at the surviving instance and at the restarted one.
 #[tokio::test]
-async fn a_range_ends_with_its_owner() -> Result {
+async fn the_range_of_a_killed_owner_starts_nothing() -> Result {
     let mut cluster = launch(cluster_builder()).await?;
     let range = fetch_range(&cluster.instances[0]).await?;
     let (ended, running, new) = (
--- a/tests/proofs/resubmission.rs
+++ b/tests/proofs/resubmission.rs
@@ -43,7 +43,7 @@
 /// An instance must not run a job whose owner is paused, since the owner may resume it. It answers "unknown" once the
 /// owner's heartbeats are missing.
 #[tokio::test]
-async fn a_stopped_owner_is_answered_for_and_never_replaced() -> Result {
+async fn a_paused_owner_is_not_replaced() -> Result {
     let cluster = launch(cluster_builder()).await?;
     let job = new_job("stopped", [700, 20]);
     let first = spawn_submit(&cluster, 0, &job);
@@ -104,7 +104,7 @@
 /// Simultaneous submissions at two instances must run the job once. Both insert a claim on condition that there is none, so
 /// the table accepts only one.
 #[tokio::test]
-async fn two_instances_at_the_same_moment_run_it_once() -> Result {
+async fn simultaneous_submissions_run_a_job_once() -> Result {
     let cluster = launch(cluster_builder()).await?;
     let jobs: Vec<_> = (0..40)
         .map(|i| new_job(&format!("same-{i}"), [20]))
--- a/tests/proofs/store.rs
+++ b/tests/proofs/store.rs
@@ -30,7 +30,7 @@
 /// A claim that is written after its timeout must not take effect twice. The instance inserts the same claim again, so the
 /// late write fails on its condition.
 #[tokio::test]
-async fn a_claim_that_lands_late_changes_nothing() -> Result {
+async fn a_claim_written_late_changes_nothing() -> Result {
     let cluster = launch(cluster_builder()).await?;
     let job = new_job("late", [10]);
     let lateness = Duration::from_millis(900);
@@ -51,7 +51,7 @@
 /// A claim that is written after its job was refused at the deadline must start nothing, and must not block the key. A
 /// resubmission at another instance is forwarded to the owner, which runs the job once.
 #[tokio::test]
-async fn a_claim_that_lands_after_the_refusal_starts_nothing() -> Result {
+async fn a_claim_written_after_the_refusal_starts_nothing() -> Result {
     let cluster = launch(cluster_builder()).await?;
     let job = with_field(new_job("after", [10]), "deadline_ms", 500);
     let late = Duration::from_millis(1_500);
@@ -143,7 +143,7 @@
 /// A table that hangs, or answers after the timeout, must not delay refusals until the deadline. The timed-out claims may
 /// have been written, so their jobs don't run under other claims.
 #[tokio::test]
-async fn a_table_that_hangs_refuses_soon() -> Result {
+async fn jobs_are_refused_soon_while_the_table_hangs() -> Result {
     let cluster = launch(cluster_builder()).await?;
     cluster.platform.update_faults(|f| f.hang = true);
     let hung = check_during_outage(&cluster, "hung").await?;
@@ -159,7 +159,7 @@
 
 /// Jobs must complete while the table is slow but answers within its timeout.
 #[tokio::test]
-async fn a_slow_table_costs_only_time() -> Result {
+async fn jobs_complete_while_the_table_is_slow() -> Result {
     let cluster = launch(cluster_builder()).await?;
     cluster
         .platform
--- a/tests/proofs/workers.rs
+++ b/tests/proofs/workers.rs
@@ -48,7 +48,7 @@
 
 /// An idempotent task whose worker crashed must be retried on another worker.
 #[tokio::test]
-async fn an_idempotent_task_survives_its_worker() -> Result {
+async fn an_idempotent_task_is_retried_after_a_crash() -> Result {
     let cluster = launch(cluster_builder()).await?;
     let job = job_of_class("idempotent", 1_500);
     let caller = spawn_submit(&cluster, 0, &job);
@@ -110,7 +110,7 @@
 /// A start must not be sent on a connection that was idle beyond the limit, since it may be half-open and delay the task. A
 /// new connection replaces it.
 #[tokio::test]
-async fn an_idle_connection_is_not_trusted() -> Result {
+async fn no_start_is_sent_on_a_stale_connection() -> Result {
     let cluster = launch(cluster_builder().set("timing", "idle", "100ms")).await?;
     open_connections(&cluster).await?;
     cluster
@@ -154,7 +154,7 @@
 /// A start-once task whose worker receives requests but whose answers are all lost must not be retried: the answer is
 /// "unknown". An idempotent task completes on another worker.
 #[tokio::test]
-async fn a_worker_whose_answers_are_lost() -> Result {
+async fn only_idempotent_tasks_are_retried_after_lost_answers() -> Result {
     for class in ["once", "non-idempotent", "idempotent"] {
         let cluster = launch(cluster_builder()).await?;
         let job = job_of_class(class, 300);
--- a/tests/records/edits.rs
+++ b/tests/records/edits.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn of_two_operators_on_one_revision_one_is_accepted() {
+fn of_two_amendments_of_one_revision_one_is_accepted() {
     // Without the condition on the head's version, the second of two concurrent changes would silently replace the first.
     // The second operator gets a conflict with the fields that differ.
     let mut cluster = cluster(2);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_lost_answer_to_a_commit_that_took_effect_is_settled() {
+fn a_lost_answer_to_a_commit_is_recovered() {
     // The commit is applied and its response is lost: a report of failure would make the operator repeat the change. The
     // instance retries the group, which fails on the operation's row, and that row has the result.
     let mut cluster = cluster(3);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_commit_that_lands_late_is_accepted_once() {
+fn a_late_commit_is_not_applied_twice() {
     // The commit is delayed and its retry is applied first. When the delayed one arrives, it must not make a second
     // revision.
     let mut cluster = cluster(2);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_lost_answer_during_an_outage_is_told_as_unknown_and_can_be_sent_again() {
+fn a_lost_answer_in_an_outage_is_unknown_until_a_retry() {
     // While the result of a commit is unknown, a report of acceptance or refusal could be false. A retry of the operation
     // at another instance after the outage returns the result.
     let mut cluster = cluster(2);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn an_operation_sent_again_gets_the_same_answer_anywhere() {
+fn a_retried_operation_gets_the_same_answer_at_any_instance() {
     // A retry that arrives after later changes would be a conflict if it were validated again. The operation's row has the
     // first result.
     let mut cluster = cluster(3);
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn an_instance_that_lags_refuses_nothing_for_that() {
+fn a_lagging_instance_refuses_no_valid_change() {
     // An instance that missed the announcement of a pool must not refuse a service that refers to it.
     let mut cluster = cluster(2);
     commit_unannounced(&mut cluster, 0, submit(sample::SPARE));
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn the_audit_trail_tells_of_what_was_accepted_and_refused() {
+fn the_audit_trail_has_accepted_and_refused_changes() {
     let mut cluster = cluster(1);
     cluster.run_for(1_000);
     let from = cluster.now.0 / 1_000;
--- a/tests/records/loads.rs
+++ b/tests/records/loads.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_load_takes_in_what_changes_while_it_runs() {
+fn a_load_includes_changes_made_while_it_runs() {
     // A change is accepted between the read of the head and that of the records. Without a replay of changes, the instance
     // would apply records of two revisions as the older one.
     let mut cluster = Cluster::with_records(2, &[sample::COMPUTE, OPEN]);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_load_that_ends_late_reverts_nothing() {
+fn a_late_load_reverts_nothing() {
     // Announcements with newer changes arrive during a load whose last response is delayed. The load then has the older
     // revision; if it were applied, it would revert an accepted change.
     let mut cluster = Cluster::with_records(2, &[sample::COMPUTE, OPEN]);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn pages_of_two_revisions_make_no_snapshot() {
+fn a_snapshot_has_no_pages_of_different_revisions() {
     // A peer applies a change between two pages of its snapshot. Pages of different revisions together would be a
     // configuration that was never in force.
     let mut cluster = Cluster::with_records(2, &[sample::COMPUTE]);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn changes_that_a_peer_no_longer_holds_are_loaded_whole() {
+fn records_are_loaded_when_peers_no_longer_have_the_changes() {
     // An instance misses more changes than its peers and the table keep. It must load the records, since the next change
     // in order never arrives.
     let mut cluster = Cluster::with_records(2, &[sample::COMPUTE, OPEN]);
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn changes_that_the_table_no_longer_holds_are_loaded_whole() {
+fn records_are_loaded_when_the_table_no_longer_has_the_changes() {
     // As above, but without peers: the head has a revision whose change is no longer in the table.
     let mut cluster = Cluster::with_records(1, &[sample::COMPUTE]);
     write_to_table(&mut cluster, "pool/spare", OPEN);
--- a/tests/records/orders.rs
+++ b/tests/records/orders.rs
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn in_any_order_of_events_what_is_accepted_stays_in_force() {
+fn accepted_changes_stay_in_force_in_any_order_of_events() {
     // No order of faults may revert a change at an instance or falsify a report. Each input compares the node's records
     // with the table's at that revision, and each step compares the reports with the changes that were applied.
     let tests = std::env::var("ORDERS")
--- a/tests/records/rules.rs
+++ b/tests/records/rules.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn references_to_nothing_are_refused() {
+fn references_to_missing_records_are_refused() {
     let mut cluster = Cluster::with_records(1, &[sample::COMPUTE]);
     let report = cluster.change(0, submit(sample::MATCHING));
     assert_eq!(
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn what_is_referred_to_stays() {
+fn a_record_that_others_refer_to_cannot_be_withdrawn() {
     let mut cluster = Cluster::with_records(1, sample::ALL);
     let report = cluster.change(0, withdraw("pool/spare", 2));
     assert_eq!(refusal_faults(report), single_fault("", Code::Referred));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_cut_to_less_than_half_has_to_be_confirmed() {
+fn a_reduction_to_less_than_half_must_be_confirmed() {
     let mut cluster = Cluster::with_records(1, &[sample::COMPUTE, sample::NOTEBOOK]);
     let rule = r#"{"schema":1,"kind":"rule","name":"r","service":"notebook","spill":false}"#;
     let report = cluster.change(0, submit(rule));
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn an_older_schema_may_not_lose_what_the_newer_one_says() {
+fn an_amendment_in_an_older_schema_may_not_drop_fields() {
     // An amendment in schema 1 of a record in schema 2 would silently drop the fields that schema 1 can't express.
     let mut cluster = Cluster::with_records(1, sample::ALL);
     let old = r#"{"schema":1,"kind":"service","name":"matching","pool":"compute","deadline":2}"#;
--- a/tests/records/spread.rs
+++ b/tests/records/spread.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_poll_that_was_slow_reverts_nothing() {
+fn a_slow_poll_reverts_nothing() {
     // The response to a poll is delayed until a newer change is applied. If the instance went to the polled revision, it
     // would revert that change.
     let mut cluster = Cluster::with_records(1, &[sample::COMPUTE, OPEN]);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_lost_announcement_is_made_up_for_by_the_poll() {
+fn a_poll_finds_a_change_whose_announcement_was_lost() {
     // The announcement to another data centre is lost, and no heartbeat arrives. The poll of one instance there must find
     // the change within one interval.
     let mut cluster = Cluster::with_records(2, &[sample::COMPUTE]);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn an_instance_that_hears_nothing_looks_for_itself() {
+fn an_instance_polls_when_the_elected_one_is_silent() {
     // The instance that polls for its data centre gets no response from the table, though its heartbeats go on. The other
     // instance must not depend on it forever.
     let mut cluster = Cluster::with_records(4, &[sample::COMPUTE]);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn where_the_first_instance_of_a_data_centre_is_lost_another_is_told() {
+fn an_announcement_is_retried_at_another_instance_of_the_data_centre() {
     // The instance that is to receive the announcement for data centre b has crashed undetected. Without a retry at its
     // other instance, the change would not arrive there before the next poll.
     let mut cluster = Cluster::with_records(5, &[sample::COMPUTE]);
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn an_outage_right_after_the_acceptance_holds_nothing_up() {
+fn an_accepted_change_spreads_in_an_outage() {
     // An accepted change must reach all instances through their peers if the table fails right after the commit.
     let mut cluster = Cluster::with_records(7, &[sample::COMPUTE]);
     cluster.run_for(1_000);
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn an_instance_that_starts_in_an_outage_learns_from_the_highest_peer() {
+fn an_instance_that_starts_in_an_outage_takes_the_newest_revision_of_its_peers() {
     // An instance that starts in an outage must not run jobs under replaced records: it takes the newest revision that
     // a peer applies, and is unready before.
     let mut cluster = Cluster::with_records(3, &[sample::COMPUTE]);
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_data_centre_that_was_cut_off_catches_up() {
+fn a_partitioned_data_centre_catches_up() {
     // A partitioned data centre misses more changes than fit in one message. It must apply all of them afterwards.
     let mut cluster = Cluster::with_records(6, &[sample::COMPUTE]);
     cluster.run_for(1_000);
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn every_instance_is_restarted_in_turn() {
+fn changes_reach_all_instances_in_a_rolling_restart() {
     let mut cluster = Cluster::with_records(5, sample::ALL);
     for i in 0..5 {
         cluster.stop(i);
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn it_is_told_where_a_record_is_in_force() {
+fn a_rollout_lists_where_a_record_is_in_force() {
     let mut cluster = Cluster::with_records(3, &[sample::COMPUTE]);
     cluster.partitioned.insert(id("b"));
     cluster.heartbeat();
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn an_operation_whose_end_is_never_told_counts_as_lost() {
+fn a_command_without_a_result_times_out() {
     let mut cluster = Cluster::new(1);
     cluster.messages.clear();
     cluster.tick(11_000);
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn a_strange_return_changes_nothing() {
+fn an_unexpected_return_changes_nothing() {
     let mut cluster = Cluster::with_records(2, &[sample::COMPUTE]);
     cluster.input(1, Input::Completed(9_999, Completion::Row(None)));
     cluster.input(1, Input::Returned(9_999, Err(())));
--- a/tests/records/texts.rs
+++ b/tests/records/texts.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn both_schemas_of_a_pool_and_a_rule_say_the_same() {
+fn both_schemas_of_a_pool_and_a_rule_are_equivalent() {
     let old = r#"{"schema":1,"kind":"pool","name":"p","open":false}"#;
     let new = r#"{"schema":2,"kind":"pool","name":"p","state":"closed"}"#;
     assert_eq!(body(old), body(new));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_newer_rule_says_more() {
+fn a_rule_of_schema_2_has_several_centres_and_quotas() {
     let Body::Rule(rule::Body {
         centres, quotas, ..
     }) = body(sample::RULE)
@@ -49,7 +49,7 @@
 }
 
 quickcheck! {
-    fn both_schemas_of_a_service_say_the_same(seconds: u16, tasks: u16, idempotent: bool) -> bool {
+    fn both_schemas_of_a_service_are_equivalent(seconds: u16, tasks: u16, idempotent: bool) -> bool {
         let (seconds, tasks) = (seconds % 3_600 + 1, tasks % 10_000 + 1);
         let class = if idempotent { "idempotent" } else { "once" };
         let old = format!(r#"{{"schema":1,"kind":"service","name":"s","pool":"p",
@@ -59,7 +59,7 @@
         body(&old) == body(&new)
     }
 
-    fn a_damaged_text_is_refused_or_read_but_never_a_panic(place: usize, byte: u8) -> bool {
+    fn a_damaged_text_causes_no_panic(place: usize, byte: u8) -> bool {
         sample::ALL.iter().all(|text| {
             let mut bytes = text.as_bytes().to_vec();
             let place = place % bytes.len();
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn every_fault_is_told_at_once() {
+fn all_faults_are_reported_at_once() {
     let text = r#"{"schema":2,"kind":"service","name":"a b","pools":["p","p",7],"class":"twice",
         "deadline_ms":"10s","tasks":0,"deadline":10,"team":"risk"}"#;
     let expected = expected_faults(&[
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn an_unknown_schema_or_kind_hides_no_other_fault_and_invents_none() {
+fn an_unknown_schema_or_kind_hides_and_adds_no_other_fault() {
     assert_eq!(
         parse_faults(r#"{"schema":3,"kind":"servis","colour":"red"}"#),
         expected_faults(&[
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_field_that_stands_twice_is_refused() {
+fn a_duplicate_field_is_refused() {
     // Most JSON parsers silently take the last value, which need not be the one that was meant.
     let text = r#"{"schema":1,"kind":"pool","name":"p","open":true,"open":false}"#;
     assert_eq!(
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -32,8 +32,8 @@
 };
 
 use fleet::{
-    configure,
     job_body,
+    write_configuration,
     Fleet,
     Instance,
     PREFIX, //
@@ -148,7 +148,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn promises_hold_under_faults() -> Result {
+async fn guarantees_hold_under_faults() -> Result {
     let mut violations = Vec::new();
     for seed in seeds() {
         println!("seed {seed}");
@@ -263,8 +263,8 @@
         .flat_map(|endpoint| endpoint.history())
     {
         let job = past.task.split('.').next().unwrap_or_default().to_owned();
-        let first = started_at.entry(job.clone()).or_insert(past.started);
-        *first = past.started.min(*first);
+        let first = started_at.entry(job.clone()).or_insert(past.started_at);
+        *first = past.started_at.min(*first);
         if past.outcome == "done" {
             done.entry(job).or_default().insert(past.task);
         }
@@ -435,7 +435,7 @@
             7 => fleet.endpoints[random.random_range(0..fleet.endpoints.len())].drop_responses(3),
             _ => {
                 version += 3;
-                configure(&fleet.store, version, 4_000);
+                write_configuration(&fleet.store, version, 4_000);
             }
         }
     }
--- a/tests/standin.rs
+++ b/tests/standin.rs
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test]
-async fn groups_are_decided_one_by_one() -> Result {
+async fn groups_of_a_commit_are_applied_independently() -> Result {
     let platform = Platform::start(Settings::default())?;
     platform.put_row("b", "old");
     let mut client = Client::connect(platform.address()).await?;
@@ -183,7 +183,7 @@
 }
 
 #[tokio::test]
-async fn a_stopped_task_tells_whether_it_had_started() -> Result {
+async fn the_reply_of_a_stopped_task_shows_whether_it_had_started() -> Result {
     let mut entry = worker::new_entry("w", "maardu");
     entry.slots = 1;
     let worker = Worker::start(entry)?;
@@ -293,7 +293,7 @@
 }
 
 #[tokio::test]
-async fn an_instance_is_found_signalled_and_reaped() -> Result {
+async fn an_instance_is_started_signalled_and_reaped() -> Result {
     const SCRIPT: &str = "trap 'exit 3' TERM; cat \"$3\" >&2; \
         echo listening callers=127.0.0.1:1 peers=127.0.0.1:2; \
         while :; do sleep 0.01; done";
--- a/tests/trace/files.rs
+++ b/tests/trace/files.rs
@@ -285,7 +285,7 @@
 /// Incomplete lines, prefixes of log collectors, lines of other programs and binary data must not hide the readable lines.
 /// Unreadable lines must be counted on standard error.
 #[test]
-fn torn_and_foreign_lines_are_counted() {
+fn unreadable_lines_are_skipped_and_counted() {
     let accepted = line(0, "a", "job_accepted", json!({"job": JOB}));
     let started = line(500, "a", "started", json!({"centre": "maardu"}));
     let mut log = Vec::new();
@@ -395,7 +395,7 @@
 
 /// Control characters in a text that a caller chose must not reach the terminal.
 #[test]
-fn control_characters_are_shown_not_sent() {
+fn control_characters_are_escaped() {
     let fault = "spec: \u{1b}[2J\u{9b}1m";
     let log = line(0, "a", "job_malformed", json!({"job": JOB, "fault": fault}));
     let logs = LogFolder::new(&[("log", log)]);
--- a/tests/trace/runs.rs
+++ b/tests/trace/runs.rs
@@ -50,7 +50,7 @@
 /// A killed instance logs nothing about its failure: the logs of its peers must show that they lost it, abandoned its batch
 /// and answered the caller's retry.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_instance_is_told_by_its_peers() -> Result {
+async fn logs_of_peers_show_a_lost_instance() -> Result {
     let incident = incidents::lost_instance(program()).await?;
     assert_eq!(
         incident.response,
@@ -76,7 +76,7 @@
 
 /// The only endpoint dies while it runs the job's tasks: the owner's log must show why the job wasn't done in time.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_endpoint_is_told_by_its_owner() -> Result {
+async fn log_of_the_owner_shows_a_lost_endpoint() -> Result {
     let incident = incidents::lost_endpoint(program()).await?;
     assert_eq!(incident.response, "504");
     let expected = [
@@ -94,7 +94,7 @@
 
 /// Under overload, a job that can't end in time is refused: the log must show the reason.
 #[tokio::test(flavor = "multi_thread")]
-async fn overload_is_told_by_the_refusal() -> Result {
+async fn log_shows_the_reason_for_a_refusal() -> Result {
     let incident = incidents::overload(program()).await?;
     assert_eq!(incident.response, "503");
     let output = trace_incident(&incident);
@@ -105,7 +105,7 @@
 
 /// The store stops answering while the job is stored: the log must show this as the cause of the timeout.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_store_is_told_beside_the_request() -> Result {
+async fn log_shows_a_lost_store_as_the_cause() -> Result {
     let incident = incidents::lost_store(program()).await?;
     assert_eq!(incident.response, "504");
     assert_events_in_order(
