--- a/tests/proofs.rs
+++ b/tests/proofs.rs
@@ -174,10 +174,10 @@
 /// # Errors
 ///
 /// Fails when the connection breaks or no answer comes within [`ANSWER_TIMEOUT`].
-async fn post_job(callers: SocketAddr, job: &Value, headers: Headers<'_>) -> Result<Response> {
+async fn post_job(address: SocketAddr, job: &Value, headers: Headers<'_>) -> Result<Response> {
     let response = timeout(
         ANSWER_TIMEOUT,
-        client::post(callers, "/v1/jobs", headers, job),
+        client::post(address, "/v1/jobs", headers, job),
     )
     .await;
     let response =
@@ -199,8 +199,8 @@
 
 /// Submits a job at an instance in a task of its own, which returns the answer.
 fn spawn_submit(cluster: &Cluster, instance: usize, job: &Value) -> JoinHandle<Result<Response>> {
-    let (callers, job) = (cluster.instances[instance].caller_address, job.clone());
-    tokio::spawn(async move { post_job(callers, &job, &[]).await })
+    let (address, job) = (cluster.instances[instance].caller_address, job.clone());
+    tokio::spawn(async move { post_job(address, &job, &[]).await })
 }
 
 /// Submits a job at an instance repeatedly until the answer is complete, and checks it.
--- a/tests/proofs/answers.rs
+++ b/tests/proofs/answers.rs
@@ -60,11 +60,11 @@
     for job in jobs.iter().filter(|job| job["class"] != "idempotent") {
         assert_start_counts(cluster, job, 1);
     }
-    let looks: u64 = cluster
+    let lookups: u64 = cluster
         .workers
         .iter()
         .map(|worker| worker.counters().looks)
         .sum();
-    assert!(looks > 0, "no answer was late enough to be looked up");
+    assert!(lookups > 0, "no status lookup was made");
     Ok(())
 }
--- a/tests/proofs/callers.rs
+++ b/tests/proofs/callers.rs
@@ -29,12 +29,12 @@
 
 /// Waits until an instance has admitted all its jobs: each of the `tasks` tasks has started or waits for an endpoint.
 ///
-/// A job whose key isn't claimed yet is in progress too. When cancelled it can't be answered "not run", since another
-/// instance may have claimed the key.
+/// A job is in progress even before its key is claimed. If it's cancelled then, the answer can't be "not run", since
+/// another instance may have claimed the key.
 async fn wait_until_admitted(cluster: &Cluster, instance: usize, tasks: usize) -> Result {
     wait_until("all tasks are admitted", || async {
-        let callers = cluster.instances[instance].caller_address;
-        let metrics = client::get(callers, "/metrics").await.ok()?;
+        let address = cluster.instances[instance].caller_address;
+        let metrics = client::get(address, "/metrics").await.ok()?;
         let text = String::from_utf8_lossy(&metrics.body).into_owned();
         let line = text
             .lines()
@@ -73,8 +73,8 @@
     wait_until_admitted(&cluster, 0, 2 * jobs.len()).await?;
     let cancels = (0..jobs.len()).map(|i| {
         let path = format!("/v1/jobs/risk/cancelled-{i}");
-        let callers = cluster.instances[0].caller_address;
-        async move { client::delete(callers, &path, &[]).await?.answer() }
+        let address = cluster.instances[0].caller_address;
+        async move { client::delete(address, &path, &[]).await?.answer() }
     });
     let cancelled = timeout(ANSWER_TIMEOUT, try_join_all(cancels)).await??;
     let mut outcomes = Vec::new();
@@ -139,7 +139,7 @@
         let response = submit(&cluster, instance, &nowhere).await?;
         response.assert_is(Outcome::NotRun, Reason::NoService, 404);
     }
-    // Without the table the instance can't tell whether an earlier submission ran, unless the key is new.
+    // Without the table the instance doesn't know whether an earlier submission ran, unless the key is new.
     cluster.platform.close().await;
     let response = post_job(
         cluster.instances[0].caller_address,
@@ -287,29 +287,29 @@
 #[tokio::test]
 async fn connections_beyond_the_limit_are_refused() -> Result {
     let cluster = launch(cluster_builder().set("limits", "connections", 3)).await?;
-    let callers = cluster.instances[0].caller_address;
-    let mut held = Vec::new();
-    wait_until("three connections are held", || async {
-        let mut client = Client::connect(callers).await.ok()?;
+    let address = cluster.instances[0].caller_address;
+    let mut open = Vec::new();
+    wait_until("a connection is open", || async {
+        let mut client = Client::connect(address).await.ok()?;
         client.get("/healthz").await.ok().map(|_| client)
     })
     .await
-    .map(|client| held.push(client))?;
-    while held.len() < 3 {
-        let mut client = Client::connect(callers).await?;
+    .map(|client| open.push(client))?;
+    while open.len() < 3 {
+        let mut client = Client::connect(address).await?;
         client.get("/healthz").await?;
-        held.push(client);
+        open.push(client);
     }
-    let bound = new_job("bound", [10]);
-    let response = submit(&cluster, 0, &bound).await?;
+    let job = new_job("bound", [10]);
+    let response = submit(&cluster, 0, &job).await?;
     response.assert_is(Outcome::Unknown, Reason::Busy, 503);
-    assert_start_counts(&cluster, &bound, 0);
-    for client in &mut held {
+    assert_start_counts(&cluster, &job, 0);
+    for client in &mut open {
         assert_eq!(client.get("/healthz").await?.status, 200);
     }
-    held.pop();
-    submit_until_complete(&cluster, 0, &bound).await?;
-    assert_start_counts(&cluster, &bound, 1);
+    open.pop();
+    submit_until_complete(&cluster, 0, &job).await?;
+    assert_start_counts(&cluster, &job, 1);
     Ok(())
 }
 
@@ -356,10 +356,10 @@
         with_field(job, "key", format!("{range}.{i}"))
     };
     let jobs: Vec<_> = (0..400).map(flood_job).collect();
-    let callers = cluster.instances[0].caller_address;
+    let address = cluster.instances[0].caller_address;
     let calls = jobs
         .iter()
-        .map(|job| post_job(callers, job, FIRST_SUBMISSION));
+        .map(|job| post_job(address, job, FIRST_SUBMISSION));
     let answers = try_join_all(calls).await?;
     for (job, response) in jobs.iter().zip(&answers) {
         match response.answer.outcome {
--- a/tests/proofs/fault_pairs.rs
+++ b/tests/proofs/fault_pairs.rs
@@ -19,50 +19,50 @@
 
 use super::*;
 
-/// Rounds, each with a seed and a cluster of its own.
+/// The default number of rounds, each with a seed and a cluster of its own.
 const ROUND_COUNT: u64 = 8;
 
-/// Jobs in a round.
+/// The number of jobs in a round.
 const JOB_COUNT: usize = 60;
 
 /// A fault, which begins and, unless it is a kill, ends during a round.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Fault {
-    FreezeInstance,
+    PauseInstance,
     KillInstance,
     DrainInstance,
     KillWorker,
-    FreezeWorker,
-    SilenceWorkers,
-    SwallowWorker,
-    CutWorker,
-    LeaveWorker,
+    PauseWorker,
+    BlackholeWorkers,
+    DropWorkerAnswers,
+    DisconnectWorker,
+    MarkWorkerLeaving,
     DelayPeers,
-    CutPeers,
-    SilencePeers,
-    LoseClaims,
+    DisconnectPeers,
+    BlackholePeers,
+    DropClaimAnswers,
     DelayClaims,
-    CutPlatform,
+    DisconnectPlatform,
     HangPlatform,
     CancelJobs,
 }
 
 const FAULTS: [Fault; 17] = [
-    Fault::FreezeInstance,
+    Fault::PauseInstance,
     Fault::KillInstance,
     Fault::DrainInstance,
     Fault::KillWorker,
-    Fault::FreezeWorker,
-    Fault::SilenceWorkers,
-    Fault::SwallowWorker,
-    Fault::CutWorker,
-    Fault::LeaveWorker,
+    Fault::PauseWorker,
+    Fault::BlackholeWorkers,
+    Fault::DropWorkerAnswers,
+    Fault::DisconnectWorker,
+    Fault::MarkWorkerLeaving,
     Fault::DelayPeers,
-    Fault::CutPeers,
-    Fault::SilencePeers,
-    Fault::LoseClaims,
+    Fault::DisconnectPeers,
+    Fault::BlackholePeers,
+    Fault::DropClaimAnswers,
     Fault::DelayClaims,
-    Fault::CutPlatform,
+    Fault::DisconnectPlatform,
     Fault::HangPlatform,
     Fault::CancelJobs,
 ];
@@ -72,36 +72,36 @@
     async fn begin(self, cluster: &mut Cluster) -> Result {
         let (first, proxies) = (&cluster.instances[0], &mut cluster.proxies);
         match self {
-            // The other fault may have killed it.
-            Self::FreezeInstance => first.pause().unwrap_or_default(),
+            // The other fault may have killed the instance.
+            Self::PauseInstance => first.pause().unwrap_or_default(),
             Self::KillInstance => cluster.instances[0].kill().await?,
             Self::DrainInstance => first.stop().unwrap_or_default(),
             Self::KillWorker => cluster.workers[0].kill().await,
-            Self::FreezeWorker => cluster.workers[0].set_paused(true),
-            Self::SilenceWorkers => proxies
+            Self::PauseWorker => cluster.workers[0].set_paused(true),
+            Self::BlackholeWorkers => proxies
                 .workers
                 .iter()
                 .for_each(|p| p.blackhole_open_connections()),
-            Self::SwallowWorker => proxies.workers[0].set_mode(Mode::DROP_ANSWERS),
-            Self::CutWorker => proxies.workers[0].close().await,
-            Self::LeaveWorker => cluster.workers[0].update_behaviour(|b| b.leaving = true),
+            Self::DropWorkerAnswers => proxies.workers[0].set_mode(Mode::DROP_ANSWERS),
+            Self::DisconnectWorker => proxies.workers[0].close().await,
+            Self::MarkWorkerLeaving => cluster.workers[0].update_behaviour(|b| b.leaving = true),
             Self::DelayPeers => {
                 let (up, down) = (Duration::from_millis(150), Duration::from_millis(90));
                 proxies.peers[0].set_mode(Mode::Delay { up, down });
             }
-            Self::CutPeers => proxies.peers[0].close().await,
-            Self::SilencePeers => proxies
+            Self::DisconnectPeers => proxies.peers[0].close().await,
+            Self::BlackholePeers => proxies
                 .peers
                 .iter()
                 .for_each(|p| p.blackhole_open_connections()),
-            Self::LoseClaims => cluster.platform.update_faults(|f| f.dropped_answers = 3),
+            Self::DropClaimAnswers => cluster.platform.update_faults(|f| f.dropped_answers = 3),
             Self::DelayClaims => {
                 let late = Duration::from_millis(700);
                 cluster
                     .platform
                     .update_faults(|f| (f.late_commits, f.commit_delay) = (3, late));
             }
-            Self::CutPlatform => {
+            Self::DisconnectPlatform => {
                 if let Some(proxy) = &mut proxies.platform {
                     proxy.close().await;
                 }
@@ -110,8 +110,8 @@
             Self::CancelJobs => {
                 for i in (0..JOB_COUNT).step_by(3) {
                     let path = format!("/v1/jobs/risk/job-{i}");
-                    let callers = cluster.instances[i % 3].caller_address;
-                    tokio::spawn(async move { client::delete(callers, &path, &[]).await.ok() });
+                    let address = cluster.instances[i % 3].caller_address;
+                    tokio::spawn(async move { client::delete(address, &path, &[]).await.ok() });
                 }
             }
         }
@@ -122,13 +122,13 @@
     async fn end(self, cluster: &mut Cluster) -> Result {
         let proxies = &mut cluster.proxies;
         match self {
-            Self::FreezeInstance => cluster.instances[0].resume().unwrap_or_default(),
-            Self::FreezeWorker => cluster.workers[0].set_paused(false),
-            Self::SwallowWorker => proxies.workers[0].set_mode(Mode::Pass),
+            Self::PauseInstance => cluster.instances[0].resume().unwrap_or_default(),
+            Self::PauseWorker => cluster.workers[0].set_paused(false),
+            Self::DropWorkerAnswers => proxies.workers[0].set_mode(Mode::Pass),
             Self::DelayPeers => proxies.peers[0].set_mode(Mode::Pass),
-            Self::CutWorker => proxies.workers[0].reopen()?,
-            Self::CutPeers => proxies.peers[0].reopen()?,
-            Self::CutPlatform => proxies.platform.iter_mut().try_for_each(|p| p.reopen())?,
+            Self::DisconnectWorker => proxies.workers[0].reopen()?,
+            Self::DisconnectPeers => proxies.peers[0].reopen()?,
+            Self::DisconnectPlatform => proxies.platform.iter_mut().try_for_each(|p| p.reopen())?,
             Self::HangPlatform => cluster.platform.update_faults(|f| f.hang = false),
             _ => {}
         }
@@ -159,20 +159,20 @@
 }
 
 /// Submits a job at one instance after another until one answers "not run", and records the answers.
-async fn submit_in_turn(callers: [std::net::SocketAddr; 3], entry: Arc<Mutex<JobRecord>>) {
+async fn submit_in_turn(addresses: [std::net::SocketAddr; 3], entry: Arc<Mutex<JobRecord>>) {
     let mut entry = entry.lock().await;
-    let keyless = entry.job["key"].is_null();
-    for (i, callers) in callers.into_iter().enumerate() {
+    let is_keyless = entry.job["key"].is_null();
+    for (i, address) in addresses.into_iter().enumerate() {
         let headers = if i == 0 { FIRST_SUBMISSION } else { &[] };
-        let response = post_job(callers, &entry.job, headers).await;
+        let response = post_job(address, &entry.job, headers).await;
         // A dead instance doesn't answer. A job without a key can't be resubmitted.
         let Ok(response) = response else {
-            if keyless {
+            if is_keyless {
                 return;
             }
             continue;
         };
-        let is_last = response.answer.outcome == Outcome::NotRun || keyless;
+        let is_last = response.answer.outcome == Outcome::NotRun || is_keyless;
         entry.answers.push(response);
         if is_last {
             return;
@@ -186,9 +186,12 @@
     let starts = start_counts(cluster, job);
     let all = |is_allowed: fn(usize) -> bool| starts.iter().all(|n| is_allowed(*n));
     let context = format!("{faults:?}\n{job}\nstarts {starts:?}\nanswers {answers:?}");
-    let starts_once = job["class"] != "idempotent";
+    let is_start_once = job["class"] != "idempotent";
     let has_kill = faults.contains(&Fault::KillInstance);
-    assert!(!starts_once || all(|n| n <= 1), "started twice: {context}");
+    assert!(
+        !is_start_once || all(|n| n <= 1),
+        "a task started twice: {context}"
+    );
     // A job without a key can't be resubmitted. Its instance may have refused the connection, but only a kill may break
     // the connection of a job that ran.
     let is_unanswered = answers.is_empty();
@@ -198,16 +201,22 @@
     );
     assert!(
         !is_unanswered || has_kill || all(|n| n == 0),
-        "cut off: {context}"
+        "no answer, although a task started: {context}"
     );
     for response in answers {
         match response.answer.outcome {
             Outcome::Complete => {
                 response.assert_complete(job);
-                assert!(all(|n| n >= 1), "not complete: {context}");
+                assert!(
+                    all(|n| n >= 1),
+                    "answered as complete, but a task never started: {context}"
+                );
             }
             // An idempotent job may run again elsewhere before or after a refusal.
-            Outcome::NotRun => assert!(!starts_once || all(|n| n == 0), "it ran: {context}"),
+            Outcome::NotRun => assert!(
+                !is_start_once || all(|n| n == 0),
+                "answered as not run, but a task started: {context}"
+            ),
             Outcome::Failed | Outcome::Unknown => assert!(response.answer.results.is_empty()),
         }
     }
@@ -226,8 +235,8 @@
         let entry = Arc::new(Mutex::new(JobRecord { job, answers }));
         let start = random.random_range(0..3);
         let order = [start, (start + 1) % 3, (start + 2) % 3];
-        let callers = order.map(|i| cluster.instances[i].caller_address);
-        calls.push(tokio::spawn(submit_in_turn(callers, entry.clone())));
+        let addresses = order.map(|i| cluster.instances[i].caller_address);
+        calls.push(tokio::spawn(submit_in_turn(addresses, entry.clone())));
         entries.push(entry);
         match i {
             20 => faults[0].begin(&mut cluster).await?,
--- a/tests/proofs/leaving.rs
+++ b/tests/proofs/leaving.rs
@@ -101,22 +101,22 @@
     let table: Vec<_> = (0..20)
         .map(|i| new_job(&format!("table-{i}"), [300, 200 + 20 * i]))
         .collect();
-    let ranged = |i: u64| {
+    let range_job = |i: u64| {
         with_field(
             new_job(&format!("ranged-{i}"), [300 + i]),
             "key",
             format!("{range}.{i}"),
         )
     };
-    let ranged: Vec<_> = (0..10).map(ranged).collect();
-    let keyless = |i: u64| {
+    let ranged: Vec<_> = (0..10).map(range_job).collect();
+    let keyless_job = |i: u64| {
         with_field(
             new_job(&format!("keyless-{i}"), [500 + i]),
             "key",
             Value::Null,
         )
     };
-    let keyless: Vec<_> = (0..10).map(keyless).collect();
+    let keyless: Vec<_> = (0..10).map(keyless_job).collect();
     let at_first = table.iter().chain(&keyless).map(|job| (job, 0));
     let all: Vec<_> = at_first.chain(ranged.iter().map(|job| (job, 1))).collect();
     let callers: Vec<_> = all
@@ -139,7 +139,7 @@
     submit(&cluster, 0, &late)
         .await?
         .assert_is(Outcome::NotRun, Reason::Draining, 503);
-    // "not run" would be false for this key, whose job ran at the other instance.
+    // "not run" would be false for this job, which ran at the other instance.
     submit(&cluster, 0, &elsewhere)
         .await?
         .assert_complete(&elsewhere);
@@ -163,7 +163,7 @@
 async fn the_last_answers_leave_before_the_process_ends() -> Result {
     for round in 0..4 {
         let mut cluster = launch(cluster_builder()).await?;
-        let callers = cluster.instances[0].caller_address;
+        let address = cluster.instances[0].caller_address;
         let range = submit(&cluster, 0, &new_job(&format!("range-{round}"), [1]))
             .await?
             .range;
@@ -180,7 +180,7 @@
         for (job, _) in &jobs {
             wait_for_start(&cluster, job).await?;
         }
-        let mut slow = TcpStream::connect(callers).await?;
+        let mut slow = TcpStream::connect(address).await?;
         let head = "POST /v1/jobs HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\n{";
         slow.write_all(head.as_bytes()).await?;
         cluster.instances[0].stop()?;
--- a/tests/proofs/ranges.rs
+++ b/tests/proofs/ranges.rs
@@ -7,8 +7,8 @@
     with_field(new_job(name, [10]), "key", format!("{range}.{name}"))
 }
 
-/// Jobs under range keys must complete during a table outage, also when another instance forwards them to the owner. While
-/// the owner is unreachable the other instance must answer "unknown" and start nothing: only the owner knows the key.
+/// Jobs under range keys must complete during a table outage, also when another instance forwards them to the owner. If
+/// the owner is unreachable, the other instance must answer "unknown" and start nothing: only the owner knows the key.
 #[tokio::test]
 async fn range_keys_are_served_in_an_outage_but_only_by_their_owner() -> Result {
     let mut cluster = launch(cluster_builder()).await?;
@@ -54,7 +54,7 @@
     submit(&cluster, 0, &ended).await?.assert_complete(&ended);
     let mut slow = running;
     slow["tasks"][0]["payload"]["sleep_ms"] = json!(700);
-    let caller = crate::spawn_submit(&cluster, 1, &slow);
+    let caller = spawn_submit(&cluster, 1, &slow);
     wait_for_start(&cluster, &slow).await?;
     cluster.instances[0].kill().await?;
     // The broken connection ends the forwarded submission at once.
--- a/tests/proofs/restart.rs
+++ b/tests/proofs/restart.rs
@@ -15,7 +15,7 @@
 #[derive(Default)]
 struct Load {
     /// The addresses at which the instances serve callers.
-    callers: Mutex<Vec<SocketAddr>>,
+    addresses: Mutex<Vec<SocketAddr>>,
     is_stopped: AtomicBool,
     next_job: AtomicUsize,
 }
@@ -28,15 +28,15 @@
         let has_lost_answer = &has_lost_answer;
         wait_until("the job is complete", || {
             turn += 1;
-            let callers = self.callers.lock().expect("no caller panics").clone();
-            let callers = callers[turn % callers.len()];
+            let addresses = self.addresses.lock().expect("no caller panics").clone();
+            let address = addresses[turn % addresses.len()];
             async move {
                 let headers = if has_lost_answer.load(Ordering::Acquire) {
                     &[]
                 } else {
                     FIRST_SUBMISSION
                 };
-                let Ok(response) = post_job(callers, job, headers).await else {
+                let Ok(response) = post_job(address, job, headers).await else {
                     has_lost_answer.store(true, Ordering::Release);
                     return None;
                 };
@@ -73,8 +73,8 @@
     let mut cluster = launch(cluster_builder().instances(3)).await?;
     let load = Arc::new(Load::default());
     let publish_addresses = |cluster: &Cluster| {
-        let callers = cluster.instances.iter().map(|i| i.caller_address).collect();
-        *load.callers.lock().expect("no caller panics") = callers;
+        let addresses = cluster.instances.iter().map(|i| i.caller_address).collect();
+        *load.addresses.lock().expect("no caller panics") = addresses;
     };
     publish_addresses(&cluster);
     let calls: Vec<_> = (0..8)
--- a/tests/proofs/store.rs
+++ b/tests/proofs/store.rs
@@ -54,10 +54,10 @@
 async fn a_claim_written_after_the_refusal_starts_nothing() -> Result {
     let cluster = launch(cluster_builder()).await?;
     let job = with_field(new_job("after", [10]), "deadline_ms", 500);
-    let late = Duration::from_millis(1_500);
+    let lateness = Duration::from_millis(1_500);
     cluster
         .platform
-        .update_faults(|f| (f.late_commits, f.commit_delay) = (9, late));
+        .update_faults(|f| (f.late_commits, f.commit_delay) = (9, lateness));
     let response = post_job(cluster.instances[0].caller_address, &job, FIRST_SUBMISSION).await?;
     assert_retryable(&response, Outcome::NotRun);
     cluster.platform.update_faults(|f| f.late_commits = 0);
@@ -94,13 +94,13 @@
 
 /// Checks that jobs without a claim complete and others are refused while the table doesn't answer, and returns the latter.
 async fn check_during_outage(cluster: &Cluster, name: &str) -> Result<[Value; 2]> {
-    let callers = cluster.instances[0].caller_address;
+    let address = cluster.instances[0].caller_address;
     let (new, old) = (
         new_job(&format!("{name}-new"), [10]),
         new_job(&format!("{name}-old"), [10]),
     );
     assert_retryable(
-        &post_job(callers, &new, FIRST_SUBMISSION).await?,
+        &post_job(address, &new, FIRST_SUBMISSION).await?,
         Outcome::NotRun,
     );
     let response = submit(cluster, 0, &old).await?;
--- a/tests/proofs/workers.rs
+++ b/tests/proofs/workers.rs
@@ -80,8 +80,8 @@
     Ok(())
 }
 
-/// A start that was sent on a half-open connection must not be retried before the worker has barred the attempt, as it may
-/// still arrive. The instance has it barred over a new connection.
+/// A start that was sent on a half-open connection may still arrive. It must not be retried before the worker has barred
+/// the attempt, which the instance requests over a new connection.
 #[tokio::test]
 async fn a_start_on_a_silent_connection_is_barred_before_a_retry() -> Result {
     let cluster = launch(cluster_builder()).await?;
@@ -107,7 +107,7 @@
     Ok(())
 }
 
-/// A start must not be sent on a connection that was idle beyond the limit, since it may be half-open and delay the task. A
+/// A start must not be sent on a connection that was idle beyond the limit, since it may be half-open and would delay the task. A
 /// new connection replaces it.
 #[tokio::test]
 async fn no_start_is_sent_on_a_stale_connection() -> Result {
@@ -185,8 +185,8 @@
     }
     assert_start_counts(&cluster, &job, 1);
     wait_until("the other tasks are stopped", || async {
-        let busy = |worker: &Worker| worker.load().running > 0;
-        (!cluster.workers.iter().any(busy)).then_some(())
+        let is_busy = |worker: &Worker| worker.load().running > 0;
+        (!cluster.workers.iter().any(is_busy)).then_some(())
     })
     .await
 }
--- a/tests/support/cluster.rs
+++ b/tests/support/cluster.rs
@@ -75,7 +75,7 @@
             );
         }
     }
-    // Changes are applied in order, so an instance that has the last one has all.
+    // Instances apply changes in order, so one that has the last change has all of them.
     let text = |field: &str| last[field].as_str().unwrap_or_default();
     let path = format!("/v1/records/{}/{}", text("kind"), text("name"));
     for instance in instances {
@@ -299,9 +299,9 @@
     }
 }
 
-/// Submits a job and waits for the answer.
-pub async fn submit(callers: SocketAddr, job: &Value) -> Result<Response> {
-    client::post(callers, "/v1/jobs", &[], job).await
+/// Submits a job at an instance's address for callers and waits for the answer.
+pub async fn submit(address: SocketAddr, job: &Value) -> Result<Response> {
+    client::post(address, "/v1/jobs", &[], job).await
 }
 
 /// Returns a job of tasks named `KEY/0`, `KEY/1` and so on, which sleep for the given milliseconds.
--- a/tests/support/platform.rs
+++ b/tests/support/platform.rs
@@ -152,7 +152,7 @@
             .collect()
     }
 
-    /// Returns the list as of one lag ago.
+    /// Returns the newest version of the list that is visible, and drops the older ones.
     fn visible_list(&mut self) -> List {
         let now = Instant::now();
         let due = self.versions.iter().rposition(|(at, _)| *at <= now);
@@ -270,17 +270,17 @@
             tokio::time::sleep(delay.unwrap_or_default()).await;
             let _permit = shared.commits.acquire().await;
             tokio::time::sleep(shared.settings.commit_latency).await;
-            let committed = shared.state().apply(&commit);
-            committed
+            let verdicts = shared.state().apply(&commit);
+            verdicts
         });
         if delay.is_some() {
             std::future::pending::<()>().await;
         }
-        let committed = applied.await.ok()?;
+        let verdicts = applied.await.ok()?;
         if drop_answer {
             return None;
         }
-        json_response(200, &committed)
+        json_response(200, &verdicts)
     }
 
     /// Counts a commit. Returns whether its answer is dropped, and its delay if it gets no answer.
