--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -149,7 +149,7 @@
         ..
     }) = order::decode(&look, 200, lists.to_string().as_bytes())
     else {
-        panic!("the lists are not read");
+        panic!("the lists are not decoded");
     };
     assert_eq!(life, Life(1_700_000_000_123));
     assert_eq!(running[0].task, Name::Known(task));
@@ -157,7 +157,7 @@
     assert!(matches!(&ended[0].task, Name::Foreign(name) if name.contains(".3.")));
     assert_eq!(ended[0].end, End::Done);
     let Reply::Malformed(fault) = order::decode(&look, 200, br#"{"clock_ms":"x"}"#) else {
-        panic!("a malformed answer is taken");
+        panic!("a malformed answer is accepted");
     };
     assert!(fault.contains("clock_ms"), "{fault}");
 }
@@ -196,8 +196,8 @@
     );
 }
 
-/// A malformed row leaves the others readable: a value that isn't base64 or a string, a version that is a string, a
-/// row without a key. If it made the whole response invalid, no endpoint would be known and no job served.
+/// A row with a malformed value, version or key must not make the whole response invalid; otherwise no endpoint would be
+/// known and no job served.
 #[test]
 fn unreadable_rows_do_not_hide_the_others() {
     let body = br#"{"rows":[{"key":"a","value":"eA==","ver":3},{"key":"b","value":"?","ver":4},
@@ -218,15 +218,15 @@
     assert!(store::parse_page(b"{}").is_err());
 }
 
-/// A row names an endpoint only if it is complete and has a known state. An unknown state taken for draining would
-/// have the rack of another program's row claimed and polled.
+/// A row names an endpoint only if it is complete and has a known state. If an unknown state counted as draining, the rack
+/// of another program's row would be claimed and polled.
 #[test]
 fn incomplete_rows_name_no_endpoint() {
-    let whole = json!({"service": "s", "address": "10.0.0.9:80", "zone": "a", "state": "ready",
+    let complete = json!({"service": "s", "address": "10.0.0.9:80", "zone": "a", "state": "ready",
         "capacity": {"cpu": 16000, "mem_mb": 1, "gpu": 0}, "labels": ["a", "r1-3"]});
-    let read = |row: &Value| record::parse_endpoint("i-1", row.to_string().as_bytes());
-    assert!(read(&whole).is_ok());
-    let wrong = [
+    let parse = |row: &Value| record::parse_endpoint("i-1", row.to_string().as_bytes());
+    assert!(parse(&complete).is_ok());
+    let malformed = [
         ("state", json!("resting")),
         ("state", json!(1)),
         ("service", json!(["s"])),
@@ -239,16 +239,16 @@
         ("labels", json!("r1-3")),
         ("labels", json!([7, "r1-3"])),
     ];
-    for (field, value) in wrong {
-        let mut row = whole.clone();
+    for (field, value) in malformed {
+        let mut row = complete.clone();
         row[field] = value;
-        let fault = read(&row).unwrap_err();
+        let fault = parse(&row).unwrap_err();
         assert!(fault.field.contains(field), "{fault} for {row}");
     }
     for field in ["service", "address", "zone", "state", "capacity", "labels"] {
-        let mut row = whole.clone();
+        let mut row = complete.clone();
         row.as_object_mut().unwrap().remove(field);
-        let fault = read(&row).unwrap_err();
+        let fault = parse(&row).unwrap_err();
         assert!(fault.to_string().contains(field), "{fault}");
     }
 }
@@ -272,11 +272,11 @@
             let _ = order::decode(&look, status, bytes);
         }
     }
-    fn random(bytes: Vec<u8>) -> bool {
+    fn decodes_random(bytes: Vec<u8>) -> bool {
         decode_all(&bytes);
         true
     }
-    fn changed(which: usize, changes: Vec<(usize, u8)>) -> bool {
+    fn decodes_changed(which: usize, changes: Vec<(usize, u8)>) -> bool {
         const TEXTS: [&str; 4] = [
             r#"{"rows":[{"table":"t","part":"","key":"k","value":"eA==","ver":3}],"has_more":true,"ver":5}"#,
             r#"{"version":7,"routes":[{"name":"r","hostname":"h","prefix":"/p/","service":"s","timeout_ms":1500}]}"#,
@@ -296,12 +296,12 @@
     let mut check = quickcheck::QuickCheck::new()
         .tests(trials)
         .max_tests(trials);
-    check.quickcheck(random as fn(Vec<u8>) -> bool);
-    check.quickcheck(changed as fn(usize, Vec<(usize, u8)>) -> bool);
+    check.quickcheck(decodes_random as fn(Vec<u8>) -> bool);
+    check.quickcheck(decodes_changed as fn(usize, Vec<(usize, u8)>) -> bool);
 }
 
-/// Rows of stored jobs are changed on condition that the lock row has its version, in one part of one table. Statuses
-/// that rule out a change are told apart from the others.
+/// Rows of stored jobs are changed on condition that the lock row has its version, in one part of one table. Statuses that
+/// rule out a change are distinguished from the others.
 #[test]
 fn rows_are_changed_under_a_condition() {
     let guard = ("lock".to_owned(), 7);
@@ -314,8 +314,9 @@
     expected["ver"] = json!(7);
     let mut changed = row("a");
     changed["value"] = json!("dmFsdWU=");
-    let whole = json!({"expected_rev": [expected], "set_keys": [changed], "remove": [row("b")]});
-    assert_eq!(body, whole);
+    let expected_body =
+        json!({"expected_rev": [expected], "set_keys": [changed], "remove": [row("b")]});
+    assert_eq!(body, expected_body);
     assert_eq!(
         store::parse_version(br#"{"ver":412,"now_ms":5}"#).unwrap(),
         412
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -43,7 +43,7 @@
 };
 use tokio::net::TcpSocket;
 
-const SHIPPED: &str = include_str!("../poplarknot.ini");
+const SHIPPED_SETTINGS: &str = include_str!("../poplarknot.ini");
 const README: &str = include_str!("../README.md");
 const TOKEN: &str = "a-token-of-the-tests";
 const BURST: &str =
@@ -106,12 +106,15 @@
 impl FakeInstance {
     fn new(actions: impl IntoIterator<Item = Action>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-        let address = listener.local_addr().expect("it is bound").to_string();
+        let address = listener
+            .local_addr()
+            .expect("the socket is bound")
+            .to_string();
         let (sender, requests) = mpsc::channel();
         let actions: Vec<Action> = actions.into_iter().collect();
         thread::spawn(move || {
             for action in actions {
-                let (mut stream, _) = listener.accept().expect("a connection comes");
+                let (mut stream, _) = listener.accept().expect("a connection is accepted");
                 let request = read_request(&mut stream);
                 // The test may have ended and dropped the receiver.
                 let _ = sender.send(request);
@@ -141,7 +144,7 @@
     text
 }
 
-/// Tells whether a request has its whole body.
+/// Returns whether a request has its whole body.
 fn is_complete(request: &str) -> bool {
     let Some((head, body)) = request.split_once("\r\n\r\n") else {
         return false;
@@ -159,12 +162,15 @@
     sent.expect("the answer can be sent");
 }
 
-fn body(request: &str) -> &str {
-    request.split_once("\r\n\r\n").expect("it has a body").1
+fn request_body(request: &str) -> &str {
+    request
+        .split_once("\r\n\r\n")
+        .expect("the request has a body")
+        .1
 }
 
 /// Returns a header of a request; the name must be in lower case.
-fn header<'a>(request: &'a str, name: &str) -> Option<&'a str> {
+fn request_header<'a>(request: &'a str, name: &str) -> Option<&'a str> {
     request
         .lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
@@ -175,14 +181,17 @@
 
 impl ClosedPort {
     fn new() -> Self {
-        let socket = TcpSocket::new_v4().expect("a socket can be made");
-        let any = "127.0.0.1:0".parse().expect("it is an address");
+        let socket = TcpSocket::new_v4().expect("a socket is created");
+        let any = "127.0.0.1:0".parse().expect("the address is valid");
         socket.bind(any).expect("a port is free");
         Self(socket)
     }
 
     fn address(&self) -> String {
-        self.0.local_addr().expect("it is bound").to_string()
+        self.0
+            .local_addr()
+            .expect("the socket is bound")
+            .to_string()
     }
 }
 
@@ -242,7 +251,7 @@
 
 #[test]
 fn check_passes_the_shipped_settings() {
-    let path = write_temporary("shipped.ini", SHIPPED);
+    let path = write_temporary("shipped.ini", SHIPPED_SETTINGS);
     let output = run(&["check", &path.to_string_lossy()], "");
     assert_eq!(exit_code(&output), 0, "{}", stderr(&output));
 }
@@ -313,13 +322,13 @@
 
 #[test]
 fn the_shipped_settings_list_every_key_with_its_default() {
-    let settings = Settings::parse(SHIPPED).expect("it has no faults");
+    let settings = Settings::parse(SHIPPED_SETTINGS).expect("the shipped settings have no faults");
     assert_eq!(settings.limits, Limits::default());
     assert_eq!(settings.timing, Timing::default());
     for (section, keys) in key::SECTIONS {
-        let start = SHIPPED.find(&format!("\n[{section}]\n"));
+        let start = SHIPPED_SETTINGS.find(&format!("\n[{section}]\n"));
         let start = start.unwrap_or_else(|| panic!("[{section}] is missing"));
-        let rest = &SHIPPED[start + 2..];
+        let rest = &SHIPPED_SETTINGS[start + 2..];
         let part = &rest[..rest.find("\n[").unwrap_or(rest.len())];
         for key in *keys {
             let set = [format!("\n{key} = "), format!("\n# {key} = ")];
@@ -341,7 +350,7 @@
 #[test]
 fn sizes_are_read_as_they_are_written() {
     for text in ["0", "1000", "16KiB", "1MiB", "3GiB"] {
-        let size: Size = text.parse().expect("it is a size");
+        let size: Size = text.parse().expect("the size is valid");
         assert_eq!(size.to_string(), text);
     }
     for text in [
@@ -376,7 +385,7 @@
     assert_eq!(stdout(&output), format!("{COMPLETE}\n"));
     assert_eq!(stderr(&output), "");
     let requests = fake.requests();
-    let sent = body(&requests[0]);
+    let sent = request_body(&requests[0]);
     assert!(requests[0].starts_with("POST /v1/jobs HTTP/1.1\r\n"));
     for part in [
         r#""key":"k-1""#,
@@ -457,7 +466,7 @@
     let output = run(&args, BURST);
     assert_eq!(exit_code(&output), 0, "{}", stderr(&output));
     let (first, second) = (first.requests(), second.requests());
-    assert_eq!(body(&first[0]), body(&second[0]));
+    assert_eq!(request_body(&first[0]), request_body(&second[0]));
 }
 
 /// The first request may have run, and the second is refused by a draining instance. "Not run" would be wrong for
@@ -481,7 +490,7 @@
 }
 
 /// The first instance is overloaded and doesn't know whether an earlier request with this key ran. The key makes a
-/// second request safe, so the next instance must be asked.
+/// second request safe, so the next instance must be tried.
 #[test]
 fn submit_with_a_key_tries_the_next_instance_after_an_unknown_outcome() {
     const UNKNOWN: &str = r#"{"outcome":"unknown","reason":"busy","detail":"no room"}"#;
@@ -502,8 +511,8 @@
     );
 }
 
-/// A key isn't new once a request with it was lost. If it were still announced as new, the next instance could
-/// answer "not run" for a burst that may have run.
+/// A key isn't new once a request with it was lost. If it were still declared new, the next instance could answer
+/// "not run" for a burst that may have run.
 #[test]
 fn submit_declares_a_key_new_only_until_it_may_have_arrived() {
     let first = FakeInstance::new([Action::Answer(503, DRAINING)]);
@@ -515,8 +524,9 @@
     }
     let output = run(&args, BURST);
     assert_eq!(exit_code(&output), 0, "{}", stderr(&output));
-    let first_header =
-        |fake: &FakeInstance| header(&fake.requests()[0], "poplarknot-first").map(str::to_owned);
+    let first_header = |fake: &FakeInstance| {
+        request_header(&fake.requests()[0], "poplarknot-first").map(str::to_owned)
+    };
     let new = Some("true".to_owned());
     assert_eq!(
         [
@@ -562,11 +572,16 @@
     assert_eq!(stdout(&output), "{\"revision\":7}\n");
     let requests = fake.requests();
     assert!(requests[0].starts_with("POST /v1/records?dry_run=true HTTP/1.1\r\n"));
-    let operation = |i: usize| header(&requests[i], "poplarknot-operation").expect("it has one");
+    let operation = |i: usize| {
+        request_header(&requests[i], "poplarknot-operation").expect("the request has an operation")
+    };
     assert_eq!(operation(0).len(), 32);
     assert_eq!(operation(0), operation(1));
     let bearer = format!("Bearer {TOKEN}");
-    assert_eq!(header(&requests[0], "authorization"), Some(bearer.as_str()));
+    assert_eq!(
+        request_header(&requests[0], "authorization"),
+        Some(bearer.as_str())
+    );
 }
 
 #[test]
@@ -585,7 +600,8 @@
     let output = run(&args, "");
     assert_eq!(exit_code(&output), 6);
     let requests = fake.requests();
-    let operation = header(&requests[2], "poplarknot-operation").expect("it has one");
+    let operation =
+        request_header(&requests[2], "poplarknot-operation").expect("the request has an operation");
     assert!(stderr(&output).contains(operation), "{}", stderr(&output));
     assert!(requests[0]
         .starts_with("DELETE /v1/records/service/cells?amends=4&confirm=capacity HTTP/1.1\r\n"));
--- a/tests/events.rs
+++ b/tests/events.rs
@@ -15,7 +15,7 @@
     level: String,
     title: String,
     /// The cells with the meaning of the event and what an operator does about it.
-    rest: Vec<String>,
+    guidance: Vec<String>,
 }
 
 fn parse_rows() -> Vec<Row> {
@@ -31,13 +31,13 @@
                 number: cell(),
                 level: cell(),
                 title: cell(),
-                rest: cells.collect(),
+                guidance: cells.collect(),
             }
         })
         .collect()
 }
 
-fn number(code: Code) -> String {
+fn format_number(code: Code) -> String {
     format!("E{:03}", code.number())
 }
 
@@ -52,8 +52,8 @@
 fn every_event_is_in_the_catalogue() {
     let rows = parse_rows();
     for code in Code::ALL {
-        let row = rows.iter().find(|row| row.number == number(*code));
-        let row = row.unwrap_or_else(|| panic!("{} is missing", number(*code)));
+        let row = rows.iter().find(|row| row.number == format_number(*code));
+        let row = row.unwrap_or_else(|| panic!("{} is missing", format_number(*code)));
         assert_eq!(row.title, code.title(), "{}", row.number);
         let level = code.level().to_string().to_lowercase();
         assert_eq!(row.level, level, "{}", row.number);
@@ -63,15 +63,15 @@
 #[test]
 fn every_row_of_the_catalogue_is_an_event() {
     let numbers: Vec<String> = parse_rows().into_iter().map(|row| row.number).collect();
-    let events: Vec<String> = Code::ALL.iter().map(|code| number(*code)).collect();
+    let events: Vec<String> = Code::ALL.iter().map(|code| format_number(*code)).collect();
     assert_eq!(numbers, events);
 }
 
 #[test]
 fn every_row_has_a_meaning_and_an_action() {
     for row in parse_rows() {
-        let filled = row.rest.iter().filter(|cell| !cell.is_empty()).count();
-        assert_eq!((row.rest.len(), filled), (2, 2), "{}", row.number);
+        let filled = row.guidance.iter().filter(|cell| !cell.is_empty()).count();
+        assert_eq!((row.guidance.len(), filled), (2, 2), "{}", row.number);
     }
 }
 
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -44,7 +44,7 @@
     world
 }
 
-// Event sequences that never reach an outcome would make the properties below vacuous.
+/// If the event sequences never reached an outcome, the properties below would hold vacuously.
 #[test]
 fn every_outcome_is_reached() {
     use quickcheck::Arbitrary as _;
@@ -59,8 +59,8 @@
     assert_eq!(counts.len(), 4, "{counts:?}");
 }
 
-// Faults and resubmissions at other instances must not start a task twice: the claim in the table names one
-// incarnation, and no other one starts tasks under it.
+/// Faults and resubmissions at other instances must not start a task twice: the claim in the table names one
+/// incarnation, and no other one starts tasks under it.
 #[test]
 fn no_task_starts_twice() {
     fn property(steps: Vec<Step>) -> bool {
@@ -69,9 +69,8 @@
     check(property);
 }
 
-// A job that is resubmitted after its instance dropped the key from memory must not run a second time. The claim in the
-// table has a nonce that belongs to no job in memory, and a range whose keys were dropped is closed. The answer is
-// "unknown" or the recorded outcome.
+/// A job that is resubmitted after its instance dropped the key from memory must not run a second time. The answer is
+/// "unknown" or the recorded outcome.
 #[test]
 fn a_key_that_was_dropped_is_not_run_again() {
     fn property(steps: Vec<Step>) -> bool {
@@ -82,25 +81,25 @@
     check(property);
 }
 
-// "not run" must be true of a job whichever instance answers: no task has started, and none starts later unless the job
-// is resubmitted. A refusal before the claim is checked against the table.
+/// "not run" must be true of a job whichever instance answers: no task has started, and none starts later unless the job
+/// is resubmitted. A refusal before the claim is checked against the table.
 #[test]
 fn a_job_answered_not_run_never_starts() {
     fn property(steps: Vec<Step>) -> bool {
         let world = run(steps);
-        world.false_refusals.is_empty() && world.jobs_run_unreported().is_empty()
+        world.false_refusals.is_empty() && world.jobs_run_after_refusal().is_empty()
     }
     check(property);
 }
 
-// Task results arrive in any order, some twice, some by a status lookup. A complete answer must have each task's
-// own result at the task's index; any other answer has no results.
+/// Task results arrive in any order, some twice, some by a status lookup. A complete answer must have each task's
+/// own result at the task's index; any other answer has no results.
 #[test]
 fn an_answer_has_all_results_or_none() {
     fn property(steps: Vec<Step>) -> bool {
         let world = run(steps);
         world.answers.iter().all(|(submitted, answer)| {
-            let expected = world::results(*submitted);
+            let expected = world::expected_results(*submitted);
             let results: Vec<_> = answer.results.iter().map(|r| r.get().to_owned()).collect();
             match answer.outcome {
                 Outcome::Complete => results == expected,
@@ -111,8 +110,8 @@
     check(property);
 }
 
-// A request must get exactly one answer as long as its instance lives, even if every other message is lost: the deadline
-// ends it.
+/// A request must get exactly one answer as long as its instance lives, even if every other message is lost: the deadline
+/// ends it.
 #[test]
 fn every_request_gets_one_answer() {
     fn property(steps: Vec<Step>) -> bool {
@@ -122,8 +121,8 @@
     check(property);
 }
 
-// A start whose connection broke may still arrive. A non-idempotent task must be retried only after the endpoint has
-// barred the earlier attempt.
+/// A start whose connection broke may still arrive. A non-idempotent task must be retried only after the endpoint has
+/// barred the earlier attempt.
 #[test]
 fn a_start_is_repeated_only_after_it_is_barred() {
     fn property(steps: Vec<Step>) -> bool {
@@ -133,7 +132,7 @@
     check(property);
 }
 
-// A draining instance must report that it has drained, but only when every request that it accepted has its answer.
+/// A draining instance must report that it has drained, but only when every request that it accepted has its answer.
 #[test]
 fn a_drain_ends_when_every_request_is_answered() {
     fn property(mut steps: Vec<Step>) -> bool {
@@ -145,7 +144,7 @@
         world.drain();
         world.finish();
         world.open_at_drain.is_empty()
-            && world.drains >= 3
+            && world.drain_count >= 3
             && world.unanswered_requests().is_empty()
     }
     check(property);
--- a/tests/orders/world.rs
+++ b/tests/orders/world.rs
@@ -179,8 +179,8 @@
     pub false_refusals: Vec<u8>,
     /// The number of answers to requests that already had one.
     pub duplicate_answers: u32,
-    /// How often an instance reported that it had drained.
-    pub drains: u32,
+    /// The number of reports of instances that they have drained.
+    pub drain_count: u32,
     /// Requests that were open at an instance when it reported that it had drained.
     pub open_at_drain: Vec<u64>,
     /// Attempts at tasks that aren't idempotent, sent although an earlier attempt was not barred.
@@ -188,7 +188,7 @@
 }
 
 /// Returns the results of a complete answer to a job.
-pub fn results(job: u8) -> Vec<String> {
+pub fn expected_results(job: u8) -> Vec<String> {
     (0..TASKS).map(|task| format!("\"{job}/{task}\"")).collect()
 }
 
@@ -218,7 +218,7 @@
             answers: Vec::new(),
             false_refusals: Vec::new(),
             duplicate_answers: 0,
-            drains: 0,
+            drain_count: 0,
             open_at_drain: Vec::new(),
             unsafe_retries: Vec::new(),
         };
@@ -292,7 +292,7 @@
         }
     }
 
-    /// Has every instance drain.
+    /// Makes every instance drain.
     pub fn drain(&mut self) {
         for instance in 0..INSTANCES {
             self.step(self.run(instance), Input::Drain);
@@ -324,7 +324,7 @@
     }
 
     /// Returns the jobs that ran although all their requests were answered, each with "not run".
-    pub fn jobs_run_unreported(&self) -> Vec<u8> {
+    pub fn jobs_run_after_refusal(&self) -> Vec<u8> {
         let has_run = |job: &u8| {
             let prefix = format!("{job}/");
             self.starts.keys().any(|task| task.starts_with(&prefix))
@@ -623,7 +623,7 @@
         self.messages.push(Message::Input(run, input));
     }
 
-    /// Returns what an endpoint knows of an attempt; `stop` has it bar one that it has not seen.
+    /// Returns what an endpoint knows of an attempt; `stop` makes it bar one that it has not seen.
     fn on_look(&mut self, worker: usize, attempt: Attempt, stop: bool) -> Status {
         let endpoint = &mut self.workers[worker];
         let barred = Status::Barred {
@@ -717,7 +717,7 @@
         match output {
             Output::Answer(request, answer) => self.on_answer(request.0, answer),
             Output::Drained => {
-                self.drains += 1;
+                self.drain_count += 1;
                 let open = self.requests.iter().filter(|(_, (at, _))| *at == run);
                 self.open_at_drain.extend(open.map(|(request, _)| *request));
             }
--- a/tests/proofs/workers.rs
+++ b/tests/proofs/workers.rs
@@ -107,8 +107,8 @@
     Ok(())
 }
 
-/// A start must not be sent on a connection that was idle beyond the limit, since it may be half-open and would delay the task. A
-/// new connection replaces it.
+/// A start must not be sent on a connection that was idle beyond the limit: it may be half-open, and the task would be
+/// delayed. A new connection replaces it.
 #[tokio::test]
 async fn no_start_is_sent_on_a_stale_connection() -> Result {
     let cluster = launch(cluster_builder().set("timing", "idle", "100ms")).await?;
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -8,14 +8,14 @@
 mod loads;
 #[path = "records/orders.rs"]
 mod orders;
+#[path = "records/parsing.rs"]
+mod parsing;
+#[path = "records/propagation.rs"]
+mod propagation;
 #[path = "records/rules.rs"]
 mod rules;
-#[path = "records/spread.rs"]
-mod spread;
 #[path = "records/table.rs"]
 mod table;
-#[path = "records/texts.rs"]
-mod texts;
 
 /// Imports of most tests.
 mod prelude {
@@ -79,13 +79,13 @@
             commit_unannounced,
             take_message, //
         },
-        rules::refusal_faults,
-        sample,
-        spread::{
+        propagation::{
             write_to_table,
             CLOSED,
             OPEN, //
         },
+        rules::refusal_faults,
+        sample,
         table::Table,
     };
 }
--- a/tests/records/cluster.rs
+++ b/tests/records/cluster.rs
@@ -1,4 +1,4 @@
-//! Configurations of several instances and a table, in one thread. Each message waits until the test delivers it.
+//! A simulated cluster of configurations and a table, in one thread. Each message waits until the test delivers it.
 
 use std::collections::{
     BTreeMap,
@@ -20,13 +20,13 @@
     pub(crate) epoch: u64,
     /// The configuration; none while the instance is stopped.
     pub(crate) config: Option<Config>,
-    /// The revision that it applies, which must not decrease within a run.
+    /// The revision that the node applies, which must not decrease within a run.
     applied: Revision,
 }
 
-/// A message in transit. One to an earlier run of a node is dropped.
+/// A message in transit. A message to an earlier run of a node is dropped.
 ///
-/// The numbers are the node, its epoch and the ticket, and the called node.
+/// The numbers are the node, its epoch and the ticket; a call also has the called node.
 #[derive(Clone, Debug)]
 pub(crate) enum Message {
     Command(usize, u64, u64, Command),
@@ -142,7 +142,7 @@
         self.nodes[i].config.as_ref().unwrap()
     }
 
-    pub(crate) fn reachable(&self, i: usize, j: usize) -> bool {
+    pub(crate) fn is_reachable(&self, i: usize, j: usize) -> bool {
         let (a, b) = (&self.nodes[i].centre, &self.nodes[j].centre);
         a == b || !(self.partitioned.contains(a) || self.partitioned.contains(b))
     }
@@ -158,7 +158,7 @@
         let revision = config.revision();
         assert!(
             revision >= node.applied,
-            "{} went back from {} to {revision}",
+            "{} reverted from revision {} to {revision}",
             node.name,
             node.applied
         );
@@ -177,15 +177,15 @@
         }
         let epoch = node.epoch;
         for output in outputs {
-            self.output(i, epoch, output);
+            self.on_output(i, epoch, output);
         }
     }
 
-    fn output(&mut self, i: usize, epoch: u64, output: Output) {
+    fn on_output(&mut self, i: usize, epoch: u64, output: Output) {
         match output {
             Output::Report(request, report) => {
                 let before = self.reports.insert(request.0, report);
-                assert!(before.is_none(), "two reports on one request");
+                assert!(before.is_none(), "a request got two reports");
             }
             Output::Command(ticket, command) => {
                 self.messages
@@ -224,7 +224,7 @@
                 }
             }
             Message::Call(from, epoch, ticket, to, call) => {
-                if self.nodes[to].config.is_none() || !self.reachable(from, to) {
+                if self.nodes[to].config.is_none() || !self.is_reachable(from, to) {
                     return self
                         .messages
                         .push(Message::Return(from, epoch, ticket, None));
@@ -244,7 +244,10 @@
     /// Delivers all messages in order, also those that are sent meanwhile.
     pub(crate) fn deliver_all(&mut self) {
         for delivered in 0.. {
-            assert!(delivered < 10_000, "the messages don't end");
+            assert!(
+                delivered < 10_000,
+                "messages are left after 10,000 deliveries"
+            );
             if self.messages.is_empty() {
                 return;
             }
@@ -253,12 +256,12 @@
         }
     }
 
-    /// Passes each node the state of its peers: whether they are alive and reachable, and the revision that they apply.
+    /// Passes each node the state of its peers: whether they are alive and reachable, and which revision they apply.
     pub(crate) fn heartbeat(&mut self) {
         for i in 0..self.nodes.len() {
             let peers = (0..self.nodes.len()).filter(|j| *j != i).map(|j| {
                 let node = &self.nodes[j];
-                let alive = node.config.is_some() && self.reachable(i, j);
+                let alive = node.config.is_some() && self.is_reachable(i, j);
                 Peer {
                     name: node.name.clone(),
                     centre: node.centre.clone(),
--- a/tests/records/edits.rs
+++ b/tests/records/edits.rs
@@ -1,8 +1,8 @@
 //! Tests of changes: races, lost answers, resubmissions, refusals, and the audit trail.
 
-const LONGER: &str =
+const LONGER_DEADLINE: &str =
     r#"{"schema":2,"kind":"service","name":"notebook","pools":["compute"],"deadline_ms":20000}"#;
-const SHORTER: &str =
+const SHORTER_DEADLINE: &str =
     r#"{"schema":1,"kind":"service","name":"notebook","pool":"compute","deadline":5}"#;
 
 fn cluster(instances: usize) -> Cluster {
@@ -11,7 +11,8 @@
 
 /// Removes the first commit in transit and returns it.
 fn take_commit(cluster: &mut Cluster) -> (usize, u64, u64, Command) {
-    let is_commit = |f: &Message| matches!(f, Message::Command(_, _, _, Command::Commit(_)));
+    let is_commit =
+        |message: &Message| matches!(message, Message::Command(_, _, _, Command::Commit(_)));
     let index = cluster
         .messages
         .iter()
@@ -27,13 +28,13 @@
     matches!(report, Report::Accepted { revision, .. } if revision.0 == expected)
 }
 
+/// Without the condition on the head's version, the second of two concurrent changes would silently replace the first.
+/// The second operator gets a conflict with the fields that differ.
 #[test]
 fn of_two_amendments_of_one_revision_one_is_accepted() {
-    // Without the condition on the head's version, the second of two concurrent changes would silently replace the first.
-    // The second operator gets a conflict with the fields that differ.
     let mut cluster = cluster(2);
-    let first = cluster.edit(amend("service/notebook", 2, SHORTER));
-    let second = cluster.edit(amend("service/notebook", 2, LONGER));
+    let first = cluster.edit(amend("service/notebook", 2, SHORTER_DEADLINE));
+    let second = cluster.edit(amend("service/notebook", 2, LONGER_DEADLINE));
     let first = cluster.ask(0, Ask::Edit(first));
     let second = cluster.ask(1, Ask::Edit(second));
     cluster.deliver_all();
@@ -61,7 +62,7 @@
 #[test]
 fn changes_to_different_records_are_both_accepted() {
     let mut cluster = cluster(2);
-    let first = cluster.edit(amend("service/notebook", 2, SHORTER));
+    let first = cluster.edit(amend("service/notebook", 2, SHORTER_DEADLINE));
     let second = cluster.edit(submit(sample::SPARE));
     let first = cluster.ask(0, Ask::Edit(first));
     let second = cluster.ask(1, Ask::Edit(second));
@@ -70,18 +71,18 @@
     assert!(is_accepted(&cluster.reports[&first], 3) && is_accepted(&cluster.reports[&second], 4));
 }
 
+/// The commit is applied and its response is lost: a report of failure would make the operator repeat the change. The
+/// instance retries the group, which fails on the operation's row, and that row has the result.
 #[test]
 fn a_lost_answer_to_a_commit_is_recovered() {
-    // The commit is applied and its response is lost: a report of failure would make the operator repeat the change. The
-    // instance retries the group, which fails on the operation's row, and that row has the result.
     let mut cluster = cluster(3);
-    let edit = cluster.edit(amend("service/notebook", 2, SHORTER));
+    let edit = cluster.edit(amend("service/notebook", 2, SHORTER_DEADLINE));
     let request = cluster.ask(0, Ask::Edit(edit));
     let (i, _, ticket, command) = take_commit(&mut cluster);
     cluster.table.execute(&command);
     cluster.input(i, Input::Completed(ticket, Completion::Unknown));
     assert!(!cluster.reports.contains_key(&request));
-    // The other instances learn of the change by its announcement, without a heartbeat or a poll.
+    // The other instances learn of the change from its announcement, without a heartbeat or a poll.
     for _ in 0..3 {
         cluster.tick(100);
         cluster.deliver_all();
@@ -91,30 +92,30 @@
     assert_eq!(cluster.revisions(), [3, 3, 3]);
 }
 
+/// The commit is delayed and its retry is applied first. When the delayed one arrives, it must not make a second
+/// revision.
 #[test]
 fn a_late_commit_is_not_applied_twice() {
-    // The commit is delayed and its retry is applied first. When the delayed one arrives, it must not make a second
-    // revision.
     let mut cluster = cluster(2);
-    let edit = cluster.edit(amend("service/notebook", 2, SHORTER));
+    let edit = cluster.edit(amend("service/notebook", 2, SHORTER_DEADLINE));
     let request = cluster.ask(0, Ask::Edit(edit));
     let (i, _, ticket, late) = take_commit(&mut cluster);
     cluster.input(i, Input::Completed(ticket, Completion::Unknown));
     cluster.run_for(1_000);
     assert!(is_accepted(&cluster.reports[&request], 3));
     let Completion::Verdict(verdict) = cluster.table.execute(&late) else {
-        panic!("it was a commit");
+        panic!("a commit returned no verdict");
     };
     assert!(!verdict.applied);
     assert_eq!(cluster.table.head(), 3);
 }
 
+/// While the result of a commit is unknown, a report of acceptance or refusal could be false. A retry of the operation
+/// at another instance after the outage returns the result.
 #[test]
 fn a_lost_answer_in_an_outage_is_unknown_until_a_retry() {
-    // While the result of a commit is unknown, a report of acceptance or refusal could be false. A retry of the operation
-    // at another instance after the outage returns the result.
     let mut cluster = cluster(2);
-    let edit = cluster.edit(amend("service/notebook", 2, SHORTER));
+    let edit = cluster.edit(amend("service/notebook", 2, SHORTER_DEADLINE));
     let request = cluster.ask(0, Ask::Edit(edit.clone()));
     let (i, _, ticket, command) = take_commit(&mut cluster);
     cluster.table.execute(&command);
@@ -132,22 +133,22 @@
 fn nothing_takes_effect_while_the_table_refuses() {
     let mut cluster = cluster(1);
     cluster.outage = true;
-    let report = cluster.change(0, amend("service/notebook", 2, SHORTER));
+    let report = cluster.change(0, amend("service/notebook", 2, SHORTER_DEADLINE));
     assert_eq!(report, Report::Unavailable);
     cluster.outage = false;
     cluster.run_for(10_000);
     assert_eq!(cluster.table.head(), 2);
 }
 
+/// A retry that arrives after later changes would be a conflict if it were validated again. The operation's row has the
+/// first result.
 #[test]
 fn a_retried_operation_gets_the_same_answer_at_any_instance() {
-    // A retry that arrives after later changes would be a conflict if it were validated again. The operation's row has the
-    // first result.
     let mut cluster = cluster(3);
-    let edit = cluster.edit(amend("service/notebook", 2, SHORTER));
+    let edit = cluster.edit(amend("service/notebook", 2, SHORTER_DEADLINE));
     assert!(is_accepted(&cluster.request(0, Ask::Edit(edit.clone())), 3));
     assert!(is_accepted(
-        &cluster.change(1, amend("service/notebook", 3, LONGER)),
+        &cluster.change(1, amend("service/notebook", 3, LONGER_DEADLINE)),
         4
     ));
     assert!(is_accepted(&cluster.request(2, Ask::Edit(edit.clone())), 3));
@@ -167,9 +168,9 @@
     assert_eq!(cluster.table.head(), 5);
 }
 
+/// An instance that missed the announcement of a pool must not refuse a service that refers to it.
 #[test]
 fn a_lagging_instance_refuses_no_valid_change() {
-    // An instance that missed the announcement of a pool must not refuse a service that refers to it.
     let mut cluster = cluster(2);
     commit_unannounced(&mut cluster, 0, submit(sample::SPARE));
     assert_eq!(cluster.revisions(), [3, 2]);
@@ -181,8 +182,8 @@
     let mut cluster = cluster(1);
     let rows = cluster.table.rows.clone();
     for (act, status) in [
-        (amend("service/notebook", 2, LONGER), 200),
-        (amend("service/notebook", 1, LONGER), 409),
+        (amend("service/notebook", 2, LONGER_DEADLINE), 200),
+        (amend("service/notebook", 1, LONGER_DEADLINE), 409),
         (submit(sample::MATCHING), 422),
         (submit("{}"), 422),
         (withdraw("rule/none", 1), 404),
@@ -201,9 +202,9 @@
     let mut cluster = cluster(1);
     cluster.run_for(1_000);
     let from = cluster.now.0 / 1_000;
-    cluster.change(0, amend("service/notebook", 2, SHORTER));
+    cluster.change(0, amend("service/notebook", 2, SHORTER_DEADLINE));
     cluster.run_for(1_000);
-    cluster.change(0, amend("service/notebook", 2, LONGER));
+    cluster.change(0, amend("service/notebook", 2, LONGER_DEADLINE));
     cluster.change(
         0,
         submit(r#"{"schema":1,"kind":"service","name":"notebook"}"#),
@@ -230,7 +231,7 @@
         .collect();
     assert_eq!(results, [(Some(2), 0), (Some(3), 0), (None, 1), (None, 2)]);
     assert_eq!(of_record[1].before.as_deref(), Some(sample::NOTEBOOK));
-    assert_eq!(of_record[1].after.as_deref(), Some(SHORTER));
+    assert_eq!(of_record[1].after.as_deref(), Some(SHORTER_DEADLINE));
     assert_eq!(of_record[1].from, "192.0.2.1:4000");
     assert_eq!(read(None, from, None).len(), 4);
     assert_eq!(read(None, from, Some(from)).len(), 1);
@@ -240,7 +241,7 @@
 #[test]
 fn reports_and_audit_entries_keep_their_names_in_json() {
     let mut cluster = cluster(1);
-    cluster.change(0, amend("service/notebook", 2, SHORTER));
+    cluster.change(0, amend("service/notebook", 2, SHORTER_DEADLINE));
     let mut body = |ask| -> serde_json::Value {
         serde_json::from_str(&cluster.request(0, ask).body()).unwrap()
     };
@@ -265,7 +266,7 @@
     let mut sizes = Vec::new();
     loop {
         let Report::Audit { entries, after } = cluster.request(0, Ask::Audit(page.clone())) else {
-            panic!("it is a page");
+            panic!("the report is no page of the audit trail");
         };
         sizes.push(entries.len());
         page.after = after;
@@ -311,7 +312,7 @@
         })
     };
     let before = sum_stats(&cluster);
-    let edit = cluster.edit(amend("service/notebook", 2, SHORTER));
+    let edit = cluster.edit(amend("service/notebook", 2, SHORTER_DEADLINE));
     cluster.ask(0, Ask::Edit(edit));
     cluster.deliver_all();
     assert_eq!(cluster.revisions(), [3; 7]);
--- a/tests/records/orders.rs
+++ b/tests/records/orders.rs
@@ -10,6 +10,7 @@
         Completion, //
     },
 };
+
 const INSTANCES: usize = 5;
 
 /// A step of the test. Its numbers select messages, instances and edits, modulo how many there are.
@@ -98,23 +99,24 @@
     Some(cluster.edit(act))
 }
 
+/// Executes a step. `edits` collects the edits made, for later resubmissions.
 fn execute(cluster: &mut Cluster, edits: &mut Vec<Edit>, step: &Step) {
-    let pick = |n: usize, len: usize| n.checked_rem(len);
+    let select = |n: usize, len: usize| n.checked_rem(len);
     match *step {
         Step::Deliver(n) => {
-            if let Some(index) = pick(n, cluster.messages.len()) {
+            if let Some(index) = select(n, cluster.messages.len()) {
                 let message = cluster.messages.remove(index);
                 cluster.deliver(message);
             }
         }
         Step::Lose(n) => {
-            if let Some(index) = pick(n, cluster.messages.len()) {
+            if let Some(index) = select(n, cluster.messages.len()) {
                 let message = cluster.messages.remove(index);
                 lose(cluster, message);
             }
         }
         Step::Duplicate(n) => {
-            if let Some(index) = pick(n, cluster.messages.len()) {
+            if let Some(index) = select(n, cluster.messages.len()) {
                 let message = cluster.messages[index].clone();
                 if matches!(
                     message,
@@ -131,7 +133,7 @@
             }
         }
         Step::Resend(n, i) => {
-            if let Some(index) = pick(n, edits.len()) {
+            if let Some(index) = select(n, edits.len()) {
                 let edit = edits[index].clone();
                 if cluster.nodes[i % INSTANCES].config.is_some() {
                     cluster.ask(i % INSTANCES, Ask::Edit(edit));
@@ -168,7 +170,7 @@
                 let stored = cluster.table.operations[revision.0 as usize - 1];
                 assert_eq!(
                     stored, operation,
-                    "the reported revision is of another change"
+                    "the reported revision belongs to another change"
                 );
             }
             Report::Refused(_) => {
@@ -180,7 +182,7 @@
 }
 
 /// Executes the steps, then ends all faults and checks that all instances apply the newest revision.
-fn check_order(steps: Vec<Step>) -> bool {
+fn check_steps(steps: Vec<Step>) -> bool {
     let mut cluster = Cluster::with_records(INSTANCES, &[sample::COMPUTE]);
     let mut edits = Vec::new();
     for step in &steps {
@@ -200,22 +202,22 @@
     assert_eq!(
         cluster.revisions(),
         [head; INSTANCES],
-        "not in force everywhere"
+        "the newest revision is not in force at all instances"
     );
     let newest = &cluster.table.history[head as usize];
     let has_all = |i| cluster.config(i).records().len() == newest.len();
     (0..INSTANCES).all(has_all)
 }
 
+/// No order of faults may revert a change at an instance or falsify a report. Each input compares the node's records
+/// with the table's at that revision, and each step compares the reports with the changes that were applied.
 #[test]
 fn accepted_changes_stay_in_force_in_any_order_of_events() {
-    // No order of faults may revert a change at an instance or falsify a report. Each input compares the node's records
-    // with the table's at that revision, and each step compares the reports with the changes that were applied.
     let tests = std::env::var("ORDERS")
         .ok()
         .and_then(|n| n.parse().ok())
         .unwrap_or(200);
-    let property: fn(Vec<Step>) -> bool = check_order;
+    let property: fn(Vec<Step>) -> bool = check_steps;
     QuickCheck::new()
         .rng(Gen::new(400))
         .tests(tests)
--- a/tests/records/texts.rs
+++ b/tests/records/parsing.rs
@@ -1,6 +1,6 @@
 //! Tests of parsing a single record: both schemas, and all faults of a text.
 
-fn body(text: &str) -> Body {
+fn parse_body(text: &str) -> Body {
     Record::parse(text).unwrap().body
 }
 
@@ -27,21 +27,21 @@
 fn both_schemas_of_a_pool_and_a_rule_are_equivalent() {
     let old = r#"{"schema":1,"kind":"pool","name":"p","open":false}"#;
     let new = r#"{"schema":2,"kind":"pool","name":"p","state":"closed"}"#;
-    assert_eq!(body(old), body(new));
-    assert!(matches!(body(old), Body::Pool(p) if p.state == pool::State::Closed));
+    assert_eq!(parse_body(old), parse_body(new));
+    assert!(matches!(parse_body(old), Body::Pool(p) if p.state == pool::State::Closed));
     let old = r#"{"schema":1,"kind":"rule","name":"r","service":"s","centre":"a","spill":false}"#;
     let new =
         r#"{"schema":2,"kind":"rule","name":"r","service":"s","centres":["a"],"spill":false}"#;
-    assert_eq!(body(old), body(new));
+    assert_eq!(parse_body(old), parse_body(new));
 }
 
 #[test]
 fn a_rule_of_schema_2_has_several_centres_and_quotas() {
     let Body::Rule(rule::Body {
         centres, quotas, ..
-    }) = body(sample::RULE)
+    }) = parse_body(sample::RULE)
     else {
-        panic!("not a rule");
+        panic!("the record is no rule");
     };
     assert_eq!(centres, [id("b"), id("c")]);
     let quota = quotas[&id::<Team>("swaps")];
@@ -56,7 +56,7 @@
             "deadline":{seconds},"tasks":{tasks},"idempotent":{idempotent}}}"#);
         let new = format!(r#"{{"schema":2,"kind":"service","name":"s","pools":["p"],
             "deadline_ms":{seconds}000,"tasks":{tasks},"class":"{class}"}}"#);
-        body(&old) == body(&new)
+        parse_body(&old) == parse_body(&new)
     }
 
     fn a_damaged_text_causes_no_panic(place: usize, byte: u8) -> bool {
@@ -136,9 +136,9 @@
     );
 }
 
+/// Most JSON parsers silently take the last value, which need not be the one that was meant.
 #[test]
 fn a_duplicate_field_is_refused() {
-    // Most JSON parsers silently take the last value, which need not be the one that was meant.
     let text = r#"{"schema":1,"kind":"pool","name":"p","open":true,"open":false}"#;
     assert_eq!(
         parse_faults(text),
@@ -175,9 +175,9 @@
 
 use crate::prelude::*;
 
+/// Stored entries are read by other versions and by operators' scripts, which would miss a renamed field.
 #[test]
 fn an_audit_entry_keeps_the_names_of_its_fields() {
-    // Stored entries are read by other versions and by operators' scripts, which would miss a renamed field.
     let text = r#"{"at_ms":7,"operation":"000000000000000000000000000000ab","operator":"ops","from":"10.0.0.1:9",
         "instance":"entry-1","deed":"amend","record":"pool/compute","revision":3,"before":"{}","after":"{}"}"#;
     let entry: poplarknot::audit::Entry = serde_json::from_str(text).unwrap();
@@ -186,9 +186,9 @@
     assert_eq!(serde_json::to_value(&entry).unwrap(), value);
 }
 
+/// The platform writes the list. A field under another name would make the whole list unreadable.
 #[test]
 fn an_endpoint_of_the_platforms_list_keeps_the_names_of_its_fields() {
-    // The platform writes the list. A field under another name would make the whole list unreadable.
     let text = r#"{"name":"e","centre":"a","rack":"r","address":"10.0.0.1:9","pool":"compute","slots":8,
         "connections":64,"has":{"cores":64,"memory_mb":1024,"accelerators":1},"state":"live"}"#;
     let worker: Worker = serde_json::from_str(text).unwrap();
--- a/tests/records/spread.rs
+++ b/tests/records/propagation.rs
@@ -30,14 +30,14 @@
     cluster.table.commit(&Group { conditions, writes });
 }
 
+/// The response to a poll is delayed until a newer change is applied. If the instance went to the polled revision, it
+/// would revert that change.
 #[test]
 fn a_slow_poll_reverts_nothing() {
-    // The response to a poll is delayed until a newer change is applied. If the instance went to the polled revision, it
-    // would revert that change.
     let mut cluster = Cluster::with_records(1, &[sample::COMPUTE, OPEN]);
     cluster.tick(2 * POLL.as_millis());
-    let read = take_message(&mut cluster, |f| {
-        matches!(f, Message::Command(_, _, _, Command::Read(_)))
+    let read = take_message(&mut cluster, |message| {
+        matches!(message, Message::Command(_, _, _, Command::Read(_)))
     });
     let Message::Command(i, _, ticket, read) = read else {
         panic!("{read:?}");
@@ -49,9 +49,9 @@
     assert_eq!(cluster.config(0).revision(), Revision(3));
 }
 
+/// A late or duplicate announcement of an older change to a record must not revert the newer one.
 #[test]
 fn announcements_out_of_order_and_twice_revert_nothing() {
-    // A late or duplicate announcement of an older change to a record must not revert the newer one.
     let mut cluster = Cluster::with_records(2, &[sample::COMPUTE, OPEN]);
     let mut announced = commit_unannounced(&mut cluster, 0, amend("pool/spare", 2, CLOSED));
     announced.extend(commit_unannounced(
@@ -67,10 +67,10 @@
     assert_eq!(cluster.revisions(), [4, 4]);
 }
 
+/// The announcement to another data centre is lost, and no heartbeat arrives. The poll of one instance there must find
+/// the change within one interval.
 #[test]
 fn a_poll_finds_a_change_whose_announcement_was_lost() {
-    // The announcement to another data centre is lost, and no heartbeat arrives. The poll of one instance there must find
-    // the change within one interval.
     let mut cluster = Cluster::with_records(2, &[sample::COMPUTE]);
     cluster.run_for(POLL.as_millis());
     commit_unannounced(&mut cluster, 0, submit(OPEN));
@@ -80,10 +80,10 @@
     assert_eq!(cluster.revisions(), [2, 2]);
 }
 
+/// The instance that polls for its data centre gets no response from the table, but still sends heartbeats. The other
+/// instance must poll the table itself.
 #[test]
 fn an_instance_polls_when_the_elected_one_is_silent() {
-    // The instance that polls for its data centre gets no response from the table, though its heartbeats go on. The other
-    // instance must not depend on it forever.
     let mut cluster = Cluster::with_records(4, &[sample::COMPUTE]);
     cluster.run_for(20_000);
     // Nodes 0 and 3 share a data centre. All commands of the elected one are lost.
@@ -92,7 +92,7 @@
     write_to_table(&mut cluster, "pool/spare", OPEN);
     for _ in 0..70 {
         cluster.tick(100);
-        let is_lost = |f: &Message| match f {
+        let is_lost = |message: &Message| match message {
             Message::Command(i, ..) => *i == silent,
             message => matches!(message, Message::Call(..)),
         };
@@ -125,10 +125,10 @@
     }
 }
 
+/// The instance that receives announcements for data centre b has crashed undetected. Without a retry at the other
+/// instance there, the change would not arrive before the next poll.
 #[test]
 fn an_announcement_is_retried_at_another_instance_of_the_data_centre() {
-    // The instance that is to receive the announcement for data centre b has crashed undetected. Without a retry at its
-    // other instance, the change would not arrive there before the next poll.
     let mut cluster = Cluster::with_records(5, &[sample::COMPUTE]);
     cluster.run_for(1_000);
     let calls = commit_unannounced(&mut cluster, 0, submit(OPEN));
@@ -149,9 +149,9 @@
     assert_eq!(cluster.config(5 - first).revision(), Revision(2));
 }
 
+/// An accepted change must reach all instances through their peers if the table fails right after the commit.
 #[test]
 fn an_accepted_change_spreads_in_an_outage() {
-    // An accepted change must reach all instances through their peers if the table fails right after the commit.
     let mut cluster = Cluster::with_records(7, &[sample::COMPUTE]);
     cluster.run_for(1_000);
     let edit = cluster.edit(submit(OPEN));
@@ -165,10 +165,10 @@
     assert_eq!(cluster.revisions(), [2; 7]);
 }
 
+/// An instance that starts in an outage must not run jobs under replaced records: it takes the newest revision that
+/// a peer applies, and is unready before.
 #[test]
 fn an_instance_that_starts_in_an_outage_takes_the_newest_revision_of_its_peers() {
-    // An instance that starts in an outage must not run jobs under replaced records: it takes the newest revision that
-    // a peer applies, and is unready before.
     let mut cluster = Cluster::with_records(3, &[sample::COMPUTE]);
     cluster.stop(2);
     cluster.partitioned.insert(id("b"));
@@ -199,9 +199,9 @@
     assert!(cluster.config(0).is_ready());
 }
 
+/// A partitioned data centre misses more changes than fit in one message. It must apply all of them afterwards.
 #[test]
 fn a_partitioned_data_centre_catches_up() {
-    // A partitioned data centre misses more changes than fit in one message. It must apply all of them afterwards.
     let mut cluster = Cluster::with_records(6, &[sample::COMPUTE]);
     cluster.run_for(1_000);
     cluster.partitioned.insert(id("c"));
@@ -212,7 +212,7 @@
         cluster.ask(0, Ask::Edit(edit));
         cluster
             .messages
-            .retain(|f| !matches!(f, Message::Command(2 | 5, ..)));
+            .retain(|message| !matches!(message, Message::Command(2 | 5, ..)));
         cluster.deliver_all();
     }
     assert_eq!(cluster.revisions(), [21, 21, 1, 21, 21, 1]);
@@ -247,7 +247,7 @@
     cluster.ask(0, Ask::Edit(edit));
     cluster
         .messages
-        .retain(|f| !matches!(f, Message::Command(1, ..)));
+        .retain(|message| !matches!(message, Message::Command(1, ..)));
     cluster.deliver_all();
     cluster.partitioned.clear();
     let read_rollout = |cluster: &mut Cluster| {
--- a/tests/records/rules.rs
+++ b/tests/records/rules.rs
@@ -7,7 +7,7 @@
             .into_iter()
             .map(|fault| (fault.path, fault.code))
             .collect(),
-        report => panic!("not refused: {report:?}"),
+        report => panic!("the change was not refused for faults: {report:?}"),
     }
 }
 
@@ -82,9 +82,9 @@
     );
 }
 
+/// If an operator could close the only pool of a service by mistake, all its jobs would be refused.
 #[test]
 fn a_service_in_use_keeps_its_capacity() {
-    // If an operator could close the only pool of a service by mistake, all its jobs would be refused.
     let mut cluster = Cluster::with_records(1, sample::ALL);
     let closed = r#"{"schema":1,"kind":"pool","name":"compute","open":false}"#;
     let report = cluster.change(0, amend("pool/compute", 1, closed));
@@ -117,9 +117,9 @@
     assert_eq!(refusal_faults(report), single_fault("service", Code::Twice));
 }
 
+/// An amendment in schema 1 of a record in schema 2 would silently drop the fields that schema 1 can't express.
 #[test]
 fn an_amendment_in_an_older_schema_may_not_drop_fields() {
-    // An amendment in schema 1 of a record in schema 2 would silently drop the fields that schema 1 can't express.
     let mut cluster = Cluster::with_records(1, sample::ALL);
     let old = r#"{"schema":1,"kind":"service","name":"matching","pool":"compute","deadline":2}"#;
     let lost = refusal_faults(cluster.change(0, amend("service/matching", 4, old)));
@@ -159,10 +159,10 @@
     );
 }
 
+/// An instance must not interpret records of a newer version: it keeps them, refuses the jobs of their services, and
+/// refuses changes of them.
 #[test]
 fn a_record_of_an_unknown_schema_stays_untouched() {
-    // An instance must not interpret records of a newer version: it keeps them, refuses the jobs of their services, and
-    // refuses changes of them.
     let mut cluster = Cluster::with_records(2, &[sample::COMPUTE, sample::SPARE, sample::NOTEBOOK]);
     let newer = [
         (
--- a/tests/records/table.rs
+++ b/tests/records/table.rs
@@ -1,8 +1,8 @@
-//! A fake of the platform's table.
+//! A test double of the platform's table.
 
 use std::collections::BTreeMap;
 
-/// The rows of the table, and the configuration at each revision, to compare instances with.
+/// The rows of the table, and the configuration at each revision, which the tests compare with that of instances.
 #[derive(Default)]
 pub(crate) struct Table {
     /// Versions and values by key.
@@ -54,7 +54,7 @@
         } else {
             assert_eq!(
                 state, self.history[head],
-                "a record changed without a revision"
+                "a record changed without a new revision"
             );
         }
     }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -77,7 +77,7 @@
 const CALLER_COUNT: u64 = 6;
 /// The numbers of instances, endpoints and callers with `SOAK_SIZE=large`.
 const LARGE_SIZE: (usize, usize, u64) = (24, 60, 48);
-/// XORed with a seed to seed the link faults, which are drawn independently of the process faults.
+/// XORed with a seed to seed the link faults, which are independent of the process faults.
 const LINK_SEED_MASK: u64 = 0x5eed;
 /// One submission in this many is aborted before its answer.
 const ABORT_RATIO: u32 = 12;
@@ -202,7 +202,7 @@
         caller.await?;
     }
     wait_for_stored_jobs(&slots, &ledger).await?;
-    // Aborted submissions may have left running tasks, which are stopped or lose their lease.
+    // Tasks of aborted submissions may still run; they are stopped or their lease expires.
     sleep(Duration::from_millis(1_500)).await;
     fleet.assert_no_overlapping_runs();
     let violations = find_violations(&fleet, &ledger);
@@ -255,39 +255,50 @@
 /// Returns the violations, among them answers that contradict what endpoints ran.
 fn find_violations(fleet: &Fleet, ledger: &Mutex<Ledger>) -> Vec<String> {
     let mut ledger = ledger.lock().unwrap();
-    let mut done: HashMap<String, HashSet<String>> = HashMap::new();
+    let mut done_tasks: HashMap<String, HashSet<String>> = HashMap::new();
     let mut started_at: HashMap<String, Instant> = HashMap::new();
-    for past in fleet
+    for execution in fleet
         .endpoints
         .iter()
         .flat_map(|endpoint| endpoint.history())
     {
-        let job = past.task.split('.').next().unwrap_or_default().to_owned();
-        let first = started_at.entry(job.clone()).or_insert(past.started_at);
-        *first = past.started_at.min(*first);
-        if past.outcome == "done" {
-            done.entry(job).or_default().insert(past.task);
+        let job = execution
+            .task
+            .split('.')
+            .next()
+            .unwrap_or_default()
+            .to_owned();
+        let first = started_at
+            .entry(job.clone())
+            .or_insert(execution.started_at);
+        *first = execution.started_at.min(*first);
+        if execution.outcome == "done" {
+            done_tasks.entry(job).or_default().insert(execution.task);
         }
     }
     let mut violations = std::mem::take(&mut ledger.violations);
     for id in &ledger.completed {
-        let done_count = done.get(&format!("{id:016x}")).map_or(0, HashSet::len);
+        let done_count = done_tasks
+            .get(&format!("{id:016x}"))
+            .map_or(0, HashSet::len);
         if done_count < TASK_COUNT as usize {
             violations.push(format!(
-                "{id:016x} was completed with {done_count} tasks done"
+                "{id:016x} was answered as completed, but only {done_count} of {TASK_COUNT} tasks were done"
             ));
         }
     }
     for (id, refused) in &ledger.refused {
         if *refused && started_at.contains_key(&format!("{id:016x}")) {
-            violations.push(format!("{id:016x} was answered not run, and ran"));
+            violations.push(format!(
+                "{id:016x} was answered as not run, but a task had started"
+            ));
         }
     }
     for (id, name, at) in &ledger.closed {
         let first = started_at.get(&format!("{id:016x}"));
         if first.is_some_and(|first| first < at) {
             violations.push(format!(
-                "{id:016x} was cut off by {name} after it had started"
+                "{id:016x} had started when {name} closed its connection without an answer"
             ));
         }
     }
@@ -389,7 +400,7 @@
         }
         Err(error) => {
             if !is_disrupted && !is_connection_error(error.as_ref()) {
-                let violation = format!("{id:016x} was cut off by {name}: {error}");
+                let violation = format!("{id:016x} got no answer from {name}: {error}");
                 ledger.violations.push(violation);
             }
             false
@@ -500,7 +511,7 @@
         *slot.disrupted_at.lock().unwrap() = Some(Instant::now());
     }
     if instance.signal(signal).is_err() {
-        // Another fault has ended the instance and restarts it.
+        // Another fault has ended the instance and will restart it.
         return Ok(());
     }
     while instance.is_running() {
--- a/tests/standin.rs
+++ b/tests/standin.rs
@@ -97,10 +97,10 @@
     let answer = client
         .post("/table/commit", &[], &insert_commit(&["a", "b"]))
         .await?;
-    let committed: Verdicts = answer.json()?;
+    let verdicts: Verdicts = answer.json()?;
 
-    assert!(committed.verdicts[0].applied && !committed.verdicts[1].applied);
-    assert_eq!(committed.verdicts[1].current, platform.rows("b"));
+    assert!(verdicts.verdicts[0].applied && !verdicts.verdicts[1].applied);
+    assert_eq!(verdicts.verdicts[1].current, platform.rows("b"));
     let scan: Scan = client.get("/table/scan?prefix=&after=a").await?.json()?;
     assert_eq!(scan.rows, platform.rows("b"));
     assert_eq!(client.get("/table/row?key=%61").await?.status, 200);
@@ -194,12 +194,12 @@
         })
     };
     let running = send(0);
-    wait_until("one runs", || async {
+    wait_until("a task runs", || async {
         (worker.load().running == 1).then_some(())
     })
     .await?;
     let queued = send(1);
-    wait_until("one waits", || async {
+    wait_until("a task is queued", || async {
         (worker.load().queued == 1).then_some(())
     })
     .await?;
@@ -226,7 +226,7 @@
     let answer = tokio::spawn(async move {
         client::post(address, "/tasks", &[], &start_request(0, 60_000)).await
     });
-    wait_until("it runs", || async {
+    wait_until("the task runs", || async {
         (worker.load().running == 1).then_some(())
     })
     .await?;
--- a/tests/trace/files.rs
+++ b/tests/trace/files.rs
@@ -16,7 +16,7 @@
 };
 
 const JOB: &str = "7239831d1d124ecb";
-const OTHER: &str = "00000000000000aa";
+const OTHER_JOB: &str = "00000000000000aa";
 /// The wall clock time of the job's first line, in milliseconds.
 const START_MS: u64 = 1_796_252_887_123;
 
@@ -34,7 +34,7 @@
 
 impl LogFolder {
     fn new(logs: &[(&str, String)]) -> Self {
-        let folder = tempfile::tempdir().expect("a folder can be made");
+        let folder = tempfile::tempdir().expect("a temporary folder is created");
         for (name, text) in logs {
             std::fs::write(folder.path().join(name), text).expect("the log is written");
         }
@@ -55,7 +55,7 @@
             -40,
             "entry",
             "job_accepted",
-            json!({"job": OTHER, "route": "r-1"}),
+            json!({"job": OTHER_JOB, "route": "r-1"}),
         ),
         line(
             0,
@@ -317,7 +317,7 @@
 #[test]
 fn unknown_job_is_an_error() {
     let log = [
-        line(0, "a", "job_accepted", json!({"job": OTHER})),
+        line(0, "a", "job_accepted", json!({"job": OTHER_JOB})),
         line(1_000, "a", "lines_left_out", json!({"count": 120})),
         "half a li".to_owned(),
     ];
--- a/tests/trace/incidents.rs
+++ b/tests/trace/incidents.rs
@@ -24,15 +24,15 @@
     },
 };
 
-/// How long tasks run.
+/// The duration of tasks.
 const TASK_DURATION: Duration = Duration::from_millis(900);
-/// How long tasks run that must not end before the fault, also on a busy machine.
+/// The duration of tasks that must not end before the fault, also on a busy machine.
 const UNFINISHED_TASK_DURATION: Duration = Duration::from_secs(60);
-/// How long an incident waits between its steps: from a submission to the fault, and for the logs to be written.
+/// The delay between the steps of an incident: from a submission to the fault, and until the logs are written.
 const STEP_DELAY: Duration = Duration::from_millis(300);
-/// How long after the fault the caller submits its job again.
+/// The delay from the fault to the caller's retry.
 const RETRY_DELAY: Duration = Duration::from_millis(1_300);
-/// How long instances run before the first job. It exceeds the default context span, so that their start isn't context.
+/// The time that instances run before the first job. It exceeds the default context span, so that their start isn't context.
 const WARM_UP: Duration = Duration::from_millis(5_500);
 /// The number of jobs that overload the only endpoint.
 const OVERLOAD_JOBS: u64 = 8;
@@ -45,7 +45,7 @@
 
 /// A failed request.
 pub(crate) struct Incident {
-    /// The status of the response that its caller got, or what it got in place of one.
+    /// The status of the response to the caller, or what the caller got instead of one.
     pub(crate) response: String,
     /// The job's identifier in hexadecimal digits.
     pub(crate) job: String,
@@ -81,6 +81,7 @@
     }
 }
 
+/// Starts a fleet, and waits until its start is no longer context of a new job.
 async fn start_warm(
     program: &Path,
     instances: usize,
@@ -100,7 +101,7 @@
     let (first, second) = tokio::join!(fleet.instances[0].submit(id, 2, 900), async {
         sleep(STEP_DELAY).await;
         fleet.instances[0].signal(Signal::SIGKILL)?;
-        // Running tasks go on until they are stopped; new ones get the shorter duration, so that the retry succeeds.
+        // Running tasks keep their duration until they are stopped; new ones get the shorter one, so that the retry succeeds.
         fleet
             .endpoints
             .iter()
@@ -148,12 +149,12 @@
 pub(crate) async fn lost_store(program: &Path) -> Result<Incident> {
     let fleet = start_warm(program, 2, 2, TASK_DURATION).await?;
     let id = 0xc01;
-    let before = (1..).find(|n| JobId(*n).shard() == JobId(id).shard());
+    let earlier = (1..).find(|n| JobId(*n).shard() == JobId(id).shard());
     let step = json!({"count": 2, "cpu": 1000, "mem_mb": 64, "estimated_ms": 900});
     let body = json!({"spec": "cell", "steps": [step]});
     let path = |id: u64| format!("{PREFIX}{id:016x}");
     let instance = &fleet.instances[0];
-    let answer = instance.post(&path(before.unwrap_or(id)), &body).await?;
+    let answer = instance.post(&path(earlier.unwrap_or(id)), &body).await?;
     if answer.status != 200 {
         return Err(format!("the first job was answered {}", answer.status).into());
     }
--- a/tests/trace/runs.rs
+++ b/tests/trace/runs.rs
@@ -23,7 +23,7 @@
 
 /// Runs `poplarknot trace` for an incident's job on the logs of its instances.
 fn trace_incident(incident: &Incident) -> Output {
-    let folder = tempfile::tempdir().expect("a folder can be made");
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
     let mut args = vec![incident.job.clone()];
     for log in &incident.logs {
         let path = folder.path().join(&log.instance);
@@ -43,7 +43,11 @@
     let mut remaining = events.iter();
     for event in expected {
         let found = remaining.any(|printed| printed == event);
-        assert!(found, "{event} of {expected:?} in {}", stdout(output));
+        assert!(
+            found,
+            "{event} of {expected:?} is missing or out of order in {}",
+            stdout(output)
+        );
     }
 }
 
