--- a/tests/proofs/leaving.rs
+++ b/tests/proofs/leaving.rs
@@ -7,7 +7,7 @@
 /// Submits `jobs` jobs of two tasks, alternating between two instances, and returns them when all are complete.
 async fn submit_burst(cluster: &Cluster, name: &str, jobs: usize) -> Result<Vec<Value>> {
     let jobs: Vec<_> = (0..jobs)
-        .map(|i| job(&format!("{name}-{i}"), [30, 60]))
+        .map(|i| new_job(&format!("{name}-{i}"), [30, 60]))
         .collect();
     let calls = jobs.iter().enumerate();
     let calls = calls.map(|(i, job)| async move {
@@ -31,14 +31,14 @@
 /// An endpoint that the platform's list marks as leaving must get no new tasks once the instances have read the list. It
 /// completes the tasks that it got before.
 #[tokio::test]
-async fn an_endpoint_that_the_list_calls_leaving_gets_nothing() -> Result {
+async fn an_endpoint_listed_as_leaving_gets_no_new_tasks() -> Result {
     let lag = Duration::from_millis(400);
     let platform = Settings {
         list_lag: lag,
         ..Settings::default()
     };
     let cluster = launch(cluster_builder().platform(platform).workers(3)).await?;
-    let long = job("long", [1_500; 24]);
+    let long = new_job("long", [1_500; 24]);
     let caller = spawn_submit(&cluster, 0, &long);
     wait_for_start(&cluster, &long).await?;
     let mut entry = cluster.workers[0].entry();
@@ -64,9 +64,9 @@
 /// An endpoint that refuses a start because it is leaving must get no more tasks, although the list has it as live. The
 /// refusal proves that the task didn't start, so it is sent to another endpoint.
 #[tokio::test]
-async fn an_endpoint_that_says_it_leaves_gets_nothing() -> Result {
+async fn an_endpoint_that_refuses_as_leaving_gets_no_new_tasks() -> Result {
     let cluster = launch(cluster_builder().workers(3)).await?;
-    let long = job("long", [800; 24]);
+    let long = new_job("long", [800; 24]);
     let caller = spawn_submit(&cluster, 0, &long);
     wait_for_start(&cluster, &long).await?;
     cluster.workers[0].update_behaviour(|b| b.leaving = true);
@@ -80,7 +80,7 @@
 /// When an endpoint refuses connections before the list reports it, jobs must still complete. A refused connection proves
 /// that the start wasn't sent, so the task is sent to another endpoint.
 #[tokio::test]
-async fn an_endpoint_whose_connections_close_costs_nothing() -> Result {
+async fn an_endpoint_that_refuses_connections_fails_no_job() -> Result {
     let mut cluster = launch(cluster_builder().workers(3)).await?;
     submit_burst(&cluster, "before", 10).await?;
     let before = cluster.workers[0].counters();
@@ -95,22 +95,28 @@
 /// A draining instance must complete all jobs in progress, including forwarded ones, before it exits with code 0. It refuses
 /// new jobs.
 #[tokio::test]
-async fn a_drain_under_load_cuts_nothing_off() -> Result {
+async fn a_drain_under_load_completes_all_jobs() -> Result {
     let mut cluster = launch(cluster_builder()).await?;
-    let range = submit(&cluster, 0, &job("first", [1])).await?.range;
+    let range = submit(&cluster, 0, &new_job("first", [1])).await?.range;
     let table: Vec<_> = (0..20)
-        .map(|i| job(&format!("table-{i}"), [300, 200 + 20 * i]))
+        .map(|i| new_job(&format!("table-{i}"), [300, 200 + 20 * i]))
         .collect();
-    let ranged = |i: u64| {
+    let range_job = |i: u64| {
         with_field(
-            job(&format!("ranged-{i}"), [300 + i]),
+            new_job(&format!("ranged-{i}"), [300 + i]),
             "key",
             format!("{range}.{i}"),
         )
     };
-    let ranged: Vec<_> = (0..10).map(ranged).collect();
-    let keyless = |i: u64| with_field(job(&format!("keyless-{i}"), [500 + i]), "key", Value::Null);
-    let keyless: Vec<_> = (0..10).map(keyless).collect();
+    let ranged: Vec<_> = (0..10).map(range_job).collect();
+    let keyless_job = |i: u64| {
+        with_field(
+            new_job(&format!("keyless-{i}"), [500 + i]),
+            "key",
+            Value::Null,
+        )
+    };
+    let keyless: Vec<_> = (0..10).map(keyless_job).collect();
     let at_first = table.iter().chain(&keyless).map(|job| (job, 0));
     let all: Vec<_> = at_first.chain(ranged.iter().map(|job| (job, 1))).collect();
     let callers: Vec<_> = all
@@ -120,7 +126,7 @@
     for (job, _) in &all {
         wait_for_start(&cluster, job).await?;
     }
-    let elsewhere = job("elsewhere", [1]);
+    let elsewhere = new_job("elsewhere", [1]);
     submit(&cluster, 1, &elsewhere)
         .await?
         .assert_complete(&elsewhere);
@@ -129,18 +135,18 @@
         cluster.instances[0].log().contains("E003").then_some(())
     })
     .await?;
-    let late = job("late", [10]);
+    let late = new_job("late", [10]);
     submit(&cluster, 0, &late)
         .await?
         .assert_is(Outcome::NotRun, Reason::Draining, 503);
-    // "not run" would be false for this key, whose job ran at the other instance.
+    // "not run" would be false for this job, which ran at the other instance.
     submit(&cluster, 0, &elsewhere)
         .await?
         .assert_complete(&elsewhere);
     for ((job, _), caller) in all.iter().zip(callers) {
         caller.await??.assert_complete(job);
     }
-    assert_eq!(cluster.instances[0].wait_exit().await?.code(), Some(0));
+    assert_eq!(cluster.instances[0].wait_for_exit().await?.code(), Some(0));
     for job in &table {
         submit(&cluster, 1, job).await?.assert_complete(job);
     }
@@ -157,13 +163,13 @@
 async fn the_last_answers_leave_before_the_process_ends() -> Result {
     for round in 0..4 {
         let mut cluster = launch(cluster_builder()).await?;
-        let callers = cluster.instances[0].callers;
-        let range = submit(&cluster, 0, &job(&format!("range-{round}"), [1]))
+        let address = cluster.instances[0].caller_address;
+        let range = submit(&cluster, 0, &new_job(&format!("range-{round}"), [1]))
             .await?
             .range;
         let sizes = [("here", 300, 0), ("there", 300 + 300 * (round % 2), 1)];
         let jobs = sizes.map(|(name, sleep, instance)| {
-            let mut job = job(&format!("{name}-{round}"), [sleep]);
+            let mut job = new_job(&format!("{name}-{round}"), [sleep]);
             job["tasks"][0]["payload"]["bytes"] = 2_000_000.into();
             (with_field(job, "key", format!("{range}.{name}")), instance)
         });
@@ -174,7 +180,7 @@
         for (job, _) in &jobs {
             wait_for_start(&cluster, job).await?;
         }
-        let mut slow = TcpStream::connect(callers).await?;
+        let mut slow = TcpStream::connect(address).await?;
         let head = "POST /v1/jobs HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\n{";
         slow.write_all(head.as_bytes()).await?;
         cluster.instances[0].stop()?;
@@ -188,7 +194,7 @@
             response.contains("poplarknot-outcome: not-run"),
             "{response}"
         );
-        assert_eq!(cluster.instances[0].wait_exit().await?.code(), Some(0));
+        assert_eq!(cluster.instances[0].wait_for_exit().await?.code(), Some(0));
     }
     Ok(())
 }
--- a/tests/proofs/ranges.rs
+++ b/tests/proofs/ranges.rs
@@ -4,16 +4,16 @@
 
 /// Returns a job under a key of a range.
 fn range_job(range: &str, name: &str) -> Value {
-    with_field(job(name, [10]), "key", format!("{range}.{name}"))
+    with_field(new_job(name, [10]), "key", format!("{range}.{name}"))
 }
 
-/// Jobs under range keys must complete during a table outage, also when another instance forwards them to the owner. While
-/// the owner is unreachable the other instance must answer "unknown" and start nothing: only the owner knows the key.
+/// Jobs under range keys must complete during a table outage, also when another instance forwards them to the owner. If
+/// the owner is unreachable, the other instance must answer "unknown" and start nothing: only the owner knows the key.
 #[tokio::test]
-async fn a_range_is_served_through_an_outage_and_a_cut() -> Result {
+async fn range_keys_are_served_in_an_outage_but_only_by_their_owner() -> Result {
     let mut cluster = launch(cluster_builder()).await?;
     let range = fetch_range(&cluster.instances[0]).await?;
-    cluster.platform.take_down().await;
+    cluster.platform.close().await;
     let (here, there, cut) = (
         range_job(&range, "a"),
         range_job(&range, "b"),
@@ -43,7 +43,7 @@
 /// No other incarnation may start a job under a range key whose owner was killed: its tasks may have run. The answer is
 /// "unknown" at the surviving instance and at the restarted one.
 #[tokio::test]
-async fn a_range_ends_with_its_owner() -> Result {
+async fn the_range_of_a_killed_owner_starts_nothing() -> Result {
     let mut cluster = launch(cluster_builder()).await?;
     let range = fetch_range(&cluster.instances[0]).await?;
     let (ended, running, new) = (
@@ -54,7 +54,7 @@
     submit(&cluster, 0, &ended).await?.assert_complete(&ended);
     let mut slow = running;
     slow["tasks"][0]["payload"]["sleep_ms"] = json!(700);
-    let caller = crate::spawn_submit(&cluster, 1, &slow);
+    let caller = spawn_submit(&cluster, 1, &slow);
     wait_for_start(&cluster, &slow).await?;
     cluster.instances[0].kill().await?;
     // The broken connection ends the forwarded submission at once.
@@ -62,7 +62,7 @@
         .await??
         .assert_is(Outcome::Unknown, Reason::OwnerGone, 504);
     cluster.restart(0).await?;
-    cluster.instances[0].wait_ready().await?;
+    cluster.instances[0].wait_until_ready().await?;
     for instance in [0, 1] {
         for job in [&ended, &slow, &new] {
             let response = submit(&cluster, instance, job).await?;
--- a/tests/proofs/workers.rs
+++ b/tests/proofs/workers.rs
@@ -6,12 +6,12 @@
 const START_ONCE_CLASSES: [&str; 2] = ["once", "non-idempotent"];
 
 fn job_of_class(class: &str, sleep: u64) -> Value {
-    with_field(job(class, [sleep]), "class", class)
+    with_field(new_job(class, [sleep]), "class", class)
 }
 
 /// Runs a job on all workers, so that the instance has idle connections to each.
 async fn open_connections(cluster: &Cluster) -> Result {
-    let job = with_field(job("warm", [30; 16]), "key", Value::Null);
+    let job = with_field(new_job("warm", [30; 16]), "key", Value::Null);
     submit(cluster, 0, &job).await?.assert_complete(&job);
     let is_unused = |worker: &Worker| worker.started_tasks().is_empty();
     assert!(!cluster.workers.iter().any(is_unused));
@@ -48,7 +48,7 @@
 
 /// An idempotent task whose worker crashed must be retried on another worker.
 #[tokio::test]
-async fn an_idempotent_task_survives_its_worker() -> Result {
+async fn an_idempotent_task_is_retried_after_a_crash() -> Result {
     let cluster = launch(cluster_builder()).await?;
     let job = job_of_class("idempotent", 1_500);
     let caller = spawn_submit(&cluster, 0, &job);
@@ -80,8 +80,8 @@
     Ok(())
 }
 
-/// A start that was sent on a half-open connection must not be retried before the worker has barred the attempt, as it may
-/// still arrive. The instance has it barred over a new connection.
+/// A start that was sent on a half-open connection may still arrive. It must not be retried before the worker has barred
+/// the attempt, which the instance requests over a new connection.
 #[tokio::test]
 async fn a_start_on_a_silent_connection_is_barred_before_a_retry() -> Result {
     let cluster = launch(cluster_builder()).await?;
@@ -93,7 +93,7 @@
             .proxies
             .workers
             .iter()
-            .for_each(|proxy| proxy.blackhole_open());
+            .for_each(|proxy| proxy.blackhole_open_connections());
         submit(&cluster, 0, &job).await?.assert_complete(&job);
         // An idempotent task may have been hedged instead.
         if class != "idempotent" {
@@ -107,20 +107,20 @@
     Ok(())
 }
 
-/// A start must not be sent on a connection that was idle beyond the limit, since it may be half-open and delay the task. A
-/// new connection replaces it.
+/// A start must not be sent on a connection that was idle beyond the limit: it may be half-open, and the task would be
+/// delayed. A new connection replaces it.
 #[tokio::test]
-async fn an_idle_connection_is_not_trusted() -> Result {
+async fn no_start_is_sent_on_a_stale_connection() -> Result {
     let cluster = launch(cluster_builder().set("timing", "idle", "100ms")).await?;
     open_connections(&cluster).await?;
     cluster
         .proxies
         .workers
         .iter()
-        .for_each(|proxy| proxy.blackhole_open());
+        .for_each(|proxy| proxy.blackhole_open_connections());
     sleep(Duration::from_millis(150)).await;
     let (_, stops) = start_and_stop_counts(&cluster);
-    let job = job("trusted", [20; 8]);
+    let job = new_job("trusted", [20; 8]);
     submit(&cluster, 0, &job).await?.assert_complete(&job);
     assert_start_counts(&cluster, &job, 1);
     assert_eq!(
@@ -144,7 +144,7 @@
             .proxies
             .workers
             .iter()
-            .for_each(|proxy| proxy.blackhole_open());
+            .for_each(|proxy| proxy.blackhole_open_connections());
         caller.await??.assert_complete(&job);
         assert_start_counts(&cluster, &job, 1);
     }
@@ -154,7 +154,7 @@
 /// A start-once task whose worker receives requests but whose answers are all lost must not be retried: the answer is
 /// "unknown". An idempotent task completes on another worker.
 #[tokio::test]
-async fn a_worker_whose_answers_are_lost() -> Result {
+async fn only_idempotent_tasks_are_retried_after_lost_answers() -> Result {
     for class in ["once", "non-idempotent", "idempotent"] {
         let cluster = launch(cluster_builder()).await?;
         let job = job_of_class(class, 300);
@@ -177,7 +177,7 @@
 #[tokio::test]
 async fn a_job_with_a_failed_task_has_no_results() -> Result {
     let cluster = launch(cluster_builder()).await?;
-    let mut job = job("failed", [10, 200, 90_000]);
+    let mut job = new_job("failed", [10, 200, 90_000]);
     job["tasks"][1]["payload"]["fail"] = json!(true);
     for instance in [0, 1] {
         let response = submit(&cluster, instance, &job).await?;
@@ -185,8 +185,8 @@
     }
     assert_start_counts(&cluster, &job, 1);
     wait_until("the other tasks are stopped", || async {
-        let busy = |worker: &Worker| worker.load().running > 0;
-        (!cluster.workers.iter().any(busy)).then_some(())
+        let is_busy = |worker: &Worker| worker.load().running > 0;
+        (!cluster.workers.iter().any(is_busy)).then_some(())
     })
     .await
 }
--- a/tests/records/edits.rs
+++ b/tests/records/edits.rs
@@ -1,8 +1,8 @@
 //! Tests of changes: races, lost answers, resubmissions, refusals, and the audit trail.
 
-const LONGER: &str =
+const LONGER_DEADLINE: &str =
     r#"{"schema":2,"kind":"service","name":"notebook","pools":["compute"],"deadline_ms":20000}"#;
-const SHORTER: &str =
+const SHORTER_DEADLINE: &str =
     r#"{"schema":1,"kind":"service","name":"notebook","pool":"compute","deadline":5}"#;
 
 fn cluster(instances: usize) -> Cluster {
@@ -28,13 +28,13 @@
     matches!(report, Report::Accepted { revision, .. } if revision.0 == expected)
 }
 
+/// Without the condition on the head's version, the second of two concurrent changes would silently replace the first.
+/// The second operator gets a conflict with the fields that differ.
 #[test]
-fn of_two_operators_on_one_revision_one_is_accepted() {
-    // Without the condition on the head's version, the second of two concurrent changes would silently replace the first.
-    // The second operator gets a conflict with the fields that differ.
+fn of_two_amendments_of_one_revision_one_is_accepted() {
     let mut cluster = cluster(2);
-    let first = cluster.edit(amend("service/notebook", 2, SHORTER));
-    let second = cluster.edit(amend("service/notebook", 2, LONGER));
+    let first = cluster.edit(amend("service/notebook", 2, SHORTER_DEADLINE));
+    let second = cluster.edit(amend("service/notebook", 2, LONGER_DEADLINE));
     let first = cluster.ask(0, Ask::Edit(first));
     let second = cluster.ask(1, Ask::Edit(second));
     cluster.deliver_all();
@@ -63,7 +63,7 @@
 fn changes_to_different_records_are_both_accepted() {
     // Both commits are based on the same head. A conflict over different records would refuse a valid change.
     let mut cluster = cluster(2);
-    let first = cluster.edit(amend("service/notebook", 2, SHORTER));
+    let first = cluster.edit(amend("service/notebook", 2, SHORTER_DEADLINE));
     let second = cluster.edit(submit(sample::SPARE));
     let first = cluster.ask(0, Ask::Edit(first));
     let second = cluster.ask(1, Ask::Edit(second));
@@ -72,18 +72,18 @@
     assert!(is_accepted(&cluster.reports[&first], 3) && is_accepted(&cluster.reports[&second], 4));
 }
 
+/// The commit is applied and its response is lost: a report of failure would make the operator repeat the change. The
+/// instance retries the group, which fails on the operation's row, and that row has the result.
 #[test]
-fn a_lost_answer_to_a_commit_that_took_effect_is_settled() {
-    // The commit is applied and its response is lost: a report of failure would make the operator repeat the change. The
-    // instance retries the group, which fails on the operation's row, and that row has the result.
+fn a_lost_answer_to_a_commit_is_recovered() {
     let mut cluster = cluster(3);
-    let edit = cluster.edit(amend("service/notebook", 2, SHORTER));
+    let edit = cluster.edit(amend("service/notebook", 2, SHORTER_DEADLINE));
     let request = cluster.ask(0, Ask::Edit(edit));
     let (i, _, ticket, command) = take_commit(&mut cluster);
     cluster.table.execute(&command);
     cluster.input(i, Input::Completed(ticket, Completion::Unknown));
     assert!(!cluster.reports.contains_key(&request));
-    // The other instances learn of the change by its announcement, without a heartbeat or a poll.
+    // The other instances learn of the change from its announcement, without a heartbeat or a poll.
     for _ in 0..3 {
         cluster.tick(100);
         cluster.deliver_all();
@@ -93,30 +93,30 @@
     assert_eq!(cluster.revisions(), [3, 3, 3]);
 }
 
+/// The commit is delayed and its retry is applied first. When the delayed one arrives, it must not make a second
+/// revision.
 #[test]
-fn a_commit_that_lands_late_is_accepted_once() {
-    // The commit is delayed and its retry is applied first. When the delayed one arrives, it must not make a second
-    // revision.
+fn a_late_commit_is_not_applied_twice() {
     let mut cluster = cluster(2);
-    let edit = cluster.edit(amend("service/notebook", 2, SHORTER));
+    let edit = cluster.edit(amend("service/notebook", 2, SHORTER_DEADLINE));
     let request = cluster.ask(0, Ask::Edit(edit));
     let (i, _, ticket, late) = take_commit(&mut cluster);
     cluster.input(i, Input::Completed(ticket, Completion::Unknown));
     cluster.run_for(1_000);
     assert!(is_accepted(&cluster.reports[&request], 3));
     let Completion::Verdict(verdict) = cluster.table.execute(&late) else {
-        panic!("it was a commit");
+        panic!("a commit returned no verdict");
     };
     assert!(!verdict.applied);
     assert_eq!(cluster.table.head(), 3);
 }
 
+/// While the result of a commit is unknown, a report of acceptance or refusal could be false. A retry of the operation
+/// at another instance after the outage returns the result.
 #[test]
-fn a_lost_answer_during_an_outage_is_told_as_unknown_and_can_be_sent_again() {
-    // While the result of a commit is unknown, a report of acceptance or refusal could be false. A retry of the operation
-    // at another instance after the outage returns the result.
+fn a_lost_answer_in_an_outage_is_unknown_until_a_retry() {
     let mut cluster = cluster(2);
-    let edit = cluster.edit(amend("service/notebook", 2, SHORTER));
+    let edit = cluster.edit(amend("service/notebook", 2, SHORTER_DEADLINE));
     let request = cluster.ask(0, Ask::Edit(edit.clone()));
     let (i, _, ticket, command) = take_commit(&mut cluster);
     cluster.table.execute(&command);
@@ -135,22 +135,22 @@
     // A change that was reported as unavailable must not be committed after the outage.
     let mut cluster = cluster(1);
     cluster.outage = true;
-    let report = cluster.change(0, amend("service/notebook", 2, SHORTER));
+    let report = cluster.change(0, amend("service/notebook", 2, SHORTER_DEADLINE));
     assert_eq!(report, Report::Unavailable);
     cluster.outage = false;
     cluster.run_for(10_000);
     assert_eq!(cluster.table.head(), 2);
 }
 
+/// A retry that arrives after later changes would be a conflict if it were validated again. The operation's row has the
+/// first result.
 #[test]
-fn an_operation_sent_again_gets_the_same_answer_anywhere() {
-    // A retry that arrives after later changes would be a conflict if it were validated again. The operation's row has the
-    // first result.
+fn a_retried_operation_gets_the_same_answer_at_any_instance() {
     let mut cluster = cluster(3);
-    let edit = cluster.edit(amend("service/notebook", 2, SHORTER));
+    let edit = cluster.edit(amend("service/notebook", 2, SHORTER_DEADLINE));
     assert!(is_accepted(&cluster.request(0, Ask::Edit(edit.clone())), 3));
     assert!(is_accepted(
-        &cluster.change(1, amend("service/notebook", 3, LONGER)),
+        &cluster.change(1, amend("service/notebook", 3, LONGER_DEADLINE)),
         4
     ));
     assert!(is_accepted(&cluster.request(2, Ask::Edit(edit.clone())), 3));
@@ -170,9 +170,9 @@
     assert_eq!(cluster.table.head(), 5);
 }
 
+/// An instance that missed the announcement of a pool must not refuse a service that refers to it.
 #[test]
-fn an_instance_that_lags_refuses_nothing_for_that() {
-    // An instance that missed the announcement of a pool must not refuse a service that refers to it.
+fn a_lagging_instance_refuses_no_valid_change() {
     let mut cluster = cluster(2);
     commit_unannounced(&mut cluster, 0, submit(sample::SPARE));
     assert_eq!(cluster.revisions(), [3, 2]);
@@ -185,8 +185,8 @@
     let mut cluster = cluster(1);
     let rows = cluster.table.rows.clone();
     for (act, status) in [
-        (amend("service/notebook", 2, LONGER), 200),
-        (amend("service/notebook", 1, LONGER), 409),
+        (amend("service/notebook", 2, LONGER_DEADLINE), 200),
+        (amend("service/notebook", 1, LONGER_DEADLINE), 409),
         (submit(sample::MATCHING), 422),
         (submit("{}"), 422),
         (withdraw("rule/none", 1), 404),
@@ -201,14 +201,14 @@
 }
 
 #[test]
-fn the_audit_trail_tells_of_what_was_accepted_and_refused() {
+fn the_audit_trail_has_accepted_and_refused_changes() {
     // Refused changes belong to the trail too, also those whose text names no record.
     let mut cluster = cluster(1);
     cluster.run_for(1_000);
     let from = cluster.now.0 / 1_000;
-    cluster.change(0, amend("service/notebook", 2, SHORTER));
+    cluster.change(0, amend("service/notebook", 2, SHORTER_DEADLINE));
     cluster.run_for(1_000);
-    cluster.change(0, amend("service/notebook", 2, LONGER));
+    cluster.change(0, amend("service/notebook", 2, LONGER_DEADLINE));
     cluster.change(
         0,
         submit(r#"{"schema":1,"kind":"service","name":"notebook"}"#),
@@ -235,7 +235,7 @@
         .collect();
     assert_eq!(results, [(Some(2), 0), (Some(3), 0), (None, 1), (None, 2)]);
     assert_eq!(of_record[1].before.as_deref(), Some(sample::NOTEBOOK));
-    assert_eq!(of_record[1].after.as_deref(), Some(SHORTER));
+    assert_eq!(of_record[1].after.as_deref(), Some(SHORTER_DEADLINE));
     assert_eq!(of_record[1].from, "192.0.2.1:4000");
     assert_eq!(read(None, from, None).len(), 4);
     assert_eq!(read(None, from, Some(from)).len(), 1);
@@ -245,7 +245,7 @@
 #[test]
 fn reports_and_audit_entries_keep_their_names_in_json() {
     let mut cluster = cluster(1);
-    cluster.change(0, amend("service/notebook", 2, SHORTER));
+    cluster.change(0, amend("service/notebook", 2, SHORTER_DEADLINE));
     let mut body = |ask| -> serde_json::Value {
         serde_json::from_str(&cluster.request(0, ask).body()).unwrap()
     };
@@ -271,7 +271,7 @@
     let mut sizes = Vec::new();
     loop {
         let Report::Audit { entries, after } = cluster.request(0, Ask::Audit(page.clone())) else {
-            panic!("it is a page");
+            panic!("the report is no page of the audit trail");
         };
         sizes.push(entries.len());
         page.after = after;
@@ -319,7 +319,7 @@
         })
     };
     let before = sum_stats(&cluster);
-    let edit = cluster.edit(amend("service/notebook", 2, SHORTER));
+    let edit = cluster.edit(amend("service/notebook", 2, SHORTER_DEADLINE));
     cluster.ask(0, Ask::Edit(edit));
     cluster.deliver_all();
     assert_eq!(cluster.revisions(), [3; 7]);
--- a/tests/records/loads.rs
+++ b/tests/records/loads.rs
@@ -3,7 +3,9 @@
 /// Removes the first wanted message in transit and returns it.
 pub(crate) fn take_message(cluster: &mut Cluster, wanted: impl Fn(&Message) -> bool) -> Message {
     let index = cluster.messages.iter().position(wanted);
-    cluster.messages.remove(index.expect("it is in transit"))
+    cluster
+        .messages
+        .remove(index.expect("the message is in transit"))
 }
 
 /// Lets an instance commit a change, and returns its announcements instead of delivering them.
@@ -20,10 +22,10 @@
     calls
 }
 
+/// A change is accepted between the read of the head and that of the records. Without a replay of changes, the instance
+/// would apply records of two revisions as the older one.
 #[test]
-fn a_load_takes_in_what_changes_while_it_runs() {
-    // A change is accepted between the read of the head and that of the records. Without a replay of changes, the instance
-    // would apply records of two revisions as the older one.
+fn a_load_includes_changes_made_while_it_runs() {
     let mut cluster = Cluster::with_records(2, &[sample::COMPUTE, OPEN]);
     cluster.stop(1);
     cluster.start(1);
@@ -44,27 +46,27 @@
     assert_eq!(cluster.revisions(), [3, 3]);
 }
 
+/// Announcements with newer changes arrive during a load whose last response is delayed. The load then has the older
+/// revision; if it were applied, it would revert an accepted change.
 #[test]
-fn a_load_that_ends_late_reverts_nothing() {
-    // Announcements with newer changes arrive during a load whose last response is delayed. The load then has the older
-    // revision; if it were applied, it would revert an accepted change.
+fn a_late_load_reverts_nothing() {
     let mut cluster = Cluster::with_records(2, &[sample::COMPUTE, OPEN]);
     let mut missed = commit_unannounced(&mut cluster, 0, amend("pool/spare", 2, CLOSED));
     cluster.stop(0);
     cluster.start(0);
     cluster.deliver_all();
-    let changes = row::change_key(Revision(3));
-    let row = cluster.table.rows.remove(&changes).unwrap();
+    let change_key = row::change_key(Revision(3));
+    let row = cluster.table.rows.remove(&change_key).unwrap();
     cluster.heartbeat();
     let mut last = None;
     while let Some(message) = cluster.messages.pop() {
-        let read = matches!(&message, Message::Command(1, _, _, Command::Read(_)));
+        let is_read = matches!(&message, Message::Command(1, _, _, Command::Read(_)));
         cluster.deliver(message);
-        if read && cluster.config(1).stats().scans > 1 {
+        if is_read && cluster.config(1).stats().scans > 1 {
             last = cluster.messages.pop();
         }
     }
-    cluster.table.rows.insert(changes, row);
+    cluster.table.rows.insert(change_key, row);
     missed.extend(commit_unannounced(
         &mut cluster,
         0,
@@ -74,15 +76,15 @@
         .into_iter()
         .for_each(|message| cluster.deliver(message));
     assert_eq!(cluster.config(1).revision(), Revision(4));
-    cluster.deliver(last.expect("a load is under way"));
+    cluster.deliver(last.expect("a load is in progress"));
     cluster.deliver_all();
     assert_eq!(cluster.revisions(), [4, 4]);
 }
 
+/// A peer applies a change between two pages of its snapshot. Pages of different revisions together would be a
+/// configuration that was never in force.
 #[test]
-fn pages_of_two_revisions_make_no_snapshot() {
-    // A peer applies a change between two pages of its snapshot. Pages of different revisions together would be a
-    // configuration that was never in force.
+fn a_snapshot_has_no_pages_of_different_revisions() {
     let mut cluster = Cluster::with_records(2, &[sample::COMPUTE]);
     for i in 0..8 {
         let text = sample::COMPUTE.replace("compute", &format!("p{i}")) + &" ".repeat(12_000);
@@ -126,10 +128,10 @@
     assert_eq!(cost, (2, 1, 0));
 }
 
+/// An instance misses more changes than its peers and the table keep. It must load the records, since the next change
+/// in order never arrives.
 #[test]
-fn changes_that_a_peer_no_longer_holds_are_loaded_whole() {
-    // An instance misses more changes than its peers and the table keep. It must load the records, since the next change
-    // in order never arrives.
+fn records_are_loaded_when_peers_no_longer_have_the_changes() {
     let mut cluster = Cluster::with_records(2, &[sample::COMPUTE, OPEN]);
     cluster.partitioned.insert(id("b"));
     for i in 0..1_030 {
@@ -145,10 +147,10 @@
     assert_eq!(cluster.revisions(), [1_032, 1_032]);
 }
 
+/// Without removal, the rows of changes would grow without bound. Each change removes the oldest row in the same
+/// transaction, and an instance can start without it.
 #[test]
 fn the_table_keeps_a_bounded_number_of_changes() {
-    // Without removal, the rows of changes would grow without bound. Each change removes the oldest row in the same
-    // transaction, and an instance can start without it.
     let mut cluster = Cluster::with_records(1, &[sample::COMPUTE, OPEN]);
     for i in 0..row::KEPT_CHANGES + 10 {
         let text = if i % 2 == 0 { CLOSED } else { OPEN };
@@ -165,9 +167,10 @@
     assert_eq!(cluster.revisions(), [row::KEPT_CHANGES + 12]);
 }
 
+/// An instance without peers finds that the head has a revision whose change is no longer in the table. It must load
+/// the records.
 #[test]
-fn changes_that_the_table_no_longer_holds_are_loaded_whole() {
-    // As above, but without peers: the head has a revision whose change is no longer in the table.
+fn records_are_loaded_when_the_table_no_longer_has_the_changes() {
     let mut cluster = Cluster::with_records(1, &[sample::COMPUTE]);
     write_to_table(&mut cluster, "pool/spare", OPEN);
     cluster
@@ -180,10 +183,10 @@
 
 use crate::prelude::*;
 
+/// If an instance skipped a record's unreadable row at start, the record would be withdrawn there. It must stay
+/// unready.
 #[test]
 fn a_row_that_cannot_be_read_withdraws_nothing() {
-    // If an instance skipped a record's unreadable row at start, the record would be withdrawn there. It must stay
-    // unready.
     let mut cluster = Cluster::with_records(2, &[sample::COMPUTE, OPEN]);
     let row = cluster
         .table
--- a/tests/records/texts.rs
+++ b/tests/records/parsing.rs
@@ -1,6 +1,6 @@
 //! Tests of parsing a single record: both schemas, and all faults of a text.
 
-fn body(text: &str) -> Body {
+fn parse_body(text: &str) -> Body {
     Record::parse(text).unwrap().body
 }
 
@@ -24,25 +24,25 @@
 }
 
 #[test]
-fn both_schemas_of_a_pool_and_a_rule_say_the_same() {
+fn both_schemas_of_a_pool_and_a_rule_are_equivalent() {
     // A record that is rewritten in the newer schema must keep its meaning.
     let old = r#"{"schema":1,"kind":"pool","name":"p","open":false}"#;
     let new = r#"{"schema":2,"kind":"pool","name":"p","state":"closed"}"#;
-    assert_eq!(body(old), body(new));
-    assert!(matches!(body(old), Body::Pool(p) if p.state == pool::State::Closed));
+    assert_eq!(parse_body(old), parse_body(new));
+    assert!(matches!(parse_body(old), Body::Pool(p) if p.state == pool::State::Closed));
     let old = r#"{"schema":1,"kind":"rule","name":"r","service":"s","centre":"a","spill":false}"#;
     let new =
         r#"{"schema":2,"kind":"rule","name":"r","service":"s","centres":["a"],"spill":false}"#;
-    assert_eq!(body(old), body(new));
+    assert_eq!(parse_body(old), parse_body(new));
 }
 
 #[test]
-fn a_newer_rule_says_more() {
+fn a_rule_of_schema_2_has_several_centres_and_quotas() {
     let Body::Rule(rule::Body {
         centres, quotas, ..
-    }) = body(sample::RULE)
+    }) = parse_body(sample::RULE)
     else {
-        panic!("not a rule");
+        panic!("the record is no rule");
     };
     assert_eq!(centres, [id("b"), id("c")]);
     let quota = quotas[&id::<Team>("swaps")];
@@ -50,17 +50,17 @@
 }
 
 quickcheck! {
-    fn both_schemas_of_a_service_say_the_same(seconds: u16, tasks: u16, idempotent: bool) -> bool {
+    fn both_schemas_of_a_service_are_equivalent(seconds: u16, tasks: u16, idempotent: bool) -> bool {
         let (seconds, tasks) = (seconds % 3_600 + 1, tasks % 10_000 + 1);
         let class = if idempotent { "idempotent" } else { "once" };
         let old = format!(r#"{{"schema":1,"kind":"service","name":"s","pool":"p",
             "deadline":{seconds},"tasks":{tasks},"idempotent":{idempotent}}}"#);
         let new = format!(r#"{{"schema":2,"kind":"service","name":"s","pools":["p"],
             "deadline_ms":{seconds}000,"tasks":{tasks},"class":"{class}"}}"#);
-        body(&old) == body(&new)
+        parse_body(&old) == parse_body(&new)
     }
 
-    fn a_damaged_text_is_refused_or_read_but_never_a_panic(place: usize, byte: u8) -> bool {
+    fn a_damaged_text_causes_no_panic(place: usize, byte: u8) -> bool {
         sample::ALL.iter().all(|text| {
             let mut bytes = text.as_bytes().to_vec();
             let place = place % bytes.len();
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn every_fault_is_told_at_once() {
+fn all_faults_are_reported_at_once() {
     // If only the first fault were reported, an operator would need a submission for each.
     let text = r#"{"schema":2,"kind":"service","name":"a b","pools":["p","p",7],"class":"twice",
         "deadline_ms":"10s","tasks":0,"deadline":10,"team":"risk"}"#;
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn an_unknown_schema_or_kind_hides_no_other_fault_and_invents_none() {
+fn an_unknown_schema_or_kind_hides_and_adds_no_other_fault() {
     // Without a schema it is unknown which fields are allowed, so none may be reported as unknown.
     assert_eq!(
         parse_faults(r#"{"schema":3,"kind":"servis","colour":"red"}"#),
@@ -140,9 +140,9 @@
     );
 }
 
+/// Most JSON parsers silently take the last value, which need not be the one that was meant.
 #[test]
-fn a_field_that_stands_twice_is_refused() {
-    // Most JSON parsers silently take the last value, which need not be the one that was meant.
+fn a_duplicate_field_is_refused() {
     let text = r#"{"schema":1,"kind":"pool","name":"p","open":true,"open":false}"#;
     assert_eq!(
         parse_faults(text),
@@ -180,9 +180,9 @@
 
 use crate::prelude::*;
 
+/// Stored entries are read by other versions and by operators' scripts, which would miss a renamed field.
 #[test]
 fn an_audit_entry_keeps_the_names_of_its_fields() {
-    // Stored entries are read by other versions and by operators' scripts, which would miss a renamed field.
     let text = r#"{"at_ms":7,"operation":"000000000000000000000000000000ab","operator":"ops","from":"10.0.0.1:9",
         "instance":"entry-1","deed":"amend","record":"pool/compute","revision":3,"before":"{}","after":"{}"}"#;
     let entry: poplarknot::audit::Entry = serde_json::from_str(text).unwrap();
@@ -191,9 +191,9 @@
     assert_eq!(serde_json::to_value(&entry).unwrap(), value);
 }
 
+/// The platform writes the list. A field under another name would make the whole list unreadable.
 #[test]
 fn an_endpoint_of_the_platforms_list_keeps_the_names_of_its_fields() {
-    // The platform writes the list. A field under another name would make the whole list unreadable.
     let text = r#"{"name":"e","centre":"a","rack":"r","address":"10.0.0.1:9","pool":"compute","slots":8,
         "connections":64,"has":{"cores":64,"memory_mb":1024,"accelerators":1},"state":"live"}"#;
     let worker: Worker = serde_json::from_str(text).unwrap();
--- a/tests/records/spread.rs
+++ b/tests/records/propagation.rs
@@ -30,10 +30,10 @@
     cluster.table.commit(&Group { conditions, writes });
 }
 
+/// The response to a poll is delayed until a newer change is applied. If the instance went to the polled revision, it
+/// would revert that change.
 #[test]
-fn a_poll_that_was_slow_reverts_nothing() {
-    // The response to a poll is delayed until a newer change is applied. If the instance went to the polled revision, it
-    // would revert that change.
+fn a_slow_poll_reverts_nothing() {
     let mut cluster = Cluster::with_records(1, &[sample::COMPUTE, OPEN]);
     cluster.tick(2 * POLL.as_millis());
     let read = take_message(&mut cluster, |message| {
@@ -49,9 +49,9 @@
     assert_eq!(cluster.config(0).revision(), Revision(3));
 }
 
+/// A late or duplicate announcement of an older change to a record must not revert the newer one.
 #[test]
 fn announcements_out_of_order_and_twice_revert_nothing() {
-    // A late or duplicate announcement of an older change to a record must not revert the newer one.
     let mut cluster = Cluster::with_records(2, &[sample::COMPUTE, OPEN]);
     let mut announced = commit_unannounced(&mut cluster, 0, amend("pool/spare", 2, CLOSED));
     announced.extend(commit_unannounced(
@@ -67,10 +67,10 @@
     assert_eq!(cluster.revisions(), [4, 4]);
 }
 
+/// The announcement to another data centre is lost, and no heartbeat arrives. The poll of one instance there must find
+/// the change within one interval.
 #[test]
-fn a_lost_announcement_is_made_up_for_by_the_poll() {
-    // The announcement to another data centre is lost, and no heartbeat arrives. The poll of one instance there must find
-    // the change within one interval.
+fn a_poll_finds_a_change_whose_announcement_was_lost() {
     let mut cluster = Cluster::with_records(2, &[sample::COMPUTE]);
     cluster.run_for(POLL.as_millis());
     commit_unannounced(&mut cluster, 0, submit(OPEN));
@@ -80,10 +80,10 @@
     assert_eq!(cluster.revisions(), [2, 2]);
 }
 
+/// The instance that polls for its data centre gets no response from the table, but still sends heartbeats. The other
+/// instance must poll the table itself.
 #[test]
-fn an_instance_that_hears_nothing_looks_for_itself() {
-    // The instance that polls for its data centre gets no response from the table, though its heartbeats go on. The other
-    // instance must not depend on it forever.
+fn an_instance_polls_when_the_elected_one_is_silent() {
     let mut cluster = Cluster::with_records(4, &[sample::COMPUTE]);
     cluster.run_for(20_000);
     // Nodes 0 and 3 share a data centre. All commands of the elected one are lost.
@@ -126,10 +126,10 @@
     }
 }
 
+/// The instance that receives announcements for data centre b has crashed undetected. Without a retry at the other
+/// instance there, the change would not arrive before the next poll.
 #[test]
-fn where_the_first_instance_of_a_data_centre_is_lost_another_is_told() {
-    // The instance that is to receive the announcement for data centre b has crashed undetected. Without a retry at its
-    // other instance, the change would not arrive there before the next poll.
+fn an_announcement_is_retried_at_another_instance_of_the_data_centre() {
     let mut cluster = Cluster::with_records(5, &[sample::COMPUTE]);
     cluster.run_for(1_000);
     let calls = commit_unannounced(&mut cluster, 0, submit(OPEN));
@@ -150,9 +150,9 @@
     assert_eq!(cluster.config(5 - first).revision(), Revision(2));
 }
 
+/// An accepted change must reach all instances through their peers if the table fails right after the commit.
 #[test]
-fn an_outage_right_after_the_acceptance_holds_nothing_up() {
-    // An accepted change must reach all instances through their peers if the table fails right after the commit.
+fn an_accepted_change_spreads_in_an_outage() {
     let mut cluster = Cluster::with_records(7, &[sample::COMPUTE]);
     cluster.run_for(1_000);
     let edit = cluster.edit(submit(OPEN));
@@ -166,10 +166,10 @@
     assert_eq!(cluster.revisions(), [2; 7]);
 }
 
+/// An instance that starts in an outage must not run jobs under replaced records: it takes the newest revision that
+/// a peer applies, and is unready before.
 #[test]
-fn an_instance_that_starts_in_an_outage_learns_from_the_highest_peer() {
-    // An instance that starts in an outage must not run jobs under replaced records: it takes the newest revision that
-    // a peer applies, and is unready before.
+fn an_instance_that_starts_in_an_outage_takes_the_newest_revision_of_its_peers() {
     let mut cluster = Cluster::with_records(3, &[sample::COMPUTE]);
     cluster.stop(2);
     cluster.partitioned.insert(id("b"));
@@ -201,9 +201,9 @@
     assert!(cluster.config(0).is_ready());
 }
 
+/// A partitioned data centre misses more changes than fit in one message. It must apply all of them afterwards.
 #[test]
-fn a_data_centre_that_was_cut_off_catches_up() {
-    // A partitioned data centre misses more changes than fit in one message. It must apply all of them afterwards.
+fn a_partitioned_data_centre_catches_up() {
     let mut cluster = Cluster::with_records(6, &[sample::COMPUTE]);
     cluster.run_for(1_000);
     cluster.partitioned.insert(id("c"));
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn every_instance_is_restarted_in_turn() {
+fn changes_reach_all_instances_in_a_rolling_restart() {
     // A change during a rolling restart must reach the restarted instances too.
     let mut cluster = Cluster::with_records(5, sample::ALL);
     for i in 0..5 {
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn it_is_told_where_a_record_is_in_force() {
+fn a_rollout_lists_where_a_record_is_in_force() {
     // An operator must see which instances don't apply a change yet.
     let mut cluster = Cluster::with_records(3, &[sample::COMPUTE]);
     cluster.partitioned.insert(id("b"));
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn an_operation_whose_end_is_never_told_counts_as_lost() {
+fn a_command_without_a_result_times_out() {
     // A start that waits forever for the result of a lost read would never become ready.
     let mut cluster = Cluster::new(1);
     cluster.messages.clear();
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn a_strange_return_changes_nothing() {
+fn an_unexpected_return_changes_nothing() {
     // A result without a request, or a call for unknown revisions, must not change the configuration.
     let mut cluster = Cluster::with_records(2, &[sample::COMPUTE]);
     cluster.input(1, Input::Completed(9_999, Completion::Row(None)));
--- a/tests/records/rules.rs
+++ b/tests/records/rules.rs
@@ -7,7 +7,7 @@
             .into_iter()
             .map(|fault| (fault.path, fault.code))
             .collect(),
-        report => panic!("not refused: {report:?}"),
+        report => panic!("the change was not refused for faults: {report:?}"),
     }
 }
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn references_to_nothing_are_refused() {
+fn references_to_missing_records_are_refused() {
     // A service without its pool, or a rule without its service, would refuse or ignore jobs.
     let mut cluster = Cluster::with_records(1, &[sample::COMPUTE]);
     let report = cluster.change(0, submit(sample::MATCHING));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn what_is_referred_to_stays() {
+fn a_record_that_others_refer_to_cannot_be_withdrawn() {
     // A withdrawn record that others refer to would leave services without a route.
     let mut cluster = Cluster::with_records(1, sample::ALL);
     let report = cluster.change(0, withdraw("pool/spare", 2));
@@ -85,9 +85,9 @@
     );
 }
 
+/// If an operator could close the only pool of a service by mistake, all its jobs would be refused.
 #[test]
 fn a_service_in_use_keeps_its_capacity() {
-    // If an operator could close the only pool of a service by mistake, all its jobs would be refused.
     let mut cluster = Cluster::with_records(1, sample::ALL);
     let closed = r#"{"schema":1,"kind":"pool","name":"compute","open":false}"#;
     let report = cluster.change(0, amend("pool/compute", 1, closed));
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_cut_to_less_than_half_has_to_be_confirmed() {
+fn a_reduction_to_less_than_half_must_be_confirmed() {
     // A mistake must not take most of a service's capacity away unnoticed.
     let mut cluster = Cluster::with_records(1, &[sample::COMPUTE, sample::NOTEBOOK]);
     let rule = r#"{"schema":1,"kind":"rule","name":"r","service":"notebook","spill":false}"#;
@@ -122,9 +122,9 @@
     assert_eq!(refusal_faults(report), single_fault("service", Code::Twice));
 }
 
+/// An amendment in schema 1 of a record in schema 2 would silently drop the fields that schema 1 can't express.
 #[test]
-fn an_older_schema_may_not_lose_what_the_newer_one_says() {
-    // An amendment in schema 1 of a record in schema 2 would silently drop the fields that schema 1 can't express.
+fn an_amendment_in_an_older_schema_may_not_drop_fields() {
     let mut cluster = Cluster::with_records(1, sample::ALL);
     let old = r#"{"schema":1,"kind":"service","name":"matching","pool":"compute","deadline":2}"#;
     let lost = refusal_faults(cluster.change(0, amend("service/matching", 4, old)));
@@ -164,10 +164,10 @@
     );
 }
 
+/// An instance must not interpret records of a newer version: it keeps them, refuses the jobs of their services, and
+/// refuses changes of them.
 #[test]
 fn a_record_of_an_unknown_schema_stays_untouched() {
-    // An instance must not interpret records of a newer version: it keeps them, refuses the jobs of their services, and
-    // refuses changes of them.
     let mut cluster = Cluster::with_records(2, &[sample::COMPUTE, sample::SPARE, sample::NOTEBOOK]);
     let newer = [
         (
--- a/tests/standin.rs
+++ b/tests/standin.rs
@@ -89,18 +89,18 @@
 }
 
 #[tokio::test]
-async fn groups_are_decided_one_by_one() -> Result {
+async fn groups_of_a_commit_are_applied_independently() -> Result {
     let platform = Platform::start(Settings::default())?;
-    platform.put("b", "old");
+    platform.put_row("b", "old");
     let mut client = Client::connect(platform.address()).await?;
 
     let answer = client
         .post("/table/commit", &[], &insert_commit(&["a", "b"]))
         .await?;
-    let committed: Verdicts = answer.json()?;
+    let verdicts: Verdicts = answer.json()?;
 
-    assert!(committed.verdicts[0].applied && !committed.verdicts[1].applied);
-    assert_eq!(committed.verdicts[1].current, platform.rows("b"));
+    assert!(verdicts.verdicts[0].applied && !verdicts.verdicts[1].applied);
+    assert_eq!(verdicts.verdicts[1].current, platform.rows("b"));
     let scan: Scan = client.get("/table/scan?prefix=&after=a").await?.json()?;
     assert_eq!(scan.rows, platform.rows("b"));
     assert_eq!(client.get("/table/row?key=%61").await?.status, 200);
@@ -143,11 +143,11 @@
     let mut open = Client::connect(platform.address()).await?;
     open.get("/instances").await?;
 
-    platform.take_down().await;
+    platform.close().await;
     assert!(open.get("/instances").await.is_err());
     assert!(Client::connect(platform.address()).await.is_err());
 
-    platform.bring_up()?;
+    platform.reopen()?;
     assert_eq!(
         client::get(platform.address(), "/instances").await?.status,
         200
@@ -183,7 +183,7 @@
 }
 
 #[tokio::test]
-async fn a_stopped_task_tells_whether_it_had_started() -> Result {
+async fn the_reply_of_a_stopped_task_shows_whether_it_had_started() -> Result {
     let mut entry = worker::new_entry("w", "maardu");
     entry.slots = 1;
     let worker = Worker::start(entry)?;
@@ -194,12 +194,12 @@
         })
     };
     let running = send(0);
-    wait_until("one runs", || async {
+    wait_until("a task runs", || async {
         (worker.load().running == 1).then_some(())
     })
     .await?;
     let queued = send(1);
-    wait_until("one waits", || async {
+    wait_until("a task is queued", || async {
         (worker.load().queued == 1).then_some(())
     })
     .await?;
@@ -226,7 +226,7 @@
     let answer = tokio::spawn(async move {
         client::post(address, "/tasks", &[], &start_request(0, 60_000)).await
     });
-    wait_until("it runs", || async {
+    wait_until("the task runs", || async {
         (worker.load().running == 1).then_some(())
     })
     .await?;
@@ -245,7 +245,7 @@
     let mut old = Client::connect(proxy.address()).await?;
     old.get("/instances").await?;
 
-    proxy.blackhole_open();
+    proxy.blackhole_open_connections();
 
     tokio::select! {
         biased;
@@ -293,7 +293,7 @@
 }
 
 #[tokio::test]
-async fn an_instance_is_found_signalled_and_reaped() -> Result {
+async fn an_instance_is_started_signalled_and_reaped() -> Result {
     const SCRIPT: &str = "trap 'exit 3' TERM; cat \"$3\" >&2; \
         echo listening callers=127.0.0.1:1 peers=127.0.0.1:2; \
         while :; do sleep 0.01; done";
@@ -305,7 +305,10 @@
         .set("timing", "list", "100ms");
 
     let mut first = builder.start().await?;
-    assert_eq!((first.callers.port(), first.peers.port()), (1, 2));
+    assert_eq!(
+        (first.caller_address.port(), first.peer_address.port()),
+        (1, 2)
+    );
     assert!(
         first.log().contains("[timing]\nlist = 100ms\n"),
         "{}",
@@ -314,10 +317,10 @@
     first.pause()?;
     first.stop()?;
     first.resume()?;
-    assert_eq!(first.wait_exit().await?.code(), Some(3));
+    assert_eq!(first.wait_for_exit().await?.code(), Some(3));
 
     let mut second = builder.start().await?;
     second.kill().await?;
-    assert!(second.id().is_none());
+    assert!(second.process_id().is_none());
     Ok(())
 }
--- a/tests/trace/files.rs
+++ b/tests/trace/files.rs
@@ -16,7 +16,7 @@
 };
 
 const JOB: &str = "7239831d1d124ecb";
-const OTHER: &str = "00000000000000aa";
+const OTHER_JOB: &str = "00000000000000aa";
 /// The wall clock time of the job's first line, in milliseconds.
 const START_MS: u64 = 1_796_252_887_123;
 
@@ -34,7 +34,7 @@
 
 impl LogFolder {
     fn new(logs: &[(&str, String)]) -> Self {
-        let folder = tempfile::tempdir().expect("a folder can be made");
+        let folder = tempfile::tempdir().expect("a temporary folder is created");
         for (name, text) in logs {
             std::fs::write(folder.path().join(name), text).expect("the log is written");
         }
@@ -55,7 +55,7 @@
             -40,
             "entry",
             "job_accepted",
-            json!({"job": OTHER, "route": "r-1"}),
+            json!({"job": OTHER_JOB, "route": "r-1"}),
         ),
         line(
             0,
@@ -285,7 +285,7 @@
 /// Incomplete lines, prefixes of log collectors, lines of other programs and binary data must not hide the readable lines.
 /// Unreadable lines must be counted on standard error.
 #[test]
-fn torn_and_foreign_lines_are_counted() {
+fn unreadable_lines_are_skipped_and_counted() {
     let accepted = line(0, "a", "job_accepted", json!({"job": JOB}));
     let started = line(500, "a", "started", json!({"centre": "maardu"}));
     let mut log = Vec::new();
@@ -317,7 +317,7 @@
 #[test]
 fn unknown_job_is_an_error() {
     let log = [
-        line(0, "a", "job_accepted", json!({"job": OTHER})),
+        line(0, "a", "job_accepted", json!({"job": OTHER_JOB})),
         line(1_000, "a", "lines_left_out", json!({"count": 120})),
         "half a li".to_owned(),
     ];
@@ -395,7 +395,7 @@
 
 /// Control characters in a text that a caller chose must not reach the terminal.
 #[test]
-fn control_characters_are_shown_not_sent() {
+fn control_characters_are_escaped() {
     let fault = "spec: \u{1b}[2J\u{9b}1m";
     let log = line(0, "a", "job_malformed", json!({"job": JOB, "fault": fault}));
     let logs = LogFolder::new(&[("log", log)]);
--- a/tests/trace/incidents.rs
+++ b/tests/trace/incidents.rs
@@ -14,7 +14,7 @@
 use crate::{
     fleet::{
         Fleet,
-        Node,
+        Instance,
         PREFIX, //
     },
     store::Behaviour,
@@ -24,15 +24,15 @@
     },
 };
 
-/// How long tasks run.
+/// The duration of tasks.
 const TASK_DURATION: Duration = Duration::from_millis(900);
-/// How long tasks run that must not end before the fault, also on a busy machine.
+/// The duration of tasks that must not end before the fault, also on a busy machine.
 const UNFINISHED_TASK_DURATION: Duration = Duration::from_secs(60);
-/// How long an incident waits between its steps: from a submission to the fault, and for the logs to be written.
+/// The delay between the steps of an incident: from a submission to the fault, and until the logs are written.
 const STEP_DELAY: Duration = Duration::from_millis(300);
-/// How long after the fault the caller submits its job again.
+/// The delay from the fault to the caller's retry.
 const RETRY_DELAY: Duration = Duration::from_millis(1_300);
-/// How long instances run before the first job. It exceeds the default context span, so that their start isn't context.
+/// The time that instances run before the first job. It exceeds the default context span, so that their start isn't context.
 const WARM_UP: Duration = Duration::from_millis(5_500);
 /// The number of jobs that overload the only endpoint.
 const OVERLOAD_JOBS: u64 = 8;
@@ -45,7 +45,7 @@
 
 /// A failed request.
 pub(crate) struct Incident {
-    /// The status of the response that its caller got, or what it got in place of one.
+    /// The status of the response to the caller, or what the caller got instead of one.
     pub(crate) response: String,
     /// The job's identifier in hexadecimal digits.
     pub(crate) job: String,
@@ -68,11 +68,11 @@
         .map_err(|e| format!("{e}\n{}", fleet.logs()))?;
         // Instances write their lines in batches, so other logs may be a little behind.
         sleep(STEP_DELAY).await;
-        let log = |node: &Node| Log {
-            instance: node.name.clone(),
-            text: node.log(),
+        let log = |instance: &Instance| Log {
+            instance: instance.name.clone(),
+            text: instance.log(),
         };
-        let logs = fleet.nodes.iter().map(log).collect();
+        let logs = fleet.instances.iter().map(log).collect();
         Ok(Self {
             response,
             job,
@@ -81,13 +81,14 @@
     }
 }
 
+/// Starts a fleet, and waits until its start is no longer context of a new job.
 async fn start_warm(
     program: &Path,
-    nodes: usize,
-    runners: usize,
+    instances: usize,
+    endpoints: usize,
     task_duration: Duration,
 ) -> Result<Fleet> {
-    let fleet = Fleet::start(program, nodes, runners, task_duration).await?;
+    let fleet = Fleet::start(program, instances, endpoints, task_duration).await?;
     sleep(WARM_UP).await;
     Ok(fleet)
 }
@@ -97,16 +98,16 @@
 pub(crate) async fn lost_instance(program: &Path) -> Result<Incident> {
     let fleet = start_warm(program, 3, 4, UNFINISHED_TASK_DURATION).await?;
     let id = 0xa01;
-    let (first, second) = tokio::join!(fleet.nodes[0].submit(id, 2, 900), async {
+    let (first, second) = tokio::join!(fleet.instances[0].submit(id, 2, 900), async {
         sleep(STEP_DELAY).await;
-        fleet.nodes[0].signal(Signal::SIGKILL)?;
-        // Running tasks go on until they are stopped; new ones get the shorter duration, so that the retry succeeds.
+        fleet.instances[0].signal(Signal::SIGKILL)?;
+        // Running tasks keep their duration until they are stopped; new ones get the shorter one, so that the retry succeeds.
         fleet
-            .runners
+            .endpoints
             .iter()
-            .for_each(|runner| runner.set_task_duration(TASK_DURATION));
+            .for_each(|endpoint| endpoint.set_task_duration(TASK_DURATION));
         sleep(RETRY_DELAY).await;
-        fleet.nodes[1].submit(id, 2, 900).await
+        fleet.instances[1].submit(id, 2, 900).await
     });
     let response = match first {
         Ok(answer) => answer.status.to_string(),
@@ -120,10 +121,10 @@
 pub(crate) async fn lost_endpoint(program: &Path) -> Result<Incident> {
     let mut fleet = start_warm(program, 1, 1, UNFINISHED_TASK_DURATION).await?;
     let id = 0xa02;
-    let runner = fleet.runners.pop();
-    let (answer, ()) = tokio::join!(fleet.nodes[0].submit(id, 2, 900), async {
+    let endpoint = fleet.endpoints.pop();
+    let (answer, ()) = tokio::join!(fleet.instances[0].submit(id, 2, 900), async {
         sleep(STEP_DELAY).await;
-        drop(runner);
+        drop(endpoint);
     });
     let response = answer?.status.to_string();
     Incident::collect(response, id, &fleet, "job_answered").await
@@ -132,12 +133,12 @@
 /// Submits more jobs than the endpoint can run before their deadlines; the last one is refused at once.
 pub(crate) async fn overload(program: &Path) -> Result<Incident> {
     let fleet = start_warm(program, 1, 1, TASK_DURATION).await?;
-    let node = &fleet.nodes[0];
+    let instance = &fleet.instances[0];
     let id = 0xb00 + OVERLOAD_JOBS;
-    let earlier = join_all((0..OVERLOAD_JOBS).map(|n| node.submit(0xb00 + n, 4, 900)));
+    let earlier = join_all((0..OVERLOAD_JOBS).map(|n| instance.submit(0xb00 + n, 4, 900)));
     let (_, answer) = tokio::join!(earlier, async {
         sleep(STEP_DELAY).await;
-        node.submit(id, 4, 900).await
+        instance.submit(id, 4, 900).await
     });
     let response = answer?.status.to_string();
     Incident::collect(response, id, &fleet, "job_refused").await
@@ -148,16 +149,16 @@
 pub(crate) async fn lost_store(program: &Path) -> Result<Incident> {
     let fleet = start_warm(program, 2, 2, TASK_DURATION).await?;
     let id = 0xc01;
-    let before = (1..).find(|n| JobId(*n).shard() == JobId(id).shard());
+    let earlier = (1..).find(|n| JobId(*n).shard() == JobId(id).shard());
     let step = json!({"count": 2, "cpu": 1000, "mem_mb": 64, "estimated_ms": 900});
     let body = json!({"spec": "cell", "steps": [step]});
     let path = |id: u64| format!("{PREFIX}{id:016x}");
-    let node = &fleet.nodes[0];
-    let answer = node.post(&path(before.unwrap_or(id)), &body).await?;
+    let instance = &fleet.instances[0];
+    let answer = instance.post(&path(earlier.unwrap_or(id)), &body).await?;
     if answer.status != 200 {
         return Err(format!("the first job was answered {}", answer.status).into());
     }
     fleet.store.set_behaviour(Behaviour::Ignore);
-    let response = node.post(&path(id), &body).await?.status.to_string();
+    let response = instance.post(&path(id), &body).await?.status.to_string();
     Incident::collect(response, id, &fleet, "request_unanswered").await
 }
--- a/tests/trace/runs.rs
+++ b/tests/trace/runs.rs
@@ -23,7 +23,7 @@
 
 /// Runs `poplarknot trace` for an incident's job on the logs of its instances.
 fn trace_incident(incident: &Incident) -> Output {
-    let folder = tempfile::tempdir().expect("a folder can be made");
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
     let mut args = vec![incident.job.clone()];
     for log in &incident.logs {
         let path = folder.path().join(&log.instance);
@@ -43,14 +43,18 @@
     let mut remaining = events.iter();
     for event in expected {
         let found = remaining.any(|printed| printed == event);
-        assert!(found, "{event} of {expected:?} in {}", stdout(output));
+        assert!(
+            found,
+            "{event} of {expected:?} is missing or out of order in {}",
+            stdout(output)
+        );
     }
 }
 
 /// A killed instance logs nothing about its failure: the logs of its peers must show that they lost it, abandoned its batch
 /// and answered the caller's retry.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_instance_is_told_by_its_peers() -> Result {
+async fn logs_of_peers_show_a_lost_instance() -> Result {
     let incident = incidents::lost_instance(program()).await?;
     assert_eq!(
         incident.response,
@@ -76,7 +80,7 @@
 
 /// The only endpoint dies while it runs the job's tasks: the owner's log must show why the job wasn't done in time.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_endpoint_is_told_by_its_owner() -> Result {
+async fn log_of_the_owner_shows_a_lost_endpoint() -> Result {
     let incident = incidents::lost_endpoint(program()).await?;
     assert_eq!(incident.response, "504");
     let expected = [
@@ -94,7 +98,7 @@
 
 /// Under overload, a job that can't end in time is refused: the log must show the reason.
 #[tokio::test(flavor = "multi_thread")]
-async fn overload_is_told_by_the_refusal() -> Result {
+async fn log_shows_the_reason_for_a_refusal() -> Result {
     let incident = incidents::overload(program()).await?;
     assert_eq!(incident.response, "503");
     let output = trace_incident(&incident);
@@ -105,7 +109,7 @@
 
 /// The store stops answering while the job is stored: the log must show this as the cause of the timeout.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_store_is_told_beside_the_request() -> Result {
+async fn log_shows_a_lost_store_as_the_cause() -> Result {
     let incident = incidents::lost_store(program()).await?;
     assert_eq!(incident.response, "504");
     assert_events_in_order(
