--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -44,12 +44,12 @@
     World, //
 };
 
-const CALM: Faults = Faults {
-    late: 0.0,
+const NO_FAULTS: Faults = Faults {
+    late_orders: 0.0,
     lost_heartbeats: 0.0,
-    failures: 0.0,
+    failed_runs: 0.0,
     broken_links: 0.0,
-    lost_calls: 0.0,
+    lost_store_calls: 0.0,
 };
 
 fn completed(answer: &Answer) -> bool {
@@ -58,8 +58,8 @@
 
 /// Without faults every job completes, and no run is stopped.
 #[test]
-fn calm_jobs_complete() {
-    let mut world = World::new(1, 3, 2, CALM);
+fn jobs_complete_without_faults() {
+    let mut world = World::new(1, 3, 2, NO_FAULTS);
     world.submit_jobs(60, Span::millis(150));
     world.run(Span::seconds(12));
     world.finish_and_check();
@@ -70,9 +70,9 @@
 /// An instance crashes that owns racks and has callers. Its runs must be stopped before its callers retry elsewhere, or their
 /// tasks would run twice.
 #[test]
-fn owner_dies() {
+fn crash_of_an_owner_runs_no_task_twice() {
     for seed in 0..10 {
-        let mut world = World::new(seed, 3, 2, CALM);
+        let mut world = World::new(seed, 3, 2, NO_FAULTS);
         world.submit_jobs(60, Span::millis(150));
         world.kill_at(Span::millis(1_500), 1 + seed as usize % 2, Span::seconds(1));
         world.run(Span::seconds(12));
@@ -81,25 +81,25 @@
     }
 }
 
-/// An instance is suspended while others take its racks over. After it resumes it must not start, extend or answer anything by its
-/// old state.
+/// An instance is suspended while others take its racks over. After it resumes it must not start, extend or answer anything by
+/// its old state.
 #[test]
-fn frozen_owner_wakes() {
+fn resumed_owner_does_not_use_its_old_state() {
     for seed in 0..10 {
-        let mut world = World::new(seed, 3, 2, CALM);
+        let mut world = World::new(seed, 3, 2, NO_FAULTS);
         world.submit_jobs(60, Span::millis(150));
-        world.freeze_at(Span::millis(1_000), 1, Span::millis(3_500));
+        world.suspend_at(Span::millis(1_000), 1, Span::millis(3_500));
         world.run(Span::seconds(9));
         world.finish_and_check();
     }
 }
 
 /// A network partition between instances that all reach the endpoints. If each side claimed the other's racks, they would fence
-/// each other off by turns and stop all runs.
+/// each other in turn and stop all runs.
 #[test]
-fn instances_cut_apart() {
+fn partitioned_instances_do_not_fence_each_other() {
     for seed in 0..10 {
-        let mut world = World::new(seed, 4, 4, CALM);
+        let mut world = World::new(seed, 4, 4, NO_FAULTS);
         world.submit_jobs(60, Span::millis(150));
         world.partition_at(Span::millis(1_000), &[0, 1], Span::seconds(4));
         world.run(Span::seconds(9));
@@ -109,11 +109,14 @@
     }
 }
 
-/// Orders get no answer and are carried out seconds later. A late start must find its lease expired or its run barred, or the task
-/// would run twice.
+/// Orders get no answer and are carried out seconds later. A late start must find its lease expired or its run barred, or the
+/// task would run twice.
 #[test]
-fn orders_applied_late() {
-    let faults = Faults { late: 0.1, ..CALM };
+fn late_orders_run_no_task_twice() {
+    let faults = Faults {
+        late_orders: 0.1,
+        ..NO_FAULTS
+    };
     for seed in 0..10 {
         let mut world = World::new(seed, 3, 2, faults);
         world.submit_jobs(60, Span::millis(150));
@@ -126,9 +129,9 @@
 /// Endpoints carry orders out but don't answer for 3 s. Their tasks may be retried elsewhere only after all leases have expired,
 /// also on clocks that are up to 2 % slow.
 #[test]
-fn endpoints_fall_silent() {
+fn silent_endpoints_run_no_task_twice() {
     for seed in 0..10 {
-        let mut world = World::new(seed, 3, 2, CALM);
+        let mut world = World::new(seed, 3, 2, NO_FAULTS);
         world.submit_jobs(60, Span::millis(150));
         world.mute_endpoint_at(Span::millis(1_000), 0, Span::seconds(3));
         world.mute_endpoint_at(Span::millis(1_500), 5, Span::seconds(3));
@@ -140,8 +143,8 @@
 
 /// An endpoint crashes. Its tasks must be retried elsewhere without waiting for leases.
 #[test]
-fn endpoint_crashes() {
-    let mut world = World::new(3, 3, 2, CALM);
+fn tasks_of_a_crashed_endpoint_are_retried() {
+    let mut world = World::new(3, 3, 2, NO_FAULTS);
     world.submit_jobs(60, Span::millis(150));
     world.crash_at(Span::millis(1_000), 2);
     world.run(Span::seconds(12));
@@ -149,10 +152,10 @@
     assert_eq!(world.count(completed), 60);
 }
 
-/// An endpoint announces that it leaves. Nothing may be started there once the instances have read that.
+/// An endpoint announces that it leaves. No task may be started there once the instances have read the announcement.
 #[test]
-fn leaving_endpoint_gets_nothing_new() {
-    let mut world = World::new(4, 3, 2, CALM);
+fn leaving_endpoint_gets_no_new_tasks() {
+    let mut world = World::new(4, 3, 2, NO_FAULTS);
     world.submit_jobs(60, Span::millis(150));
     world.leave_at(Span::millis(1_000), 2);
     world.run(Span::millis(1_000));
@@ -165,15 +168,15 @@
 
 /// An instance drains. It must hand its racks over with their runs, answer its callers and end, without stopping a run.
 #[test]
-fn drain_cuts_nothing_off() {
+fn drain_stops_no_run() {
     for seed in 0..10 {
-        let mut world = World::new(seed, 3, 2, CALM);
+        let mut world = World::new(seed, 3, 2, NO_FAULTS);
         world.submit_jobs(60, Span::millis(150));
         // Alternates between the two instances that own a rack.
         world.drain_at(Span::millis(1_000), 1 + seed as usize % 2);
         world.run(Span::seconds(12));
         world.finish_and_check();
-        assert_eq!(world.hosts_up, 2);
+        assert_eq!(world.instances_up, 2);
         assert_eq!(world.stopped, 0, "seed {seed}");
         let refused = |a: &Answer| matches!(a, Answer::Refused { .. });
         assert_eq!(
@@ -187,16 +190,16 @@
 /// The only instance of a data centre is restarted. It must get its rack back without stopping a run: otherwise the rack is
 /// unusable when that data centre is cut off.
 #[test]
-fn racks_return_home() {
+fn racks_return_to_a_restarted_instance() {
     for seed in 0..5 {
-        let mut world = World::new(seed, 3, 2, CALM);
+        let mut world = World::new(seed, 3, 2, NO_FAULTS);
         world.submit_jobs(60, Span::millis(150));
         world.kill_at(Span::millis(500), 1, Span::seconds(1));
         world.run(Span::millis(2_500));
-        assert_eq!(world.racks_of(1), 0);
+        assert_eq!(world.rack_count(1), 0);
         let stopped = world.stopped;
         world.run(Span::seconds(5));
-        assert_eq!(world.racks_of(1), 1);
+        assert_eq!(world.rack_count(1), 1);
         assert_eq!(world.stopped, stopped, "seed {seed}");
         world.run(Span::seconds(8));
         world.finish_and_check();
@@ -206,8 +209,8 @@
 /// All instances crash and restart without state. Their new fencing tokens must be above those that endpoints remember, or claims
 /// would be refused and nothing would run for seconds.
 #[test]
-fn all_die_and_come_back() {
-    let mut world = World::new(8, 3, 2, CALM);
+fn claims_succeed_after_all_instances_restart() {
+    let mut world = World::new(8, 3, 2, NO_FAULTS);
     world.submit_jobs(20, Span::millis(150));
     world.run(Span::millis(2_500));
     for i in 0..3 {
@@ -223,10 +226,10 @@
 
 /// Runs fail at random. A job may fail only after a task has used up its attempts.
 #[test]
-fn runs_fail() {
+fn failed_runs_are_retried() {
     let faults = Faults {
-        failures: 0.1,
-        ..CALM
+        failed_runs: 0.1,
+        ..NO_FAULTS
     };
     let mut world = World::new(6, 3, 2, faults);
     world.submit_jobs(60, Span::millis(150));
@@ -235,14 +238,13 @@
     assert!(world.count(completed) > 50, "{}", world.count(completed));
 }
 
-/// Racks are handed over under overload while connections break, so reports of a former and a new owner of a batch arrive out of
-/// order. A report must count only for the tasks that its sender had: otherwise a job is answered as completed before all of its
-/// tasks ran, or as refused after some ran.
+/// Racks are handed over while connections break, so reports of a batch's former and new owner arrive out of order. A report must
+/// count only for its sender's tasks, or a job is answered as completed before all tasks ran, or as refused after some ran.
 #[test]
-fn racks_move_while_links_break() {
+fn reports_out_of_order_give_no_wrong_answer() {
     let faults = Faults {
         broken_links: 0.05,
-        ..CALM
+        ..NO_FAULTS
     };
     // Seeds at which reports arrive in an order that can lead to a wrong answer: "completed" at 133, "refused" at the others.
     for seed in [19, 33, 82, 133, 204, 228, 274, 348] {
@@ -259,27 +261,27 @@
 
 /// All faults together at random times: no task runs twice, and no caller gets a wrong answer.
 #[test]
-fn faults_together() {
+fn random_faults_run_no_task_twice() {
     fn check_faults(seed: u64, kinds: Vec<u8>) -> bool {
         let faults = Faults {
-            late: 0.03,
+            late_orders: 0.03,
             lost_heartbeats: 0.05,
-            failures: 0.02,
+            failed_runs: 0.02,
             broken_links: 0.02,
-            ..CALM
+            ..NO_FAULTS
         };
         let mut world = World::new(seed, 4, 3, faults);
         world.submit_jobs(80, Span::millis(80));
         for (n, kind) in kinds.iter().take(6).enumerate() {
             let at = Span::millis(400 + n as u64 * 650);
-            let (instance, worker) = (*kind as usize / 8 % 4, *kind as usize / 8 % 12);
+            let (instance, endpoint) = (*kind as usize / 8 % 4, *kind as usize / 8 % 12);
             match kind % 8 {
                 0 => world.kill_at(at, instance, Span::millis(800)),
-                1 => world.freeze_at(at, instance, Span::millis(2_500)),
+                1 => world.suspend_at(at, instance, Span::millis(2_500)),
                 2 => world.partition_at(at, &[instance], Span::millis(2_500)),
-                3 => world.mute_endpoint_at(at, worker, Span::millis(2_000)),
-                4 => world.crash_at(at, worker),
-                5 => world.freeze_at(at, instance, Span::millis(500)),
+                3 => world.mute_endpoint_at(at, endpoint, Span::millis(2_000)),
+                4 => world.crash_at(at, endpoint),
+                5 => world.suspend_at(at, instance, Span::millis(500)),
                 6 => world.drain_at(at, instance),
                 _ => world.partition_at(at, &[instance, (instance + 1) % 4], Span::millis(1_500)),
             }
@@ -326,6 +328,6 @@
     let (closed, drained) = (closed.unwrap(), drained.unwrap());
     assert!(
         drained >= closed + CONNECTION_GRACE + CONNECTION_GRACE,
-        "the instance ended too soon after it closed"
+        "the instance ended less than two grace periods after it closed idle connections"
     );
 }
--- a/tests/dispatch/crashes.rs
+++ b/tests/dispatch/crashes.rs
@@ -14,22 +14,21 @@
         Faults,
         World, //
     },
-    CALM, //
+    NO_FAULTS, //
 };
 
 /// A job that crashes its endpoints.
 const CRASHING_JOB: JobId = JobId(0xbad);
 
-/// Starts that may follow the third crash under a task, which is the last one that the platform allows.
-const AFTER_THREE: usize = 2;
+/// How many endpoints a task may crash: three that the platform allows, and two by starts after the third crash.
+const MAX_TASK_CRASHES: usize = 3 + 2;
 
-/// Endpoints crash and restart under the same name after 0.4 to 2 s, with serial numbers that start again and a
-/// clock that differs either way. The platform's list tells so before the endpoint does, or long after. An end
-/// that is taken for one of another life would lose or repeat a task.
+/// Endpoints crash and restart under the same name, with serial numbers that start again and a different clock. An end
+/// that is attributed to the wrong life would lose or repeat a task.
 #[test]
-fn endpoints_restart_under_their_name() {
+fn endpoint_restarts_lose_and_repeat_no_task() {
     for seed in 0..12 {
-        let mut world = World::new(seed, 3, 2, CALM);
+        let mut world = World::new(seed, 3, 2, NO_FAULTS);
         world.set_row_lag([Span(0), Span::millis(40), Span::millis(1_500)][seed as usize % 3]);
         world.submit_jobs(40, Span::millis(250));
         for (n, w) in [2, 5, 0].into_iter().enumerate() {
@@ -43,15 +42,15 @@
     }
 }
 
-/// The same beside a killed instance, a draining one and a partition. Racks change owners between the lives of
-/// their endpoints, and late orders reach a later life than the one that they were meant for.
+/// Endpoints restart while one instance is killed, one drains and one is partitioned. Racks change owners between the
+/// lives of their endpoints, and late orders reach a later life than the one that they were sent to.
 #[test]
-fn new_lives_among_other_faults() {
+fn endpoint_restarts_among_other_faults_run_no_task_twice() {
     for seed in 0..12 {
         let faults = Faults {
-            late: 0.02,
+            late_orders: 0.02,
             lost_heartbeats: 0.05,
-            ..CALM
+            ..NO_FAULTS
         };
         let mut world = World::new(seed, 4, 3, faults);
         world.set_row_lag(Span::millis([0, 300, 2_000][seed as usize % 3]));
@@ -68,12 +67,12 @@
     }
 }
 
-/// Two lives of an endpoint list ends of stored jobs under the same serial numbers. An end that is stored for one
-/// life must not let the endpoint forget the other.
+/// Two lives of an endpoint list ends of stored jobs under the same serial numbers. Storing the end of one life must
+/// not make the endpoint forget the end of the other.
 #[test]
 fn stored_ends_of_two_lives_are_told_apart() {
     for seed in 0..8 {
-        let mut world = World::new(seed, 3, 2, CALM);
+        let mut world = World::new(seed, 3, 2, NO_FAULTS);
         world.store_jobs();
         world.submit_jobs(40, Span::millis(150));
         for (n, w) in [2, 5, 0, 3].into_iter().enumerate() {
@@ -87,13 +86,13 @@
     }
 }
 
-/// A task crashes every endpoint that starts it. Its job fails with the second crash, so that it loses no third
-/// endpoint, and no other job fails.
+/// A task crashes every endpoint that starts it. Its job must fail with the second crash, before it crashes a third
+/// endpoint, and no other job may fail.
 #[test]
 fn task_that_crashes_endpoints_fails_its_job() {
     let mut failed = 0;
     for seed in 0..12 {
-        let mut world = World::new(seed, 3, 4, CALM);
+        let mut world = World::new(seed, 3, 4, NO_FAULTS);
         world.submit_jobs(60, Span::millis(120));
         world.submit_crashing_job(Span::millis(1_000), CRASHING_JOB, 2);
         world.run(Span::seconds(16));
@@ -101,26 +100,28 @@
         let crashes: usize = world.crashes.values().sum();
         assert!(crashes <= 2, "seed {seed}: {crashes} endpoints crashed");
         let harmless = world.jobs.iter().filter(|(id, _)| **id != CRASHING_JOB);
-        let told_failed = |answer: &Answer| *answer == Answer::Failed;
-        for (id, seen) in harmless {
+        let is_failed = |answer: &Answer| *answer == Answer::Failed;
+        for (id, view) in harmless {
             assert!(
-                !seen.answer.as_ref().is_some_and(told_failed),
-                "{id} of seed {seed}"
+                !view.answer.as_ref().is_some_and(is_failed),
+                "the harmless job {id} of seed {seed} failed"
             );
         }
         failed += usize::from(world.jobs[&CRASHING_JOB].answer == Some(Answer::Failed));
     }
-    // Its caller waits 4 s, and is told that the job was given up if the second endpoint restarts later than
-    // that.
-    assert!(failed >= 6, "{failed} of 12 were told failed");
+    // The caller waits for 4 s. It's told that the job was given up if the second endpoint restarts later.
+    assert!(
+        failed >= 6,
+        "only {failed} of 12 jobs were answered as failed"
+    );
 }
 
-/// Stored jobs have no deadline. One that crashes endpoints must fail in the end, also if an owner, entry or
-/// coordinator dies with what it knew, and start no more often than the platform allows.
+/// Stored jobs have no deadline. One that crashes endpoints must fail after a bounded number of crashes, also when an
+/// owner, entry or coordinator crashes and loses its state.
 #[test]
 fn stored_task_that_crashes_endpoints_is_given_up() {
     for seed in 0..16 {
-        let mut world = World::new(seed, 3, 4, CALM);
+        let mut world = World::new(seed, 3, 4, NO_FAULTS);
         world.store_jobs();
         world.submit_jobs(30, Span::millis(150));
         world.submit_crashing_job(Span::millis(800), CRASHING_JOB, 2);
@@ -131,22 +132,25 @@
         world.run(Span::seconds(30));
         for (task, crashes) in &world.crashes {
             assert!(
-                *crashes <= 3 + AFTER_THREE,
-                "{task} of seed {seed}: {crashes}"
+                *crashes <= MAX_TASK_CRASHES,
+                "{task} of seed {seed} crashed {crashes} endpoints"
             );
         }
-        let first = world.crashes.values().copied().max();
-        assert!(first.is_some_and(|crashes| crashes >= 2), "seed {seed}");
+        let most = world.crashes.values().copied().max();
+        assert!(
+            most.is_some_and(|crashes| crashes >= 2),
+            "seed {seed}: {most:?} endpoints crashed"
+        );
         world.check_crashing_job_failed(CRASHING_JOB);
     }
 }
 
-/// Three jobs crash endpoints at the same time. Tasks that ran beside them must not fail their jobs, and no data
-/// centre may lose all endpoints.
+/// Three jobs crash endpoints at the same time. Jobs whose tasks ran beside them must not fail, and the three may crash
+/// six endpoints at most.
 #[test]
-fn harmless_tasks_are_cleared() {
+fn jobs_beside_crashing_tasks_do_not_fail() {
     for seed in 0..8 {
-        let mut world = World::new(seed, 3, 6, CALM);
+        let mut world = World::new(seed, 3, 6, NO_FAULTS);
         world.submit_jobs(60, Span::millis(100));
         let crashing = [JobId(0xbad), JobId(0xbae), JobId(0xbaf)];
         for job in crashing {
@@ -155,19 +159,23 @@
         world.run(Span::seconds(16));
         world.finish_and_check();
         let crashes: usize = world.crashes.values().sum();
-        assert!(crashes <= 6, "seed {seed}: {crashes}");
-        for (id, seen) in world.jobs.iter().filter(|(id, _)| !crashing.contains(id)) {
-            assert_ne!(seen.answer, Some(Answer::Failed), "{id} of seed {seed}");
+        assert!(crashes <= 6, "seed {seed}: {crashes} endpoints crashed");
+        for (id, view) in world.jobs.iter().filter(|(id, _)| !crashing.contains(id)) {
+            assert_ne!(
+                view.answer,
+                Some(Answer::Failed),
+                "{id} of seed {seed} failed"
+            );
         }
     }
 }
 
-/// A crashed endpoint leaves calls unanswered, as in a partition, so that a harmless task may share two crashes
-/// with a harmful one before the first is confirmed. It must get one more run, alone, rather than fail its job.
+/// Crashed endpoints leave calls unanswered, so a harmless task may share two crashes with a harmful one before the
+/// first is confirmed. It must get one more run, alone, rather than fail its job.
 #[test]
-fn harmless_task_that_shares_two_crashes_is_cleared() {
+fn harmless_task_that_shares_two_crashes_runs_alone() {
     for seed in 0..24 {
-        let mut world = World::new(seed, 2, 2, CALM);
+        let mut world = World::new(seed, 2, 2, NO_FAULTS);
         world.crash_silently();
         world.submit_jobs(12, Span::millis(250));
         world.submit_crashing_job(Span::millis(1_000), CRASHING_JOB, 1);
@@ -175,22 +183,26 @@
         world.finish_and_check();
         for (task, crashes) in &world.crashes {
             assert!(
-                *crashes <= 3 + AFTER_THREE,
-                "{task} of seed {seed}: {crashes}"
+                *crashes <= MAX_TASK_CRASHES,
+                "{task} of seed {seed} crashed {crashes} endpoints"
             );
         }
-        for (id, seen) in world.jobs.iter().filter(|(id, _)| **id != CRASHING_JOB) {
-            assert_ne!(seen.answer, Some(Answer::Failed), "{id} of seed {seed}");
+        for (id, view) in world.jobs.iter().filter(|(id, _)| **id != CRASHING_JOB) {
+            assert_ne!(
+                view.answer,
+                Some(Answer::Failed),
+                "{id} of seed {seed} failed"
+            );
         }
     }
 }
 
-/// Endpoints restart behind a partition. A start that never reached them must not count as a crash under its
-/// task, or jobs would fail that crash nothing.
+/// Endpoints restart behind a partition. A start that never reached them must not count as a crash by its task, or
+/// harmless jobs would fail.
 #[test]
 fn restarts_behind_a_partition_fail_no_job() {
     for seed in 0..16 {
-        let mut world = World::new(seed, 3, 4, CALM);
+        let mut world = World::new(seed, 3, 4, NO_FAULTS);
         world.submit_jobs(12, Span::millis(60));
         for w in 0..16 {
             if (w + seed as usize).is_multiple_of(2) {
@@ -201,18 +213,22 @@
         }
         world.run(Span::seconds(14));
         world.finish_and_check();
-        for (id, seen) in &world.jobs {
-            assert_ne!(seen.answer, Some(Answer::Failed), "{id} of seed {seed}");
+        for (id, view) in &world.jobs {
+            assert_ne!(
+                view.answer,
+                Some(Answer::Failed),
+                "{id} of seed {seed} failed"
+            );
         }
     }
 }
 
-/// Endpoints that don't enforce their capacity shrink while tasks run there, and grow again. A start by an old
-/// capacity would overload them.
+/// The capacity of endpoints that don't enforce it shrinks while tasks run there, and grows again. A start that is
+/// based on the old capacity would overload them.
 #[test]
-fn capacity_shrinks_and_grows() {
+fn starts_respect_a_changed_capacity() {
     for seed in 0..10 {
-        let mut world = World::new(seed, 3, 2, CALM);
+        let mut world = World::new(seed, 3, 2, NO_FAULTS);
         world.submit_jobs(40, Span::millis(250));
         for w in [0, 1, 4] {
             world.resize_at(Span::millis(1_000), w, 1_500);
@@ -224,24 +240,24 @@
     }
 }
 
-/// All endpoints become too small for the queued tasks, one data centre after the other. Tasks move to endpoints
-/// that can run them; jobs that fit nowhere must be refused at once rather than wait.
+/// All endpoints become too small for the queued tasks, one data centre after the other. Jobs that fit nowhere must be
+/// refused at once rather than wait.
 #[test]
-fn what_fits_nowhere_is_refused() {
-    let mut world = World::new(2, 3, 4, CALM);
+fn jobs_that_fit_nowhere_are_refused_at_once() {
+    let mut world = World::new(2, 3, 4, NO_FAULTS);
     world.submit_jobs(40, Span::millis(100));
     for w in 0..16 {
-        let late = Span::millis(if w / 4 % 2 == 0 { 1_000 } else { 2_000 });
-        world.resize_at(late, w, 900);
+        let after = Span::millis(if w / 4 % 2 == 0 { 1_000 } else { 2_000 });
+        world.resize_at(after, w, 900);
     }
     world.run(Span::millis(2_100));
     let from = world.now;
     world.run(Span::seconds(4));
-    for seen in world.jobs.values().filter(|seen| seen.since > from) {
-        let refused = matches!(seen.answer, Some(Answer::Refused { .. }));
+    for view in world.jobs.values().filter(|view| view.submitted_at > from) {
+        let refused = matches!(view.answer, Some(Answer::Refused { .. }));
         assert!(
-            refused && seen.at.since(seen.since) <= Span::millis(20),
-            "{seen:?}"
+            refused && view.answered_at.since(view.submitted_at) <= Span::millis(20),
+            "{view:?}"
         );
     }
     world.finish_and_check();
--- a/tests/dispatch/endpoint.rs
+++ b/tests/dispatch/endpoint.rs
@@ -30,9 +30,9 @@
 };
 
 /// The longest lease that an endpoint grants, in milliseconds.
-const LONGEST_LEASE: u64 = 1_000;
+const MAX_LEASE_MS: u64 = 1_000;
 
-/// A run that was started, for the checks.
+/// The record of a run that was started, for the checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct RunRecord {
     pub task: TaskId,
@@ -50,8 +50,8 @@
 #[derive(Debug, Clone, Copy)]
 struct Active {
     run: Run,
-    /// Its duration at full speed, and how much of that is done.
-    takes: Span,
+    /// Its duration at full speed, and how much of it is done.
+    duration: Span,
     done: Span,
     /// When `done` was updated.
     at: Time,
@@ -62,14 +62,15 @@
 
 /// A simulated endpoint.
 #[derive(Debug)]
-pub(crate) struct Worker {
+pub(crate) struct SimulatedEndpoint {
     pub listing: Listing,
     /// The share by which its clock is slower than true time.
     pub clock_lag: f64,
-    /// The speed of its runs, as a share of a sound endpoint's; runs stall at zero.
+    /// The speed of its runs, as a share of a healthy endpoint's; runs stall at zero.
     pub speed: f64,
-    /// When its clock was set, in milliseconds of true time, and to which value.
+    /// When its clock was set, in milliseconds of true time.
     origin: u64,
+    /// The value that its clock was set to, in milliseconds.
     ahead: u64,
     pub running: BTreeMap<TaskId, ActiveRun>,
     pub history: Vec<RunRecord>,
@@ -82,12 +83,15 @@
     pub enforces_capacity: bool,
     ended: Vec<Ended>,
     serial: u64,
+    /// When its lease expires, in milliseconds of its clock.
     lease: u64,
     /// When its lease was last seen expired.
     lease_ended: Time,
     /// Indices in the history of the runs whose ends it lists, by serial number.
     indices: HashMap<u64, usize>,
+    /// The highest fencing token that it has received.
     token: Token,
+    /// The highest run of each task that it no longer starts.
     barred: HashMap<TaskId, Run>,
 }
 
@@ -102,7 +106,7 @@
     }
 }
 
-impl Worker {
+impl SimulatedEndpoint {
     pub(crate) fn new(listing: Listing, clock_lag: f64) -> Self {
         Self {
             listing,
@@ -144,12 +148,12 @@
         let ended: Vec<TaskId> = self
             .running
             .iter()
-            .filter(|(_, run)| run.0.done >= run.0.takes || expired)
+            .filter(|(_, run)| run.0.done >= run.0.duration || expired)
             .map(|(task, _)| *task)
             .collect();
         for task in ended {
             let run = self.running[&task].0;
-            let kind = match (run.done >= run.takes, run.fails) {
+            let kind = match (run.done >= run.duration, run.fails) {
                 (true, false) => End::Done,
                 (true, true) => End::Failed,
                 (false, _) => End::Lapsed,
@@ -195,12 +199,12 @@
         };
     }
 
-    /// Returns the CPU that its runs take, those that are being stopped included.
+    /// Returns the CPU that its runs use.
     pub(crate) fn used_cpu(&self, needs: &HashMap<TaskId, Resources>) -> u64 {
         self.running.keys().map(|task| needs[task].cpu).sum()
     }
 
-    /// Ends all runs without a trace, as a crash does.
+    /// Ends all runs without listing their ends, as a crash does.
     pub(crate) fn crash(&mut self, now: Time) {
         for run in std::mem::take(&mut self.running).into_values() {
             self.history[run.0.index].until = Some(now);
@@ -209,9 +213,9 @@
         self.up = false;
     }
 
-    fn extend(&mut self, until: Option<u64>, now: Time) {
+    fn extend_lease(&mut self, until: Option<u64>, now: Time) {
         if let Some(until) = until {
-            let most = self.clock(now) + LONGEST_LEASE;
+            let most = self.clock(now) + MAX_LEASE_MS;
             self.lease = self.lease.max(until.min(most));
         }
     }
@@ -229,7 +233,7 @@
         &mut self,
         order: &Order,
         needs: &HashMap<TaskId, Resources>,
-        takes: Span,
+        duration: Span,
         fails: bool,
         now: Time,
     ) -> Reply {
@@ -249,9 +253,9 @@
                 if self
                     .running
                     .get(task)
-                    .is_some_and(|known| known.0.run == *run)
+                    .is_some_and(|active| active.0.run == *run)
                 {
-                    self.extend(Some(*lease), now);
+                    self.extend_lease(Some(*lease), now);
                     return Reply::Done { clock };
                 }
                 if self.barred.get(task).is_some_and(|barred| run <= barred) {
@@ -263,10 +267,10 @@
                 if self.enforces_capacity && !self.free_room(needs).fits(&needs[task]) {
                     return refuse(Refusal::Full);
                 }
-                self.extend(Some(*lease), now);
+                self.extend_lease(Some(*lease), now);
                 let active = Active {
                     run: *run,
-                    takes,
+                    duration,
                     done: Span(0),
                     at: now,
                     fails,
@@ -290,7 +294,7 @@
                     if self
                         .running
                         .get(task)
-                        .is_some_and(|known| known.0.run <= *run)
+                        .is_some_and(|active| active.0.run <= *run)
                     {
                         self.end(*task, End::Stopped, now);
                     }
@@ -299,17 +303,18 @@
                 Reply::Done { clock }
             }
             Order::Look { lease, seen, .. } => {
-                self.extend(*lease, now);
+                self.extend_lease(*lease, now);
                 self.acknowledge(*seen);
                 self.poll_reply(now)
             }
         }
     }
 
+    /// Removes the ends up to the serial number `seen`.
     fn acknowledge(&mut self, seen: u64) {
         for end in self.ended.iter().filter(|end| end.serial <= seen) {
-            let past = &mut self.history[self.indices[&end.serial]];
-            past.forgotten_early = past.until.is_some_and(|until| until > self.lease_ended);
+            let record = &mut self.history[self.indices[&end.serial]];
+            record.forgotten_early = record.until.is_some_and(|until| until > self.lease_ended);
         }
         self.ended.retain(|end| end.serial > seen);
     }
@@ -323,7 +328,7 @@
         let running = self.running.iter().map(|(task, run)| Running {
             task: Name::Known(*task),
             run: run.0.run,
-            percent: Some((run.0.done.0 * 100 / run.0.takes.0.max(1)) as u8),
+            percent: Some((run.0.done.0 * 100 / run.0.duration.0.max(1)) as u8),
         });
         Reply::Looked(Lists {
             clock: self.clock(now),
--- a/tests/dispatch/placement.rs
+++ b/tests/dispatch/placement.rs
@@ -8,15 +8,15 @@
 use super::{
     completed,
     world::World,
-    CALM, //
+    NO_FAULTS, //
 };
 
-/// One endpoint in eight fails all runs at once, so it always has room. A task that failed there must be retried elsewhere:
-/// otherwise it would use up its attempts there and its job would fail, though all other endpoints are healthy.
+/// One endpoint in eight fails all runs immediately, so it always has room. A task that failed there must be retried elsewhere,
+/// or it would use up its attempts there and its job would fail.
 #[test]
-fn failed_task_goes_elsewhere() {
+fn failed_task_is_retried_elsewhere() {
     for seed in 0..8 {
-        let mut world = World::new(seed, 3, 2, CALM);
+        let mut world = World::new(seed, 3, 2, NO_FAULTS);
         world.fail_runs_at(Span::millis(500), seed as usize, Span::seconds(9));
         world.submit_jobs(60, Span::millis(150));
         world.run(Span::seconds(11));
--- a/tests/dispatch/world.rs
+++ b/tests/dispatch/world.rs
@@ -62,7 +62,7 @@
 };
 
 use super::{
-    endpoint::Worker,
+    endpoint::SimulatedEndpoint,
     rows::Rows, //
 };
 
@@ -72,26 +72,26 @@
 const TRANSIT_MICROS: u64 = 300;
 /// How long an instance waits for a reply of the store.
 const STORE_TIMEOUT: Span = Span::millis(400);
-/// How long after a change of an endpoint's capacity starts may arrive that were sent before the owner knew it.
+/// How long after a change of an endpoint's capacity starts may arrive that the owner sent before it learned of the change.
 const CAPACITY_LAG: Span = Span::millis(20);
-/// How long after a broken connection a caller retries.
+/// The delay after which a caller retries when its connection broke.
 const CALLER_RETRY: Span = Span::millis(1_300);
 
 /// The faults of calls to endpoints and the store, and of messages between instances.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Faults {
-    /// The share of orders that get no answer and are carried out 2 to 6 s later.
-    pub late: f64,
+    /// The share of orders that get no answer and are executed 2 to 6 s later.
+    pub late_orders: f64,
     /// The share of heartbeats that are lost.
     pub lost_heartbeats: f64,
     /// The share of runs that fail.
-    pub failures: f64,
+    pub failed_runs: f64,
     /// The share of messages to a peer that hit a broken connection. They are sent over a new one 250 to 400 ms later, and later
     /// messages wait for them.
     pub broken_links: f64,
-    /// The share of calls to the store that get no reply. Half of them are carried out soon, a quarter much later, and the
-    /// others never.
-    pub lost_calls: f64,
+    /// The share of calls to the store that get no reply. Half of them are executed after 3 ms, a quarter after 0.5 to 3 s, and
+    /// the others never.
+    pub lost_store_calls: f64,
 }
 
 #[derive(Debug)]
@@ -106,7 +106,7 @@
     Submit(usize, JobId, u32, u64, Span),
     Kill(usize, Span),
     Start(usize),
-    Freeze(usize, Span),
+    Suspend(usize, Span),
     Partition(HashSet<usize>, bool),
     Disconnect(usize, usize, bool),
     MuteEndpoint(usize, bool),
@@ -130,15 +130,16 @@
     Heartbeat(Sender, Heartbeat),
 }
 
-/// An instance, with the state that its runtime would keep.
-struct Host {
+/// An instance: its dispatcher, if it's up, and the state that its runtime would keep.
+struct SimulatedInstance {
     dispatcher: Option<Dispatcher>,
     contact: Contact,
     centre: String,
-    life: u64,
-    frozen_until: Time,
+    incarnation: u64,
+    suspended_until: Time,
     /// The incarnation and session of each peer, and how often they changed.
     sessions: HashMap<Instance, (u64, u32, u64)>,
+    /// The jobs whose callers wait for an answer.
     tickets: HashMap<Ticket, JobId>,
     /// When the last message to each other instance arrives.
     last_arrivals: HashMap<usize, Time>,
@@ -147,25 +148,27 @@
 /// A job as its caller sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct CallerView {
+    /// The last answer.
     pub answer: Option<Answer>,
     /// When the caller first submitted it.
-    pub since: Time,
+    pub submitted_at: Time,
     /// When the last answer came.
-    pub at: Time,
+    pub answered_at: Time,
     /// Whether every answer so far said that nothing was run.
-    pub refused: bool,
+    pub only_refused: bool,
 }
 
 /// The simulation.
 pub(crate) struct World {
     pub now: Time,
-    pub hosts_up: usize,
+    pub instances_up: usize,
     pub jobs: HashMap<JobId, CallerView>,
-    pub workers: Vec<Worker>,
+    pub endpoints: Vec<SimulatedEndpoint>,
     /// How many stop orders endpoints got.
     pub stopped: usize,
-    hosts: Vec<Host>,
+    instances: Vec<SimulatedInstance>,
     events: BinaryHeap<Reverse<(Time, u64)>>,
+    /// The scheduled events, by serial number.
     payloads: HashMap<u64, Event>,
     serial: u64,
     random: SmallRng,
@@ -184,13 +187,13 @@
     roster: Roster,
     rows: Rows,
     store_down: bool,
-    /// The evacuated data centres.
+    /// The evacuated data centres, as the store has them.
     evacuation: Evacuation,
     /// Instances that get no evacuations from the store.
     store_denied: HashSet<usize>,
     /// Whether jobs are stored. They then have two steps, the second after the first.
     stores_jobs: bool,
-    /// Look orders that wait for an end of a run.
+    /// Look orders whose reply is held back until a run ends.
     waiting_looks: Vec<WaitingLook>,
     /// Whether endpoints that are down drop calls instead of refusing connections.
     crashes_silently: bool,
@@ -207,11 +210,11 @@
 /// A waiting look order: the endpoint, its deadline, the call of an instance, and the order.
 type WaitingLook = (usize, Time, (usize, u64, CallId, Time), Box<Order>);
 
-/// A job is on time if it takes no longer than this multiple of its work plus [`OBJECTIVE_TARGET`].
+/// A job is on time if it takes no longer than this multiple of its tasks' duration plus [`OBJECTIVE_TARGET`].
 const OBJECTIVE_STRETCH: f64 = 1.6;
 const OBJECTIVE_TARGET: Span = Span::millis(60);
 
-/// The attempts of a task.
+/// The maximum number of attempts of a task.
 const ATTEMPTS: u32 = 3;
 
 /// How many endpoints a task may crash before its job may be given up.
@@ -225,11 +228,11 @@
     pub(crate) fn new(seed: u64, instances: usize, racks: usize, faults: Faults) -> Self {
         let mut world = Self {
             now: Time(1_000_000),
-            hosts_up: 0,
+            instances_up: 0,
             jobs: HashMap::new(),
-            workers: Vec::new(),
+            endpoints: Vec::new(),
             stopped: 0,
-            hosts: Vec::new(),
+            instances: Vec::new(),
             events: BinaryHeap::new(),
             payloads: HashMap::new(),
             serial: 0,
@@ -271,20 +274,22 @@
                 },
                 draining: false,
             };
-            let slow = [0.0, 0.02, 0.01][i % 3];
-            world.workers.push(Worker::new(listing, slow));
+            let clock_lag = [0.0, 0.02, 0.01][i % 3];
+            world
+                .endpoints
+                .push(SimulatedEndpoint::new(listing, clock_lag));
         }
         world.update_roster();
         for i in 0..instances {
-            world.hosts.push(Host {
+            world.instances.push(SimulatedInstance {
                 dispatcher: None,
                 contact: Contact {
                     name: format!("instance-{i}").parse().unwrap(),
                     address: format!("{i}"),
                 },
                 centre: centre(i),
-                life: 0,
-                frozen_until: Time::default(),
+                incarnation: 0,
+                suspended_until: Time::default(),
                 sessions: HashMap::new(),
                 tickets: HashMap::new(),
                 last_arrivals: HashMap::new(),
@@ -297,7 +302,7 @@
 
     fn update_roster(&mut self) {
         self.roster.version += 1;
-        let up = self.workers.iter().filter(|w| w.up);
+        let up = self.endpoints.iter().filter(|w| w.up);
         self.roster.endpoints = up.map(|w| w.listing.clone()).collect();
     }
 
@@ -317,12 +322,12 @@
             }
             self.events.pop();
             self.now = time;
-            for worker in &mut self.workers {
-                worker.advance(time);
+            for endpoint in &mut self.endpoints {
+                endpoint.advance(time);
             }
             self.answer_waiting_looks();
             if let Some(event) = self.payloads.remove(&serial) {
-                self.handle(event);
+                self.on_event(event);
             }
             self.check_no_double_runs();
         }
@@ -331,20 +336,20 @@
 
     fn start(&mut self, i: usize) {
         let now = self.now;
-        let host = &mut self.hosts[i];
-        host.life += 1;
-        host.sessions.clear();
-        host.tickets.clear();
+        let instance = &mut self.instances[i];
+        instance.incarnation += 1;
+        instance.sessions.clear();
+        instance.tickets.clear();
         let identity = Identity {
-            contact: host.contact.clone(),
-            centre: host.centre.clone(),
-            incarnation: host.life,
+            contact: instance.contact.clone(),
+            centre: instance.centre.clone(),
+            incarnation: instance.incarnation,
             share: 250,
             epoch: Epoch(now.0 / 1_000_000),
         };
-        host.dispatcher = Some(Dispatcher::new(identity, now));
-        self.hosts_up += 1;
-        let contacts = self.hosts.iter().map(|h| h.contact.clone()).collect();
+        instance.dispatcher = Some(Dispatcher::new(identity, now));
+        self.instances_up += 1;
+        let contacts = self.instances.iter().map(|h| h.contact.clone()).collect();
         let route = Route {
             name: "queue".to_owned(),
             host: HOST.to_owned(),
@@ -367,28 +372,29 @@
         }
         self.feed(i, Input::RosterListed(self.roster.clone()));
         self.feed(i, Input::MembersFound(contacts));
-        let life = self.hosts[i].life;
-        self.schedule(TICK, Event::Tick(i, life));
+        let incarnation = self.instances[i].incarnation;
+        self.schedule(TICK, Event::Tick(i, incarnation));
     }
 
+    /// Gives an input to an instance and carries out its outputs. An instance that is down ignores it.
     fn feed(&mut self, i: usize, input: Input) {
         let now = self.now;
-        let Some(dispatcher) = &mut self.hosts[i].dispatcher else {
+        let Some(dispatcher) = &mut self.instances[i].dispatcher else {
             return;
         };
         let outputs = dispatcher.step(now, input);
         for output in outputs {
-            self.carry_out(i, output);
+            self.on_output(i, output);
         }
     }
 
     fn sender(&self, i: usize, to: &Instance) -> Sender {
-        let host = &self.hosts[i];
-        let (incarnation, session, _) = host.sessions.get(to).copied().unwrap_or_default();
+        let instance = &self.instances[i];
+        let (incarnation, session, _) = instance.sessions.get(to).copied().unwrap_or_default();
         Sender {
-            contact: host.contact.clone(),
-            centre: host.centre.clone(),
-            incarnation: host.life,
+            contact: instance.contact.clone(),
+            centre: instance.centre.clone(),
+            incarnation: instance.incarnation,
             receiver_incarnation: incarnation,
             session,
             sent: self.now,
@@ -396,13 +402,13 @@
     }
 
     fn index(&self, name: &Instance) -> Option<usize> {
-        self.hosts.iter().position(|h| h.contact.name == *name)
+        self.instances.iter().position(|h| h.contact.name == *name)
     }
 
-    fn carry_out(&mut self, i: usize, output: Output) {
+    fn on_output(&mut self, i: usize, output: Output) {
         match output {
             Output::Answer(ticket, answer) => {
-                if let Some(job) = self.hosts[i].tickets.remove(&ticket) {
+                if let Some(job) = self.instances[i].tickets.remove(&ticket) {
                     self.on_answer(job, answer);
                 }
             }
@@ -420,11 +426,11 @@
                 let sender = self.sender(i, &to.name);
                 // Messages of one pair arrive in order; a heartbeat may overtake them.
                 let earliest = self.now + self.draw_transit();
-                let last_arrival = self.hosts[i].last_arrivals.entry(to_index).or_default();
+                let last_arrival = self.instances[i].last_arrivals.entry(to_index).or_default();
                 *last_arrival = earliest.max(*last_arrival);
                 let delay = last_arrival.since(self.now);
                 let delivery = Box::new(Delivery::Message(sender, message));
-                self.post(i, to_index, delay, delivery);
+                self.deliver_later(i, to_index, delay, delivery);
             }
             Output::Heartbeat(to, heartbeat) => {
                 for to in to {
@@ -437,7 +443,7 @@
                     let sender = self.sender(i, &to.name);
                     let delay = Span(TRANSIT_MICROS + self.random.random_range(0..400));
                     let delivery = Box::new(Delivery::Heartbeat(sender, heartbeat.clone()));
-                    self.post(i, to_index, delay, delivery);
+                    self.deliver_later(i, to_index, delay, delivery);
                 }
             }
             Output::BeginSession {
@@ -445,37 +451,37 @@
                 incarnation,
                 session,
             } => {
-                let session_entry = self.hosts[i].sessions.entry(to.name).or_default();
+                let session_entry = self.instances[i].sessions.entry(to.name).or_default();
                 *session_entry = (incarnation, session, session_entry.2 + 1);
             }
             Output::Drained => {
-                self.hosts[i].dispatcher = None;
-                self.hosts_up -= 1;
+                self.instances[i].dispatcher = None;
+                self.instances_up -= 1;
             }
             Output::Log(record) => {
                 if std::env::var_os("DISPATCH_LOG").is_some() {
                     println!(
                         "{} {} {record:?}",
                         self.now.0 / 1_000,
-                        self.hosts[i].contact.name
+                        self.instances[i].contact.name
                     );
                 }
             }
             Output::Store { call, request } => {
-                let life = self.hosts[i].life;
+                let incarnation = self.instances[i].incarnation;
                 let request = Box::new(request);
-                if self.random.random_bool(self.faults.lost_calls) {
+                if self.random.random_bool(self.faults.lost_store_calls) {
                     let silent = Box::new(StoreReply::Silent);
-                    self.schedule(STORE_TIMEOUT, Event::Stored(i, life, call, silent));
+                    self.schedule(STORE_TIMEOUT, Event::Stored(i, incarnation, call, silent));
                     let after = match self.random.random_range(0..4) {
                         0 | 1 => Span::millis(3),
                         2 => Span(self.random.random_range(500_000..3_000_000)),
                         _ => return,
                     };
-                    self.schedule(after, Event::Store(i, life, call, request, false));
+                    self.schedule(after, Event::Store(i, incarnation, call, request, false));
                 } else {
                     let transit = Span::millis(3);
-                    self.schedule(transit, Event::Store(i, life, call, request, true));
+                    self.schedule(transit, Event::Store(i, incarnation, call, request, true));
                 }
             }
             Output::Disconnect(_) | Output::CloseIdleCallers => {}
@@ -492,33 +498,33 @@
         Span(TRANSIT_MICROS + self.random.random_range(0..8_000))
     }
 
-    fn post(&mut self, i: usize, to: usize, delay: Span, delivery: Box<Delivery>) {
+    fn deliver_later(&mut self, i: usize, to: usize, delay: Span, delivery: Box<Delivery>) {
         let apart = self.partition.contains(&i) != self.partition.contains(&to);
         if apart || self.disconnected.contains(&(i.min(to), i.max(to))) {
             return;
         }
-        let life = self.hosts[to].life;
-        self.schedule(delay, Event::Deliver(to, life, delivery));
+        let incarnation = self.instances[to].incarnation;
+        self.schedule(delay, Event::Deliver(to, incarnation, delivery));
     }
 
-    fn call(&mut self, i: usize, call: CallId, id: &Endpoint, order: Order, patience: Span) {
-        let life = self.hosts[i].life;
+    fn call(&mut self, i: usize, call: CallId, id: &Endpoint, order: Order, timeout: Span) {
+        let incarnation = self.instances[i].incarnation;
         let sent = self.now;
-        let found = self.workers.iter().position(|w| w.listing.id == *id);
-        let Some(worker) = found else {
+        let found = self.endpoints.iter().position(|w| w.listing.id == *id);
+        let Some(endpoint) = found else {
             return;
         };
-        let late = self.random.random_bool(self.faults.late);
+        let late = self.random.random_bool(self.faults.late_orders);
         if late {
             let after = Span(self.random.random_range(2_000_000..6_000_000));
             let order = Box::new(order);
             self.schedule(
                 after,
-                Event::Order(worker, i, life, call, sent, order, true),
+                Event::Order(endpoint, i, incarnation, call, sent, order, true),
             );
             self.schedule(
-                patience,
-                Event::Reply(i, life, call, sent, Box::new(Reply::Silent)),
+                timeout,
+                Event::Reply(i, incarnation, call, sent, Box::new(Reply::Silent)),
             );
             return;
         }
@@ -526,35 +532,37 @@
         let order = Box::new(order);
         self.schedule(
             transit,
-            Event::Order(worker, i, life, call, sent, order, false),
+            Event::Order(endpoint, i, incarnation, call, sent, order, false),
         );
         // Only the first reply of a call counts.
         self.schedule(
-            patience,
-            Event::Reply(i, life, call, sent, Box::new(Reply::Silent)),
+            timeout,
+            Event::Reply(i, incarnation, call, sent, Box::new(Reply::Silent)),
         );
     }
 
-    fn handle(&mut self, event: Event) {
+    fn on_event(&mut self, event: Event) {
         match event {
-            Event::Tick(i, life) => {
-                if self.hosts[i].life != life || self.hosts[i].dispatcher.is_none() {
+            Event::Tick(i, incarnation) => {
+                if self.instances[i].incarnation != incarnation
+                    || self.instances[i].dispatcher.is_none()
+                {
                     return;
                 }
-                if self.is_frozen(i) {
-                    let rest = self.hosts[i].frozen_until.since(self.now);
-                    return self.schedule(rest, Event::Tick(i, life));
+                if self.is_suspended(i) {
+                    let rest = self.instances[i].suspended_until.since(self.now);
+                    return self.schedule(rest, Event::Tick(i, incarnation));
                 }
                 self.feed(i, Input::Tick);
-                self.schedule(TICK, Event::Tick(i, life));
+                self.schedule(TICK, Event::Tick(i, incarnation));
             }
-            Event::Deliver(i, life, delivery) => {
-                if self.hosts[i].life != life {
+            Event::Deliver(i, incarnation, delivery) => {
+                if self.instances[i].incarnation != incarnation {
                     return;
                 }
-                if self.is_frozen(i) {
-                    let rest = Span(self.hosts[i].frozen_until.since(self.now).0 + 1);
-                    return self.schedule(rest, Event::Deliver(i, life, delivery));
+                if self.is_suspended(i) {
+                    let rest = Span(self.instances[i].suspended_until.since(self.now).0 + 1);
+                    return self.schedule(rest, Event::Deliver(i, incarnation, delivery));
                 }
                 let input = match *delivery {
                     Delivery::Message(from, message) => Input::Received {
@@ -568,37 +576,38 @@
                 self.feed(i, input);
             }
             Event::Order(w, ..) if self.isolated.contains(&w) => {}
-            Event::Order(w, i, life, call, sent, order, late) => {
-                let takes = match &*order {
+            Event::Order(w, i, incarnation, call, sent, order, late) => {
+                let duration = match &*order {
                     Order::Start { task, .. } => self.durations.get(&task.job).copied(),
                     _ => None,
                 };
-                let failing = self.workers[w].failing;
-                let fails = self.random.random_bool(self.faults.failures) || failing;
-                let takes = takes.map(|takes| if failing { Span::millis(1) } else { takes });
+                let failing = self.endpoints[w].failing;
+                let fails = self.random.random_bool(self.faults.failed_runs) || failing;
+                let duration =
+                    duration.map(|duration| if failing { Span::millis(1) } else { duration });
                 let now = self.now;
-                if self.workers[w].down {
+                if self.endpoints[w].down {
                     if self.crashes_silently {
                         return;
                     }
                     let reply = Box::new(Reply::Unsent);
                     return self.schedule(
                         Span(TRANSIT_MICROS),
-                        Event::Reply(i, life, call, sent, reply),
+                        Event::Reply(i, incarnation, call, sent, reply),
                     );
                 }
-                if !self.workers[w].up {
+                if !self.endpoints[w].up {
                     let reply = Box::new(Reply::Reborn);
                     return self.schedule(
                         Span(TRANSIT_MICROS),
-                        Event::Reply(i, life, call, sent, reply),
+                        Event::Reply(i, incarnation, call, sent, reply),
                     );
                 }
                 if matches!(&*order, Order::Stop { .. }) {
                     self.stopped += 1;
                 }
-                let takes = takes.unwrap_or_default();
-                let reply = self.workers[w].execute(&order, &self.needs, takes, fails, now);
+                let duration = duration.unwrap_or_default();
+                let reply = self.endpoints[w].execute(&order, &self.needs, duration, fails, now);
                 self.check_capacity(w);
                 if self.crash_by_task(w, &order, &reply) {
                     return;
@@ -609,53 +618,55 @@
                 if let (Order::Look { wait, .. }, Reply::Looked(lists)) = (&*order, &reply) {
                     if lists.ended.is_empty() && wait.0 > 0 {
                         // The look waits for an end of a run or its deadline.
-                        let look = (i, life, call, sent);
+                        let look = (i, incarnation, call, sent);
                         let until = now + *wait;
                         return self.waiting_looks.push((w, until, look, order));
                     }
                 }
                 self.schedule(
                     Span(TRANSIT_MICROS),
-                    Event::Reply(i, life, call, sent, Box::new(reply)),
+                    Event::Reply(i, incarnation, call, sent, Box::new(reply)),
                 );
             }
-            Event::Reply(i, life, call, sent, reply) => {
-                if self.hosts[i].life != life {
+            Event::Reply(i, incarnation, call, sent, reply) => {
+                if self.instances[i].incarnation != incarnation {
                     return;
                 }
-                if self.is_frozen(i) {
-                    let rest = Span(self.hosts[i].frozen_until.since(self.now).0 + 1);
-                    return self.schedule(rest, Event::Reply(i, life, call, sent, reply));
+                if self.is_suspended(i) {
+                    let rest = Span(self.instances[i].suspended_until.since(self.now).0 + 1);
+                    return self.schedule(rest, Event::Reply(i, incarnation, call, sent, reply));
                 }
                 let reply = *reply;
                 self.feed(i, Input::EndpointReplied { call, sent, reply });
             }
-            Event::Store(i, life, call, request, answered) => {
+            Event::Store(i, incarnation, call, request, answered) => {
                 let reply = match self.store_down {
                     true => StoreReply::Refused,
                     false => self.rows.execute(&request),
                 };
                 if answered {
                     let reply = Box::new(reply);
-                    self.schedule(Span::millis(2), Event::Stored(i, life, call, reply));
+                    self.schedule(Span::millis(2), Event::Stored(i, incarnation, call, reply));
                 }
             }
-            Event::Stored(i, life, call, reply) => {
-                if self.hosts[i].life != life {
+            Event::Stored(i, incarnation, call, reply) => {
+                if self.instances[i].incarnation != incarnation {
                     return;
                 }
-                if self.is_frozen(i) {
-                    let rest = Span(self.hosts[i].frozen_until.since(self.now).0 + 1);
-                    return self.schedule(rest, Event::Stored(i, life, call, reply));
+                if self.is_suspended(i) {
+                    let rest = Span(self.instances[i].suspended_until.since(self.now).0 + 1);
+                    return self.schedule(rest, Event::Stored(i, incarnation, call, reply));
                 }
                 let reply = *reply;
                 self.feed(i, Input::StoreReplied { call, reply });
             }
             Event::StoreOutage(down) => self.store_down = down,
-            Event::Submit(i, job, tasks, cpu, takes) => self.submit(i, job, tasks, cpu, takes),
+            Event::Submit(i, job, tasks, cpu, duration) => {
+                self.submit(i, job, tasks, cpu, duration)
+            }
             Event::Kill(i, down) => self.kill(i, down),
             Event::Start(i) => self.start(i),
-            Event::Freeze(i, span) => self.hosts[i].frozen_until = self.now + span,
+            Event::Suspend(i, span) => self.instances[i].suspended_until = self.now + span,
             Event::Partition(side, on) => {
                 self.partition = match on {
                     true => side,
@@ -680,32 +691,32 @@
                     false => self.muted.remove(&w),
                 };
             }
-            Event::SlowEndpoint(w, pace) => self.workers[w].speed = pace,
-            Event::FailRuns(w, on) => self.workers[w].failing = on,
+            Event::SlowEndpoint(w, speed) => self.endpoints[w].speed = speed,
+            Event::FailRuns(w, on) => self.endpoints[w].failing = on,
             Event::Crash(w) => {
                 let now = self.now;
-                self.workers[w].crash(now);
+                self.endpoints[w].crash(now);
                 self.publish_roster();
             }
             Event::Leave(w) => {
-                self.workers[w].listing.draining = true;
+                self.endpoints[w].listing.draining = true;
                 self.publish_roster();
             }
             Event::Drain(i) => self.feed(i, Input::Drain),
             Event::CrashAndRestart(w, span, ahead) => {
                 let now = self.now;
-                self.workers[w].crash(now);
-                (self.workers[w].up, self.workers[w].down) = (true, true);
+                self.endpoints[w].crash(now);
+                (self.endpoints[w].up, self.endpoints[w].down) = (true, true);
                 self.schedule(span, Event::RestartEndpoint(w, ahead));
             }
             Event::RestartEndpoint(w, ahead) => {
                 let now = self.now;
-                self.workers[w].restart(now, ahead);
+                self.endpoints[w].restart(now, ahead);
                 self.schedule(self.row_lag, Event::PublishRoster);
             }
             Event::PublishRoster => self.publish_roster(),
             Event::Resize(w, cpu) => {
-                self.workers[w].listing.capacity.cpu = cpu;
+                self.endpoints[w].listing.capacity.cpu = cpu;
                 self.resized.insert(w, (self.now, cpu));
                 self.publish_roster();
             }
@@ -726,8 +737,8 @@
             version: self.evacuation.version + 1,
         };
         self.evacuation = self.evacuation.with_change(&change).unwrap();
-        for i in 0..self.hosts.len() {
-            if !self.store_denied.contains(&i) && !self.is_frozen(i) {
+        for i in 0..self.instances.len() {
+            if !self.store_denied.contains(&i) && !self.is_suspended(i) {
                 self.feed(i, Input::EvacuationChanged(change.clone()));
             }
         }
@@ -744,21 +755,24 @@
         *self.crashes.entry(*task).or_default() += 1;
         let down = Span(self.random.random_range(1_500_000..3_000_000));
         let ahead = self.random.random_range(0..50_000);
-        self.handle(Event::CrashAndRestart(w, down, ahead));
+        self.on_event(Event::CrashAndRestart(w, down, ahead));
         true
     }
 
     /// Checks that no start exceeds the capacity of a resized endpoint.
     fn check_capacity(&self, w: usize) {
-        let worker = &self.workers[w];
+        let endpoint = &self.endpoints[w];
         let Some((at, cpu)) = self.resized.get(&w) else {
             return;
         };
-        let begun = worker.history.last().filter(|begun| begun.from == self.now);
-        if begun.is_some() && self.now.since(*at) > CAPACITY_LAG {
+        let record = endpoint
+            .history
+            .last()
+            .filter(|record| record.from == self.now);
+        if record.is_some() && self.now.since(*at) > CAPACITY_LAG {
             assert!(
-                worker.used_cpu(&self.needs) <= *cpu,
-                "{begun:?} at {}",
+                endpoint.used_cpu(&self.needs) <= *cpu,
+                "{record:?} exceeds the capacity at {}",
                 self.now.0
             );
         }
@@ -766,21 +780,23 @@
 
     fn answer_waiting_looks(&mut self) {
         let now = self.now;
-        for (w, until, (i, life, call, sent), order) in std::mem::take(&mut self.waiting_looks) {
-            let worker = &mut self.workers[w];
-            if !worker.up || worker.down {
+        for (w, until, (i, incarnation, call, sent), order) in
+            std::mem::take(&mut self.waiting_looks)
+        {
+            let endpoint = &mut self.endpoints[w];
+            if !endpoint.up || endpoint.down {
                 continue;
             }
-            if until > now && !worker.has_unacknowledged_ends() {
+            if until > now && !endpoint.has_unacknowledged_ends() {
                 self.waiting_looks
-                    .push((w, until, (i, life, call, sent), order));
+                    .push((w, until, (i, incarnation, call, sent), order));
                 continue;
             }
-            let reply = Box::new(worker.poll_reply(now));
+            let reply = Box::new(endpoint.poll_reply(now));
             if !self.muted.contains(&w) && !self.isolated.contains(&w) {
                 self.schedule(
                     Span(TRANSIT_MICROS),
-                    Event::Reply(i, life, call, sent, reply),
+                    Event::Reply(i, incarnation, call, sent, reply),
                 );
             }
         }
@@ -788,26 +804,26 @@
 
     fn publish_roster(&mut self) {
         self.update_roster();
-        for i in 0..self.hosts.len() {
-            if !self.is_frozen(i) {
+        for i in 0..self.instances.len() {
+            if !self.is_suspended(i) {
                 self.feed(i, Input::RosterListed(self.roster.clone()));
             }
         }
     }
 
-    fn is_frozen(&self, i: usize) -> bool {
-        self.hosts[i].frozen_until > self.now
+    fn is_suspended(&self, i: usize) -> bool {
+        self.instances[i].suspended_until > self.now
     }
 
-    fn submit(&mut self, i: usize, job: JobId, tasks: u32, cpu: u64, takes: Span) {
-        let seen = CallerView {
+    fn submit(&mut self, i: usize, job: JobId, tasks: u32, cpu: u64, duration: Span) {
+        let view = CallerView {
             answer: None,
-            since: self.now,
-            at: self.now,
-            refused: true,
+            submitted_at: self.now,
+            answered_at: self.now,
+            only_refused: true,
         };
-        self.jobs.entry(job).or_insert(seen);
-        self.durations.insert(job, takes);
+        self.jobs.entry(job).or_insert(view);
+        self.durations.insert(job, duration);
         let need = Resources {
             cpu,
             memory: 64,
@@ -817,20 +833,20 @@
         for (step, index) in (0..steps).flat_map(|s| (0..tasks).map(move |i| (s, i))) {
             self.needs.insert(TaskId { job, step, index }, need);
         }
-        let up = |h: &Host| h.dispatcher.is_some();
-        let Some(i) = (0..self.hosts.len())
-            .map(|k| (i + k) % self.hosts.len())
-            .find(|k| up(&self.hosts[*k]) && !self.is_frozen(*k))
+        let up = |h: &SimulatedInstance| h.dispatcher.is_some();
+        let Some(i) = (0..self.instances.len())
+            .map(|k| (i + k) % self.instances.len())
+            .find(|k| up(&self.instances[*k]) && !self.is_suspended(*k))
         else {
             return;
         };
         self.tickets += 1;
         let ticket = Ticket(self.tickets);
-        self.hosts[i].tickets.insert(ticket, job);
+        self.instances[i].tickets.insert(ticket, job);
         let step = |n: u32| Step {
             count: tasks,
             need,
-            estimate: takes,
+            estimate: duration,
             after: (0..n).collect(),
             ..Step::default()
         };
@@ -855,62 +871,66 @@
 
     fn on_answer(&mut self, job: JobId, answer: Answer) {
         let now = self.now;
-        let Some(seen) = self.jobs.get_mut(&job) else {
+        let Some(view) = self.jobs.get_mut(&job) else {
             return;
         };
-        seen.answer = Some(answer);
-        seen.at = now;
+        view.answer = Some(answer);
+        view.answered_at = now;
         if self.stores_jobs && matches!(answer, Answer::GivenUp { .. }) {
-            seen.refused = false;
+            view.only_refused = false;
             self.resubmit(job);
             return;
         }
-        let Some(seen) = self.jobs.get_mut(&job) else {
+        let Some(view) = self.jobs.get_mut(&job) else {
             return;
         };
-        let refused = matches!(
+        let is_refusal = matches!(
             answer,
             Answer::Refused { .. } | Answer::NoRoute | Answer::Unready
         );
-        seen.refused &= refused;
+        view.only_refused &= is_refusal;
         if answer == Answer::Completed {
-            let of = |b: &&super::endpoint::RunRecord| b.task.job == job && b.done;
+            let is_done = |b: &&super::endpoint::RunRecord| b.task.job == job && b.done;
             let done: HashSet<u32> = self
-                .workers
+                .endpoints
                 .iter()
                 .flat_map(|w| &w.history)
-                .filter(of)
+                .filter(is_done)
                 .map(|b| b.task.index)
                 .collect();
             let tasks = self.needs.keys().filter(|t| t.job == job).count();
             assert_eq!(
                 done.len(),
                 tasks,
-                "{job} was answered as completed, but isn't"
+                "{job} was answered as completed, but not all of its tasks are done"
             );
         }
     }
 
     /// Kills an instance. Its callers see their connections break and retry elsewhere.
     fn kill(&mut self, i: usize, down: Span) {
-        if self.hosts[i].dispatcher.take().is_none() {
+        if self.instances[i].dispatcher.take().is_none() {
             return;
         }
-        self.hosts_up -= 1;
-        self.hosts[i].life += 1;
-        let mut jobs: Vec<JobId> = self.hosts[i].tickets.drain().map(|(_, job)| job).collect();
+        self.instances_up -= 1;
+        self.instances[i].incarnation += 1;
+        let mut jobs: Vec<JobId> = self.instances[i]
+            .tickets
+            .drain()
+            .map(|(_, job)| job)
+            .collect();
         jobs.sort_unstable();
         for job in jobs {
-            if let Some(seen) = self.jobs.get_mut(&job) {
+            if let Some(view) = self.jobs.get_mut(&job) {
                 // The caller can't know whether anything was run.
-                seen.refused = false;
+                view.only_refused = false;
             }
             self.resubmit(job);
         }
         self.schedule(down, Event::Start(i));
     }
 
-    /// Lets the caller of a job retry at a random instance.
+    /// Schedules the retry of a job's caller at a random instance.
     fn resubmit(&mut self, job: JobId) {
         let first = |t: &&TaskId| t.job == job && t.step == 0;
         let tasks = self.needs.keys().filter(first).count() as u32;
@@ -919,25 +939,26 @@
             step: 0,
             index: 0,
         };
-        let (cpu, takes) = (self.needs[&task].cpu, self.durations[&job]);
-        let at = self.random.random_range(0..self.hosts.len());
-        self.schedule(CALLER_RETRY, Event::Submit(at, job, tasks, cpu, takes));
+        let (cpu, duration) = (self.needs[&task].cpu, self.durations[&job]);
+        let at = self.random.random_range(0..self.instances.len());
+        self.schedule(CALLER_RETRY, Event::Submit(at, job, tasks, cpu, duration));
     }
 
     /// Returns whether a job was completed within its objective.
-    pub(crate) fn on_time(&self, job: JobId) -> bool {
-        let seen = self.jobs[&job];
+    pub(crate) fn is_on_time(&self, job: JobId) -> bool {
+        let view = self.jobs[&job];
         let objective =
             Span((self.durations[&job].0 as f64 * OBJECTIVE_STRETCH) as u64) + OBJECTIVE_TARGET;
-        seen.answer == Some(Answer::Completed) && seen.at.since(seen.since) <= objective
+        view.answer == Some(Answer::Completed)
+            && view.answered_at.since(view.submitted_at) <= objective
     }
 
     /// Returns the number of tasks of all jobs.
-    pub(crate) fn tasks(&self) -> usize {
+    pub(crate) fn task_count(&self) -> usize {
         self.needs.len()
     }
 
-    /// Stores jobs from now on.
+    /// Makes jobs that are submitted from now on stored jobs.
     pub(crate) fn store_jobs(&mut self) {
         self.stores_jobs = true;
     }
@@ -948,27 +969,27 @@
     }
 
     /// Runs to the end and checks stored jobs: all tasks of an accepted job are done unless it failed, and no task was started
-    /// again after its endpoint was told that the end is stored. Returns the number of accepted jobs.
+    /// again after its end was acknowledged to the endpoint. Returns the number of accepted jobs.
     pub(crate) fn finish_and_check_stored(&mut self) -> usize {
         self.finish_and_check();
         self.run(Span::seconds(20));
         let mut done: HashSet<TaskId> = HashSet::new();
-        let all = || self.workers.iter().flat_map(|w| &w.history);
-        for begun in all().filter(|b| b.done) {
-            done.insert(begun.task);
-            if begun.forgotten_early {
-                let again = all().find(|b| b.task == begun.task && Some(b.from) > begun.until);
+        let all = || self.endpoints.iter().flat_map(|w| &w.history);
+        for record in all().filter(|b| b.done) {
+            done.insert(record.task);
+            if record.forgotten_early {
+                let rerun = all().find(|b| b.task == record.task && Some(b.from) > record.until);
                 assert_eq!(
-                    again, None,
-                    "{begun:?} was noted, and the task started again"
+                    rerun, None,
+                    "{record:?} was acknowledged, and the task started again"
                 );
             }
         }
-        let accepted = |(_, seen): &(&JobId, &CallerView)| seen.answer == Some(Answer::Accepted);
+        let is_accepted = |(_, view): &(&JobId, &CallerView)| view.answer == Some(Answer::Accepted);
         let accepted: Vec<JobId> = self
             .jobs
             .iter()
-            .filter(accepted)
+            .filter(is_accepted)
             .map(|(id, _)| *id)
             .collect();
         for job in &accepted {
@@ -981,19 +1002,21 @@
                 continue;
             }
             let missing = tasks.find(|task| !done.contains(task));
-            assert_eq!(missing, None, "this task of an accepted job never ended");
+            assert_eq!(missing, None, "this task of an accepted job was never done");
         }
         accepted.len()
     }
 
     /// Checks that a stored job that crashes endpoints was accepted, and that a query now says that it failed.
     pub(crate) fn check_crashing_job_failed(&mut self, job: JobId) {
-        let accepted = self.jobs[&job].answer == Some(Answer::Accepted);
-        assert!(accepted, "{:?}", self.jobs[&job]);
+        let is_accepted = self.jobs[&job].answer == Some(Answer::Accepted);
+        assert!(is_accepted, "{job} wasn't accepted: {:?}", self.jobs[&job]);
         self.tickets += 1;
-        let (ticket, up) = (Ticket(self.tickets), |h: &Host| h.dispatcher.is_some());
-        let i = self.hosts.iter().position(up).unwrap();
-        self.hosts[i].tickets.insert(ticket, job);
+        let (ticket, up) = (Ticket(self.tickets), |h: &SimulatedInstance| {
+            h.dispatcher.is_some()
+        });
+        let i = self.instances.iter().position(up).unwrap();
+        self.instances[i].tickets.insert(ticket, job);
         let question = Question::State;
         self.feed(
             i,
@@ -1004,16 +1027,16 @@
             },
         );
         self.run(Span::seconds(3));
-        let standing = Answer::Standing(JobState::Failed);
-        assert_eq!(self.jobs[&job].answer, Some(standing));
+        let failed = Answer::Standing(JobState::Failed);
+        assert_eq!(self.jobs[&job].answer, Some(failed));
     }
 
     /// Checks that no task runs twice at the same time.
     fn check_no_double_runs(&self) {
         let mut running: HashMap<TaskId, &str> = HashMap::new();
-        for worker in self.workers.iter().filter(|w| w.up && !w.down) {
-            for task in worker.running.keys() {
-                let id = worker.listing.id.as_str();
+        for endpoint in self.endpoints.iter().filter(|w| w.up && !w.down) {
+            for task in endpoint.running.keys() {
+                let id = endpoint.listing.id.as_str();
                 if let Some(other) = running.insert(*task, id) {
                     panic!("{task} runs on {other} and on {id} at {}", self.now.0);
                 }
@@ -1024,11 +1047,11 @@
     /// Runs to the end and checks that no job was started whose every answer was a refusal.
     pub(crate) fn finish_and_check(&mut self) {
         self.run(Span::seconds(12));
-        for worker in &self.workers {
-            for begun in &worker.history {
-                let seen = self.jobs[&begun.task.job];
-                let told = seen.answer.is_some() && seen.refused;
-                assert!(!told, "{} ran, but its job was refused", begun.task);
+        for endpoint in &self.endpoints {
+            for record in &endpoint.history {
+                let view = self.jobs[&record.task.job];
+                let is_refused = view.answer.is_some() && view.only_refused;
+                assert!(!is_refused, "{} ran, but its job was refused", record.task);
             }
         }
     }
@@ -1036,12 +1059,12 @@
     /// Submits jobs at a constant rate to random instances.
     pub(crate) fn submit_jobs(&mut self, jobs: u64, every: Span) {
         for n in 0..jobs {
-            let i = self.random.random_range(0..self.hosts.len());
+            let i = self.random.random_range(0..self.instances.len());
             let tasks = self.random.random_range(1..6);
-            let takes = Span::millis([60, 200, 900][self.random.random_range(0..3)]);
+            let duration = Span::millis([60, 200, 900][self.random.random_range(0..3)]);
             let cpu = self.random.random_range(1_000..2_000);
             let job = JobId(0x1000 + self.jobs.len() as u64 * 100_000 + n);
-            self.schedule(every.times(n), Event::Submit(i, job, tasks, cpu, takes));
+            self.schedule(every.times(n), Event::Submit(i, job, tasks, cpu, duration));
         }
     }
 
@@ -1055,8 +1078,8 @@
         self.schedule(after + span, Event::IsolateEndpoint(w, false));
     }
 
-    pub(crate) fn freeze_at(&mut self, after: Span, i: usize, span: Span) {
-        self.schedule(after, Event::Freeze(i, span));
+    pub(crate) fn suspend_at(&mut self, after: Span, i: usize, span: Span) {
+        self.schedule(after, Event::Suspend(i, span));
     }
 
     pub(crate) fn partition_at(&mut self, after: Span, side: &[usize], span: Span) {
@@ -1077,12 +1100,12 @@
     }
 
     /// Runs the tasks of an endpoint at a fraction of their speed for a span. It answers calls as before.
-    pub(crate) fn slow_endpoint_at(&mut self, after: Span, w: usize, pace: f64, span: Span) {
-        self.schedule(after, Event::SlowEndpoint(w, pace));
+    pub(crate) fn slow_endpoint_at(&mut self, after: Span, w: usize, speed: f64, span: Span) {
+        self.schedule(after, Event::SlowEndpoint(w, speed));
         self.schedule(after + span, Event::SlowEndpoint(w, 1.0));
     }
 
-    /// Lets all runs on an endpoint fail at once for a span.
+    /// Makes all runs on an endpoint fail immediately for a span.
     pub(crate) fn fail_runs_at(&mut self, after: Span, w: usize, span: Span) {
         self.schedule(after, Event::FailRuns(w, true));
         self.schedule(after + span, Event::FailRuns(w, false));
@@ -1096,7 +1119,7 @@
         self.schedule(after, Event::Leave(w));
     }
 
-    /// Crashes an endpoint and restarts it under the same name after a span.
+    /// Crashes an endpoint and restarts it under the same name after `down`, with its clock at `ahead` milliseconds.
     pub(crate) fn crash_and_restart_at(&mut self, after: Span, w: usize, down: Span, ahead: u64) {
         self.schedule(after, Event::CrashAndRestart(w, down, ahead));
     }
@@ -1106,7 +1129,7 @@
         self.row_lag = lag;
     }
 
-    /// Lets endpoints that are down drop calls, as behind a firewall.
+    /// Makes endpoints that are down drop calls instead of refusing connections, as a firewall does.
     pub(crate) fn crash_silently(&mut self) {
         self.crashes_silently = true;
     }
@@ -1114,14 +1137,14 @@
     /// Submits a job whose first task crashes each endpoint that starts it.
     pub(crate) fn submit_crashing_job(&mut self, after: Span, job: JobId, tasks: u32) {
         self.crashing_jobs.insert(job);
-        let i = self.random.random_range(0..self.hosts.len());
-        let takes = Span::millis(200);
-        self.schedule(after, Event::Submit(i, job, tasks, 1_000, takes));
+        let i = self.random.random_range(0..self.instances.len());
+        let duration = Span::millis(200);
+        self.schedule(after, Event::Submit(i, job, tasks, 1_000, duration));
     }
 
     /// Changes an endpoint's capacity while it runs. The endpoint doesn't enforce it from then on.
     pub(crate) fn resize_at(&mut self, after: Span, w: usize, cpu: u64) {
-        self.workers[w].enforces_capacity = false;
+        self.endpoints[w].enforces_capacity = false;
         self.schedule(after, Event::Resize(w, cpu));
     }
 
@@ -1131,7 +1154,7 @@
         self.schedule(after + span, Event::Evacuate(centre.to_owned(), false));
     }
 
-    /// Keeps evacuations in the store from an instance for a span.
+    /// Withholds the store's evacuations from an instance for a span.
     pub(crate) fn deny_store_at(&mut self, after: Span, i: usize, span: Span) {
         self.schedule(after, Event::DenyStore(i, true));
         self.schedule(after + span, Event::DenyStore(i, false));
@@ -1139,8 +1162,8 @@
 
     /// Returns the number of starts in a data centre between two times.
     pub(crate) fn starts_in(&self, centre: &str, from: Time, until: Time) -> usize {
-        let here = self.workers.iter().filter(|w| w.listing.centre == centre);
-        let history = here.flat_map(|w| &w.history);
+        let endpoints = self.endpoints.iter().filter(|w| w.listing.centre == centre);
+        let history = endpoints.flat_map(|w| &w.history);
         history.filter(|b| b.from > from && b.from < until).count()
     }
 
@@ -1148,19 +1171,19 @@
         self.schedule(after, Event::Drain(i));
     }
 
-    pub(crate) fn racks_of(&self, i: usize) -> usize {
-        let dispatcher = self.hosts[i].dispatcher.as_ref();
+    pub(crate) fn rack_count(&self, i: usize) -> usize {
+        let dispatcher = self.instances[i].dispatcher.as_ref();
         dispatcher.map_or(0, |dispatcher| dispatcher.stats().racks)
     }
 
     pub(crate) fn count(&self, answer: impl Fn(&Answer) -> bool) -> usize {
-        let answers = self.jobs.values().filter_map(|seen| seen.answer.as_ref());
+        let answers = self.jobs.values().filter_map(|view| view.answer.as_ref());
         answers.filter(|a| answer(a)).count()
     }
 
     pub(crate) fn starts_on(&self, w: usize, after: Time) -> usize {
-        let history = &self.workers[w].history;
-        history.iter().filter(|begun| begun.from > after).count()
+        let history = &self.endpoints[w].history;
+        history.iter().filter(|record| record.from > after).count()
     }
 }
 
