--- a/tests/entry.rs
+++ b/tests/entry.rs
@@ -1,4 +1,5 @@
-//! The entry on its own: placement of tasks, and answers to callers whatever owners report.
+//! Unit tests of the entry: placement of tasks, and answers to callers when owners' reports are late, repeated or
+//! missing.
 
 use std::collections::HashMap;
 
@@ -175,10 +176,10 @@
     out.outputs.iter().filter_map(answer).collect()
 }
 
-/// A job must not be spread over many owners, since the slowest message to one of them would delay all of it. Tasks
-/// stay at the entry's own instance; those without room there go to one other owner.
+/// A job must not be spread over many owners, since the slowest message to one of them would delay it. Tasks that have
+/// no room at the entry's own instance go to one other owner.
 #[test]
-fn a_wide_job_stays_in_one_place() {
+fn a_job_goes_to_two_owners_at_most() {
     let mut idle = entry_with_racks(&[8; 28]);
     let batches = submit(&mut idle, 8);
     assert_eq!(batches.len(), 1, "{batches:?}");
@@ -189,10 +190,10 @@
     assert_eq!(sizes, [3, 5]);
 }
 
-/// Jobs that arrive between two heartbeats must not all go to the rack with the most free resources: they spread over
+/// Jobs that arrive between two heartbeats must not all go to the rack with the most free resources, but spread over
 /// all racks that have room for a whole job.
 #[test]
-fn jobs_draw_different_racks() {
+fn simultaneous_jobs_go_to_different_racks() {
     let mut used: HashMap<_, usize> = HashMap::new();
     for job in 0..40 {
         let mut entry = entry_with_racks(&[0, 8, 6, 6, 6, 6, 6, 6, 6, 6]);
@@ -201,14 +202,14 @@
         }
     }
     let most = used.values().max().copied().unwrap_or_default();
-    assert!(used.len() >= 8, "only {} racks", used.len());
-    assert!(most <= 40, "{most} of 160 tasks meet on one rack");
+    assert!(used.len() >= 8, "only {} racks got tasks", used.len());
+    assert!(most <= 40, "{most} of 160 tasks went to one rack");
 }
 
-/// An owner returns a task twice, and the batch that follows is reported done twice. The other task of the job hasn't
-/// ended, so the caller must not be told that the job is completed.
+/// An owner returns a task twice, and the batch that follows is reported as done twice. The other task of the job
+/// hasn't ended, so the job must not be answered as completed.
 #[test]
-fn task_told_done_twice_is_one_task() {
+fn task_reported_twice_counts_once() {
     let (mut entry, _) = entry_with_rack();
     let first = submit(&mut entry, 2).remove(0);
     let later = NOW + Span::millis(50);
@@ -218,10 +219,9 @@
     }
     entry.run_due(later, &mut out);
     let second = batches(&out);
-    assert_eq!(second.len(), 1, "the task is placed once");
-    let done = |batch: &Batch| batch.tasks.clone();
+    assert_eq!(second.len(), 1, "the task isn't placed once");
     for _ in 0..2 {
-        let tasks = done(&second[0]);
+        let tasks = second[0].tasks.clone();
         entry.on_batch_ended(
             second[0].serial,
             Outcome::Done,
@@ -236,7 +236,7 @@
     assert_eq!(answers(&out), [Answer::Completed]);
 }
 
-/// An owner gives up the only batch of a job before any start: the caller is told that nothing was run.
+/// An owner gives up the only batch of a job before any start. The caller must be told that nothing was run.
 #[test]
 fn hopeless_job_is_refused_when_nothing_started() {
     let (mut entry, _) = entry_with_rack();
@@ -253,7 +253,7 @@
     assert!(matches!(answers(&out)[..], [Answer::Refused { .. }]));
 }
 
-/// After a start was sent, the caller must not be told that nothing was run.
+/// An owner gives up the only batch of a job after a start was sent. The caller must not be told that nothing was run.
 #[test]
 fn hopeless_job_is_given_up_when_something_started() {
     let (mut entry, _) = entry_with_rack();
@@ -274,11 +274,14 @@
     assert!(matches!(answers(&out)[..], [Answer::GivenUp { .. }]));
     assert!(entry.is_empty());
     let is_cancel = |(_, message): &(Contact, Message)| matches!(message, Message::Cancel(_));
-    assert!(out.messages.iter().any(is_cancel), "its owner stops it");
+    assert!(
+        out.messages.iter().any(is_cancel),
+        "the owner gets no cancellation"
+    );
 }
 
 /// The message that returns a task is lost, and the owner reports the batch as done with the other task only. The
-/// returned task never ran: it must be placed again before the job counts as completed.
+/// returned task never ran, so it must be placed again before the job is answered as completed.
 #[test]
 fn report_counts_only_the_tasks_that_it_names() {
     let (mut entry, _) = entry_with_rack();
@@ -293,7 +296,7 @@
 }
 
 /// Submits a job of two batches of which one is hopeless, so that the job is given up. Returns the other batch, which
-/// its owner is asked to drop.
+/// is cancelled at its owner.
 fn give_up_job(entry: &mut Entry) -> Batch {
     let first = submit(entry, 2).remove(0);
     let mut out = Effects::default();
@@ -309,7 +312,11 @@
         NOW,
         &mut out,
     );
-    assert_eq!(answers(&out), [], "the first may have started");
+    assert_eq!(
+        answers(&out),
+        [],
+        "answered, though the first batch may have started"
+    );
     assert_eq!(cancels(&out), [("owner".to_owned(), first.serial)]);
     first
 }
@@ -323,10 +330,10 @@
     out.messages.iter().filter_map(cancel).collect()
 }
 
-/// An owner returns the tasks of a batch while its cancellation is on the way. The caller must be answered then: no
-/// other message about the batch follows.
+/// An owner returns the tasks of a batch while its cancellation is in transit. The caller must be answered then, since
+/// no other message about the batch follows.
 #[test]
-fn given_up_job_is_answered_when_its_tasks_come_back() {
+fn given_up_job_is_answered_when_its_tasks_are_returned() {
     let (mut entry, _) = entry_with_rack();
     let first = give_up_job(&mut entry);
     let mut out = Effects::default();
@@ -334,10 +341,10 @@
     assert!(matches!(answers(&out)[..], [Answer::Refused { .. }]));
 }
 
-/// A batch moves to another owner while its cancellation is on the way. The new owner is asked to drop it, but may not
-/// hold it yet and can't tell what was started: the caller must not be told that nothing was run.
+/// A batch moves to another owner while its cancellation is in transit. The new owner may not have it yet and can't
+/// tell what was started, so the caller must not be told that nothing was run.
 #[test]
-fn given_up_batch_that_moved_is_in_doubt() {
+fn job_with_a_moved_batch_is_given_up_rather_than_refused() {
     let (mut entry, _) = entry_with_rack();
     let first = give_up_job(&mut entry);
     let next: Instance = "next".parse().unwrap();
@@ -345,25 +352,29 @@
     entry.on_batch_moved(first.serial, next.clone(), 1, NOW, &mut out);
     assert_eq!(cancels(&out), [("next".to_owned(), first.serial)]);
     entry.on_unknown_batches(&"owner".parse().unwrap(), &[first.serial], NOW, &mut out);
-    assert_eq!(answers(&out), [], "it isn't the owner any more");
+    assert_eq!(
+        answers(&out),
+        [],
+        "answered by a message of the former owner"
+    );
     entry.on_unknown_batches(&next, &[first.serial], NOW, &mut out);
     assert!(matches!(answers(&out)[..], [Answer::GivenUp { .. }]));
 }
 
-/// A batch that its entry has removed moves to another owner. It's cancelled there, since its job was answered or its
+/// A batch that its entry has removed moves to another owner. It must be cancelled there: its job was answered, or its
 /// tasks are placed elsewhere and would run twice.
 #[test]
-fn batch_that_nobody_wants_is_dropped_where_it_moved() {
+fn removed_batch_is_cancelled_at_its_new_owner() {
     let (mut entry, _) = entry_with_rack();
     let mut out = Effects::default();
     entry.on_batch_moved(17, "next".parse().unwrap(), 1, NOW, &mut out);
     assert_eq!(cancels(&out), [("next".to_owned(), 17)]);
 }
 
-/// A batch moves twice, and the entry hears of it in the wrong order. The later move counts: an audit of the owner in
-/// between would take the batch for lost and place its tasks a second time.
+/// A batch moves twice, and the messages arrive in the wrong order. The later move decides: an audit of the first new
+/// owner would consider the batch lost and place its tasks a second time.
 #[test]
-fn later_move_counts() {
+fn latest_move_decides_the_owner() {
     let (mut entry, _) = entry_with_rack();
     let first = submit(&mut entry, 1).remove(0);
     let mut out = Effects::default();
@@ -408,8 +419,8 @@
     batches(&out).remove(0)
 }
 
-/// The failure of a run that a former coordinator placed arrives after the next coordinator has placed the task again.
-/// The new run goes on: placing the task once more would run it twice at the same time.
+/// The failure of a run that a former coordinator placed arrives after the next one has placed the task again. The
+/// entry must not place it once more, or it would run twice at the same time.
 #[test]
 fn failed_end_of_another_batch_places_nothing() {
     let task = TaskId {
@@ -423,10 +434,14 @@
         let mut out = Effects::default();
         entry.on_task_failed(task, other, NOW);
         entry.run_due(NOW + Span::seconds(3), &mut out);
-        assert_eq!(batches(&out).len(), 0, "its run goes on");
+        assert_eq!(batches(&out).len(), 0, "placed again while its run goes on");
     }
     let mut out = Effects::default();
     entry.on_task_failed(task, Some(batch.serial), NOW);
     entry.run_due(NOW, &mut out);
-    assert_eq!(batches(&out).len(), 1, "its own run failed");
+    assert_eq!(
+        batches(&out).len(),
+        1,
+        "not placed again after its own run failed"
+    );
 }
--- a/tests/inbox.rs
+++ b/tests/inbox.rs
@@ -27,10 +27,10 @@
     }
 }
 
-/// A peer that hasn't heard of the receiver's restart still sends high serial numbers to its former incarnation. The
-/// first envelopes to the new one must not be dropped as duplicates: their batches would be lost.
+/// A peer that doesn't know of the receiver's restart still sends high serial numbers to its former incarnation. The
+/// first envelopes to the new one must not be dropped as duplicates, or their batches would be lost.
 #[test]
-fn envelopes_for_a_former_life_hide_none() {
+fn envelopes_to_a_former_incarnation_hide_no_others() {
     let mut inbox = Inbox::new(OWN);
     assert!(!inbox.check_duplicate(&sender(FORMER, 0), 900));
     for serial in 1..5 {
@@ -43,7 +43,7 @@
 
 /// The same holds for envelopes that a peer sends before it knows any incarnation of the receiver.
 #[test]
-fn envelopes_for_no_life_hide_none() {
+fn envelopes_to_no_incarnation_hide_no_others() {
     let mut inbox = Inbox::new(OWN);
     assert!(!inbox.check_duplicate(&sender(0, 0), 7));
     assert!(inbox.check_duplicate(&sender(0, 0), 7));
@@ -51,9 +51,9 @@
     assert!(inbox.check_duplicate(&sender(0, 0), 7));
 }
 
-/// Retransmitted envelopes are dropped, and a new session counts from the first again.
+/// Retransmitted envelopes must be dropped, and the serial numbers of a new session start again.
 #[test]
-fn what_is_sent_again_counts_once() {
+fn retransmitted_envelopes_are_dropped() {
     let mut inbox = Inbox::new(OWN);
     assert!(!inbox.check_duplicate(&sender(OWN, 0), 1));
     assert!(!inbox.check_duplicate(&sender(OWN, 0), 2));
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -1,4 +1,4 @@
-//! When nobody reads an instance's log, lines are lost, and never requests.
+//! An instance whose log isn't read may lose log lines, but no requests.
 
 #[path = "platform/fleet.rs"]
 #[allow(dead_code)] // The platform's own tests use the rest.
@@ -58,11 +58,11 @@
 const STALL_DURATION: Duration = Duration::from_secs(15);
 const SUBMIT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Writes a program that runs the instance with its standard output write_redirecting_program.
-fn write_redirecting_program(folder: &TempDir, to: &str) -> Result<PathBuf> {
+/// Writes a program that runs the instance with the given shell redirection.
+fn write_redirecting_program(folder: &TempDir, redirection: &str) -> Result<PathBuf> {
     let path = folder.path().join("program");
     let real = env!("CARGO_BIN_EXE_poplarknot");
-    let script = format!("#!/usr/bin/env bash\nexec '{real}' \"$@\" {to}\n");
+    let script = format!("#!/usr/bin/env bash\nexec '{real}' \"$@\" {redirection}\n");
     fs::write(&path, script)?;
     fs::set_permissions(&path, fs::Permissions::from_mode(0o700))?;
     Ok(path)
@@ -70,8 +70,8 @@
 
 /// Creates a named pipe and fills it.
 fn create_full_pipe(path: &Path) -> Result<File> {
-    let made = std::process::Command::new("mkfifo").arg(path).status()?;
-    assert!(made.success());
+    let status = std::process::Command::new("mkfifo").arg(path).status()?;
+    assert!(status.success());
     let mut options = OpenOptions::new();
     options.read(true).write(true).custom_flags(O_NONBLOCK);
     let mut pipe = options.open(path)?;
@@ -104,11 +104,11 @@
     Ok(String::from_utf8(bytes)?)
 }
 
-/// Submits jobs one after the other for a time; asserts that all complete and returns their number.
+/// Submits jobs one after the other for a span and checks that all complete. Returns their number.
 async fn submit_jobs_for(fleet: &Fleet, span: Duration) -> Result<u64> {
-    let begun = Instant::now();
+    let start = Instant::now();
     let mut jobs = 0;
-    while begun.elapsed() < span {
+    while start.elapsed() < span {
         let answer = fleet.nodes[0].submit(0xf00 + jobs, 1, 20);
         let answer = timeout(WAIT_TIMEOUT, answer).await??;
         assert_eq!(answer.status, 200, "job {jobs}");
@@ -118,7 +118,7 @@
     Ok(jobs)
 }
 
-/// Returns how many lines of an event were written or left out.
+/// Returns how many log lines of an event were written or left out.
 async fn count_log_lines(fleet: &Fleet, event: &str) -> Result<u64> {
     let metrics = fleet.nodes[0].metrics().await?;
     let name = format!("poplarknot_events_total{{kind=\"{event}\"}} ");
@@ -126,8 +126,8 @@
     Ok(count.ok_or("no such counter")?.parse()?)
 }
 
-/// A reader that stalls until the log's queue is full delays no request. Once it reads again, it gets the oldest
-/// lines and the number of those left out.
+/// A reader that stalls until the log's queue is full must delay no request. Once it reads again, it gets the oldest
+/// lines and the number of lines that were left out.
 #[tokio::test(flavor = "multi_thread")]
 async fn full_pipe_loses_lines_and_no_requests() -> Result {
     let folder = tempfile::tempdir()?;
@@ -136,12 +136,12 @@
     let program = write_redirecting_program(&folder, &format!("1<>'{}'", path.display()))?;
     let mut fleet = Fleet::start(&program, 1, 1, TASK_DURATION).await?;
     let jobs = submit_jobs_for(&fleet, STALL_DURATION).await?;
-    assert!(jobs > 50, "only {jobs} jobs");
+    assert!(jobs > 50, "only {jobs} jobs completed");
     assert_eq!(count_log_lines(&fleet, "job_answered").await?, jobs);
 
     let mut log = String::new();
-    let begun = Instant::now();
-    while !log.contains("lines_left_out") && begun.elapsed() < STALL_DURATION {
+    let start = Instant::now();
+    while !log.contains("lines_left_out") && start.elapsed() < STALL_DURATION {
         log += &read_pipe(&mut pipe)?;
         // The number is logged with the first line of a later second.
         submit_jobs_for(&fleet, SUBMIT_INTERVAL).await?;
@@ -156,22 +156,22 @@
         (lines_of("job_answered").count() as u64) < count_log_lines(&fleet, "job_answered").await?
     );
 
-    // A pipe that is full again doesn't delay the drain.
+    // A full pipe must not delay the drain.
     fill_pipe(&mut pipe)?;
     fleet.nodes[0].signal(Signal::SIGTERM)?;
     assert!(fleet.nodes[0].wait_for_exit().await?.success());
     Ok(())
 }
 
-/// A reader that has closed the pipe makes each write fail. The instance runs on without a log, counts the lines, and
-/// exits as usual.
+/// A reader that has closed the pipe makes each write fail. The instance must run on without a log, count the lines,
+/// and exit as usual.
 #[tokio::test(flavor = "multi_thread")]
 async fn closed_pipe_loses_lines_and_no_requests() -> Result {
     let folder = tempfile::tempdir()?;
     let program = write_redirecting_program(&folder, "> >(exec true)")?;
     let mut fleet = Fleet::start(&program, 1, 1, TASK_DURATION).await?;
     let jobs = submit_jobs_for(&fleet, Duration::from_secs(2)).await?;
-    assert!(jobs > 5, "only {jobs} jobs");
+    assert!(jobs > 5, "only {jobs} jobs completed");
     wait_until("the jobs are counted", || async {
         let answered = count_log_lines(&fleet, "job_answered").await.ok()?;
         (answered == jobs).then_some(())
--- a/tests/owner.rs
+++ b/tests/owner.rs
@@ -1,4 +1,4 @@
-//! Safeguards of the owner and its endpoints, tested without a simulated cluster.
+//! Unit tests of the owner and its view of endpoints, without a simulated cluster.
 
 use poplarknot::{
     dispatch::{
@@ -101,13 +101,14 @@
     }
 }
 
-/// An owner of one rack with one endpoint.
+/// An owner of one rack, and the rack's ID.
 struct TestOwner {
     owner: Owner,
     rack: RackId,
 }
 
 impl TestOwner {
+    /// Returns an owner of a rack with one endpoint of `slots` cores, which has been polled once.
     fn new(slots: u64) -> Self {
         let own = contact("own");
         let mut owner = Owner::new(&own.name);
@@ -121,8 +122,7 @@
         test
     }
 
-    /// Returns an owner of one slot with a batch of a live entry, that entry's contact, and the rack's next
-    /// owner's.
+    /// Returns an owner of one slot with a batch of a live entry, and the contacts of the entry and of the next owner.
     fn with_batch(tasks: Vec<u32>) -> (Self, Contact, Contact) {
         let mut test = Self::new(1);
         let (entry, next) = (contact("entry"), contact("next"));
@@ -132,7 +132,7 @@
         (test, entry, next)
     }
 
-    /// Lets the owner do what is due, answers polls with empty lists and confirms all else. Returns the orders.
+    /// Processes due work, answers polls with empty lists and all other orders with success. Returns the orders.
     fn process_due(&mut self, now: Time) -> Vec<Order> {
         let mut orders = Vec::new();
         let mut out = Effects::default();
@@ -165,10 +165,10 @@
     orders.iter().filter(is_start).count()
 }
 
-/// A new owner must not extend the lease of a dead owner's run, nor start anything beside it: its caller submits
-/// the job elsewhere, and the task would run twice.
+/// A new owner must neither extend the lease of a dead owner's run nor accept tasks until the run has ended. Its caller
+/// submits the job elsewhere, and the task would run twice.
 #[test]
-fn unknown_runs_are_stopped_first() {
+fn unknown_runs_end_before_tasks_are_accepted() {
     let mut state = State::claim(listing(4), Token(5), START);
     let order = state.poll(CallId(1), START).unwrap();
     assert!(matches!(order, Order::Look { lease: None, .. }));
@@ -199,7 +199,7 @@
     assert!(state.accepts_tasks(later));
 }
 
-/// An endpoint that refuses connections does so at once. Without backoff it would be polled thousands of times a
+/// An endpoint that refuses connections does so immediately. Without backoff it would be polled thousands of times a
 /// second.
 #[test]
 fn failed_polls_back_off() {
@@ -230,7 +230,7 @@
     assert!(polls <= 4, "{polls} polls in 100 ms");
 }
 
-/// A batch may lie in a buffer while its entry gives the owner up and places the tasks elsewhere. They would run
+/// A batch may stay in a buffer while its entry declares the owner lost and places the tasks elsewhere. They would run
 /// twice if the owner didn't wait for the entry's heartbeat.
 #[test]
 fn tasks_of_silent_entries_do_not_start() {
@@ -244,8 +244,8 @@
     assert_eq!(starts(&test.process_due(START)), 2);
 }
 
-/// One task of a batch is done, and the other is returned for another rack. Without a report of the first, the
-/// caller would wait until its deadline.
+/// One task of a batch is done, and the other is returned for another rack. Without a report of the first, the caller
+/// would wait until its deadline.
 #[test]
 fn finished_part_of_a_batch_is_reported() {
     let mut test = TestOwner::new(1);
@@ -293,19 +293,20 @@
     };
     test.owner
         .reassign_waiting(test.rack, to, vec![room], &mut out);
-    let returned = |l: &Message| matches!(l, Message::Returned { tasks, .. } if tasks == &[1]);
-    assert!(out.messages.iter().any(|(_, message)| returned(message)));
-    let done = |l: &Message| {
-        let Message::Report { outcome, .. } = l else {
+    let is_return =
+        |message: &Message| matches!(message, Message::Returned { tasks, .. } if tasks == &[1]);
+    assert!(out.messages.iter().any(|(_, message)| is_return(message)));
+    let is_report = |message: &Message| {
+        let Message::Report { outcome, .. } = message else {
             return false;
         };
         *outcome == Outcome::Done
     };
-    assert!(out.messages.iter().any(|(_, message)| done(message)));
+    assert!(out.messages.iter().any(|(_, message)| is_report(message)));
 }
 
-/// An entry cancels a batch while its rack is in transit between owners. If either owner reported that nothing
-/// was started, the caller would be told so although a task ran. The new owner must stop the task.
+/// An entry cancels a batch while its rack is in transit between owners. Neither owner may report that nothing was
+/// started, since a task runs, and the new owner must stop that task.
 #[test]
 fn cancelled_batch_in_transit_is_reported_unknown() {
     let (mut test, entry, next) = TestOwner::with_batch(vec![0]);
@@ -325,20 +326,20 @@
     let mut out = Effects::default();
     let token = Token::new(Epoch(2), 2);
     receiver.take_over(handover.unwrap(), token, &[listing(1)], START, &mut out);
-    let stop = |output: &Output| {
+    let is_stop = |output: &Output| {
         let Output::Call { order, .. } = output else {
             return false;
         };
         matches!(order, Order::Stop { .. })
     };
-    assert!(out.outputs.iter().any(stop), "{:?}", out.outputs);
+    assert!(out.outputs.iter().any(is_stop), "{:?}", out.outputs);
     assert!(receiver.is_idle());
 }
 
-/// A new owner drops a batch of an entry that began a new session. A task that is done would run again if it
-/// weren't reported.
+/// A new owner drops a batch of an entry that began a new session. It must report the tasks that are done, or they
+/// would run again.
 #[test]
-fn unwanted_batch_reports_finished_tasks() {
+fn dropped_batch_reports_finished_tasks() {
     let (mut test, entry, next) = TestOwner::with_batch(vec![1]);
     let mut out = Effects::default();
     let handover = test.owner.hand_over(test.rack, &next, START, &mut out);
@@ -350,14 +351,14 @@
     let token = Token::new(Epoch(2), 2);
     let mut out = Effects::default();
     receiver.take_over(handover, token, &[listing(1)], START, &mut out);
-    let reported = |(_, message): &(Contact, Message)| matches!(message, Message::Report { done, .. } if done == &[0]);
-    assert!(out.messages.iter().any(reported), "{:?}", out.messages);
+    let is_report = |(_, message): &(Contact, Message)| matches!(message, Message::Report { done, .. } if done == &[0]);
+    assert!(out.messages.iter().any(is_report), "{:?}", out.messages);
 }
 
-/// A task is returned, then the rack is handed over, and the other task of the batch ends. A report that named
-/// both would count the returned one as done.
+/// A task is returned, then the rack is handed over, and the other task of the batch ends. A report that names both
+/// would count the returned one as done.
 #[test]
-fn report_after_a_handover_names_what_ended() {
+fn report_after_a_handover_names_only_ended_tasks() {
     let (mut test, entry, next) = TestOwner::with_batch(vec![0, 1]);
     let mut out = Effects::default();
     assert_eq!(starts(&test.process_due(START)), 1);
@@ -402,10 +403,10 @@
     assert_eq!(reported, Some((Outcome::Done, vec![0])));
 }
 
-/// After a pause of three seconds other instances own the racks. An instance that went on would fight over them
-/// with old messages.
+/// While an instance is suspended for three seconds, others claim its racks. After it resumes it must drop them, or it
+/// would send orders for racks that others own.
 #[test]
-fn pause_drops_racks() {
+fn resumed_instance_drops_its_racks() {
     let identity = Identity {
         contact: contact("own"),
         centre: "a".to_owned(),
@@ -431,10 +432,10 @@
     assert!(!outputs.iter().any(|o| matches!(o, Output::Call { .. })));
 }
 
-/// A rack that fills up or has space again must be told at once. Other instances would queue tasks at the full
+/// A rack that becomes full or has space again must be reported at once. Other instances would queue tasks at the full
 /// rack, or leave the free one idle.
 #[test]
-fn full_racks_are_reported_at_once() {
+fn changes_of_free_space_are_reported_at_once() {
     let mut test = TestOwner::new(1);
     let own = contact("own");
     let mut out = Effects::default();
@@ -442,9 +443,15 @@
     assert!(!test.owner.has_space_changes(START));
     test.owner.accept(&own, batch(1, vec![0]), START, &mut out);
     assert_eq!(starts(&test.process_due(START)), 1);
-    assert!(test.owner.has_space_changes(START), "it has filled up");
+    assert!(
+        test.owner.has_space_changes(START),
+        "the rack is full, but isn't reported"
+    );
     assert!(test.owner.take_room_updates(false, START)[0].free[0].cpu == 0);
-    assert!(!test.owner.has_space_changes(START), "the update is sent");
+    assert!(
+        !test.owner.has_space_changes(START),
+        "an update is reported twice"
+    );
     let mut out = Effects::default();
     test.owner.cancel(&own, 1, START, &mut out);
     let stopped = START + Span::millis(1);
@@ -466,17 +473,20 @@
     }
     let later = stopped + Span::millis(130);
     test.process_due(later);
-    assert!(test.owner.has_space_changes(later), "it has space again");
+    assert!(
+        test.owner.has_space_changes(later),
+        "the rack has space again, but isn't reported"
+    );
 }
 
-/// A rack whose only queued task is too large for the free room must still ask for smaller tasks of other racks,
-/// or the room stays unused.
+/// A rack whose only queued task is too large for its free room must still ask for smaller tasks of other racks, or the
+/// room stays unused.
 #[test]
-fn room_that_is_too_small_for_what_waits_is_offered() {
+fn room_too_small_for_queued_tasks_is_offered() {
     let mut test = TestOwner::new(4);
     let own = contact("own");
     let mut out = Effects::default();
-    let wide = |serial: u64, cpu: u64| Batch {
+    let batch_of = |serial: u64, cpu: u64| Batch {
         need: Resources {
             cpu,
             memory: 1,
@@ -484,16 +494,19 @@
         },
         ..batch(serial, vec![0])
     };
-    test.owner.accept(&own, wide(1, 2_500), START, &mut out);
-    test.owner.accept(&own, wide(2, 3_000), START, &mut out);
+    test.owner.accept(&own, batch_of(1, 2_500), START, &mut out);
+    test.owner.accept(&own, batch_of(2, 3_000), START, &mut out);
     assert_eq!(starts(&test.process_due(START)), 1);
     let spacious = test.owner.racks_with_space(START);
-    assert_eq!(spacious.len(), 1, "it asks for what others have waiting");
+    assert_eq!(
+        spacious.len(),
+        1,
+        "the rack doesn't ask for tasks of other racks"
+    );
     assert_eq!(spacious[0].1[0].cpu, 1_500);
 }
 
-/// A pause of an endpoint ends without any event. A queued task must start within the review interval all the
-/// same.
+/// A pause of an endpoint ends without any event. A queued task must start within the review interval nevertheless.
 #[test]
 fn waiting_task_starts_when_a_pause_ends() {
     let mut test = TestOwner::new(1);
@@ -516,14 +529,14 @@
         at = at + Span::millis(1);
         first = (starts(&test.process_due(at)) > 0).then_some(at);
     }
-    let first = first.expect("the task starts");
+    let first = first.expect("the task started");
     assert!(first >= pause_end && first <= pause_end + Span::millis(10));
 }
 
-/// A task fails on one of two endpoints, and the other one drains. It must run again where it failed, or it would
-/// wait until its caller's deadline.
+/// A task fails on one of two endpoints, and the other one drains. It must run again where it failed, or it would wait
+/// until its caller's deadline.
 #[test]
-fn failed_task_runs_again_where_nothing_else_can_run_it() {
+fn failed_task_runs_again_on_the_only_open_endpoint() {
     let mut test = TestOwner::new(4);
     let own = contact("own");
     let leaving = Listing {
--- a/tests/roster.rs
+++ b/tests/roster.rs
@@ -1,4 +1,4 @@
-//! The cached list of endpoints over outages of the store, in which rows expire while their endpoints are alive.
+//! The cached list of endpoints during outages of the store, when rows expire though their endpoints are alive.
 
 use poplarknot::{
     dispatch::{
@@ -47,7 +47,7 @@
 /// The grace period must start with the first answer after an outage. Counted from the last failed call it would end before
 /// endpoints have written their rows again.
 #[test]
-fn entries_have_their_time_from_the_return_on() {
+fn grace_period_starts_with_the_first_answer_after_an_outage() {
     let mut cache = cache(&["i-1", "i-2"]);
     cache.on_store_failure();
     cache.on_store_answer(at(1_000));
@@ -67,15 +67,15 @@
 /// An instance starts during an outage and gets the list from its peers. Entries that are missing when the store is back must get
 /// the grace period too, and be dropped only after it.
 #[test]
-fn an_instance_that_starts_in_an_outage_keeps_what_peers_told() {
+fn entries_from_peers_get_the_grace_period() {
     let mut cache = Cache::default();
     cache.on_store_failure();
-    let told = Roster {
+    let peer_roster = Roster {
         version: 3,
         endpoints: vec![listing("i-1"), listing("i-2")],
     };
     cache.on_store_answer(at(500));
-    cache.merge_peer_roster(&told);
+    cache.merge_peer_roster(&peer_roster);
     cache.replace_all(vec![(listing("i-1"), 5)], at(500));
     let roster = cache.take_changed(at(500));
     assert!(roster.is_none_or(|r| names(&r) == ["i-1", "i-2"]));
@@ -86,7 +86,7 @@
 
 /// Without an outage an endpoint whose entry is missing must be dropped at once.
 #[test]
-fn vanished_entries_are_gone_at_once_in_quiet_times() {
+fn missing_entries_are_dropped_at_once_without_an_outage() {
     let mut cache = cache(&["i-1", "i-2"]);
     cache.on_store_answer(at(9_000));
     cache.replace_all(vec![(listing("i-1"), 1)], at(9_000));
