--- a/tests/fleet/configuration.rs
+++ b/tests/fleet/configuration.rs
@@ -54,8 +54,8 @@
     postcard::to_stdvec(configuration).unwrap().len()
 }
 
-/// When many peers find at once that an instance has an old configuration, they must not all send it the new one: that
-/// fills a slow link with copies. An instance receives less than one and a half copies, in bounded messages.
+/// When many peers notice at once that an instance has an old configuration, they must not all send it the new one, or copies
+/// would fill a slow link.
 #[test]
 fn a_large_configuration_is_received_once() {
     let mut fleet = Fleet::new(34, 1);
@@ -75,15 +75,15 @@
     }
     assert!(
         fleet.largest_message <= MAX_MESSAGE_BYTES,
-        "a message of {} bytes",
+        "a message has {} bytes",
         fleet.largest_message
     );
 }
 
-/// An instance that asks silent peers, whose heartbeats alone arrive, must go on to others. A newer configuration that
-/// replaces the one it is reading is read from the start, and its version never falls.
+/// An instance that asks peers of which only heartbeats arrive must go on to others. A newer configuration that replaces the one
+/// that is being read must be read from the start.
 #[test]
-fn silent_peers_are_passed_over() {
+fn silent_peers_are_skipped() {
     let mut fleet = Fleet::new(12, 1);
     for i in 1..12 {
         fleet.feed(i, Input::Configured(Box::new(configuration(7))));
--- a/tests/fleet/readers.rs
+++ b/tests/fleet/readers.rs
@@ -77,7 +77,7 @@
 
 /// Two instances of each data centre read the roster. If all did, reads would fill slow links and delay callers' jobs.
 #[test]
-fn two_instances_of_a_data_centre_read() {
+fn two_instances_of_each_data_centre_read_the_roster() {
     let fleet = start_fleet();
     assert_eq!(readers(&fleet).len(), 2 * CENTRE_COUNT);
     for centre in 0..CENTRE_COUNT {
@@ -88,8 +88,8 @@
     }
 }
 
-/// All instances learn within one read interval that endpoints are draining. They receive the changes alone: the whole
-/// roster would occupy a slow link each time.
+/// All instances must learn within one read interval that endpoints are draining. They must receive the changes alone, since the
+/// whole roster would occupy a slow link each time.
 #[test]
 fn roster_changes_reach_all_instances() {
     let mut fleet = start_fleet();
@@ -112,10 +112,10 @@
     }
 }
 
-/// When all readers die or the store refuses them, others must take over within two seconds. Otherwise draining endpoints
-/// would go on getting new tasks.
+/// When all readers die or the store refuses them, others must take over within two seconds, or draining endpoints would go on
+/// getting new tasks.
 #[test]
-fn others_read_when_a_reader_fails() {
+fn others_read_when_all_readers_fail() {
     for is_dead in [false, true] {
         let mut fleet = start_fleet();
         let former = readers(&fleet);
@@ -126,19 +126,19 @@
         for i in (0..INSTANCE_COUNT).filter(|i| !former.contains(i)) {
             let received = fleet.dispatchers[i].roster();
             let count = received.endpoints.iter().filter(|l| l.draining).count();
-            assert_eq!(count, 20, "instance {i}, dead {is_dead}");
+            assert_eq!(count, 20, "instance {i}, readers dead: {is_dead}");
         }
         let reading = readers(&fleet);
         let new_readers = reading.iter().filter(|i| !former.contains(i)).count();
         assert!(
             new_readers <= 3 * CENTRE_COUNT,
-            "{new_readers} new readers, dead {is_dead}"
+            "{new_readers} new readers, readers dead: {is_dead}"
         );
     }
 }
 
-/// A change applies only to a roster that is at least as new as its base and not newer than its result: otherwise a lost
-/// change leaves a gap, or an old change reverts the roster.
+/// A change applies only to a roster that is at least as new as its base and not newer than its result. Otherwise a lost change
+/// would leave a gap, or an old change would revert the roster.
 #[test]
 fn changes_apply_in_order() {
     let versions: Vec<Roster> = (1..5).map(|v| roster(v, v as usize)).collect();
--- a/tests/fleet/watch.rs
+++ b/tests/fleet/watch.rs
@@ -32,7 +32,7 @@
     fleet.run(Span::seconds(3));
     assert_eq!(
         fleet.members_lost, 0,
-        "{count} instances: a living one was declared lost"
+        "{count} instances: a live one was declared lost"
     );
     let total = |of: fn(&Traffic) -> usize| fleet.traffic.iter().map(of).sum::<usize>();
     let mean = |sum: usize| sum / count / 3;
@@ -42,22 +42,25 @@
     )
 }
 
-/// Heartbeats from every instance to every other at the full rate would use up the processor of a weak machine in a large
-/// fleet. At five times as many instances, each may send at most a third more.
+/// Heartbeats from every instance to every other at the full rate would use up a weak machine's processor in a large fleet. With
+/// five times as many instances, each may send at most a third more.
 #[test]
-fn heartbeats_do_not_grow_with_the_fleet() {
+fn heartbeat_rate_does_not_grow_with_the_fleet() {
     let (small, small_bytes) = heartbeat_rate(30);
     let (large, large_bytes) = heartbeat_rate(147);
-    assert!(large * 3 <= small * 4, "{large} at 147, {small} at 30");
+    assert!(
+        large * 3 <= small * 4,
+        "{large} heartbeats a second at 147 instances, {small} at 30"
+    );
     assert!(
         large_bytes * 3 <= small_bytes * 4,
-        "{large_bytes} bytes at 147, {small_bytes} at 30"
+        "{large_bytes} bytes a second at 147 instances, {small_bytes} at 30"
     );
 }
 
-/// In a fleet of a thousand, each instance sends at most three and a half times as many heartbeats as in one of thirty.
+/// In a fleet of a thousand, each instance may send at most three and a half times as many heartbeats as in one of thirty.
 #[test]
-fn a_thousand_instances_are_watched_at_a_bounded_rate() {
+fn heartbeat_rate_is_bounded_at_a_thousand_instances() {
     let now = Time(10_000_000);
     let own: Instance = "own".parse().unwrap();
     let mut members = Members::new(&own, "centre-0");
@@ -93,8 +96,8 @@
     }
 }
 
-/// Members of a failed instance's data centre take over its racks, so they must detect the failure within 0.7 s. All others
-/// detect it some seconds later, and nobody declares a living instance lost.
+/// Members of a failed instance's data centre take over its racks, so they must detect the failure within 0.7 s. All others must
+/// detect it within seconds, and no live instance may be declared lost.
 #[test]
 fn a_failure_is_detected_first_in_its_data_centre() {
     let mut fleet = Fleet::new(INSTANCE_COUNT, CENTRE_COUNT);
@@ -123,8 +126,8 @@
     );
 }
 
-/// While a data centre is partitioned from the others, members of the same side must not declare each other lost. All are
-/// members again within three seconds of its end.
+/// While a data centre is partitioned from the others, members of the same side must not declare each other lost. All must be
+/// members again three seconds after the partition.
 #[test]
 fn a_partition_loses_only_members_across_it() {
     let mut fleet = Fleet::new(INSTANCE_COUNT, CENTRE_COUNT);
@@ -155,7 +158,7 @@
     }
 }
 
-/// Heartbeats to all members in one burst would hold up other traffic on a slow link. Infrequent heartbeats are spread over
+/// Heartbeats to all members in one burst would delay other traffic on a slow link. Infrequent heartbeats must be spread over
 /// their interval.
 #[test]
 fn heartbeats_to_distant_members_are_spread_out() {
--- a/tests/fleet/world.rs
+++ b/tests/fleet/world.rs
@@ -49,7 +49,7 @@
     pub traffic: Vec<Traffic>,
     /// The largest message, in bytes.
     pub largest_message: usize,
-    /// Instances whose messages are lost, apart from heartbeats.
+    /// Instances whose messages are lost, except heartbeats.
     pub mute: Vec<usize>,
     /// Instances that have crashed.
     pub dead: BTreeSet<usize>,
@@ -170,30 +170,30 @@
 
     fn send(&mut self, i: usize, to: &Contact, message: Message) {
         let size = postcard::to_stdvec(&message).unwrap().len();
-        let at = self.index(&to.name);
-        self.traffic[at].messages += 1;
-        self.traffic[at].bytes += size;
-        self.traffic[at].changes += usize::from(matches!(message, Message::RosterChange(_)));
+        let receiver = self.index(&to.name);
+        self.traffic[receiver].messages += 1;
+        self.traffic[receiver].bytes += size;
+        self.traffic[receiver].changes += usize::from(matches!(message, Message::RosterChange(_)));
         self.largest_message = self.largest_message.max(size);
         if self.mute.contains(&i) {
             return;
         }
         let from = self.sender(i, &to.name);
         let messages = vec![message];
-        self.deliver_later(i, at, Input::Received { from, messages });
+        self.deliver_later(i, receiver, Input::Received { from, messages });
     }
 
     fn send_heartbeat(&mut self, i: usize, to: &Contact, heartbeat: Heartbeat) {
-        let at = self.index(&to.name);
+        let receiver = self.index(&to.name);
         let from = self.sender(i, &to.name);
         let size = postcard::to_stdvec(&(&from, &heartbeat)).unwrap().len();
         self.traffic[i].heartbeats += 1;
         self.traffic[i].heartbeat_bytes += size;
         self.heartbeats_in_tick[i] += 1;
-        self.deliver_later(i, at, Input::Heartbeats(vec![(from, heartbeat)]));
+        self.deliver_later(i, receiver, Input::Heartbeats(vec![(from, heartbeat)]));
     }
 
-    /// Queues an input for the next tick, unless the partition separates the two instances.
+    /// Queues an input for the next tick. Drops it if the partition separates the two instances.
     fn deliver_later(&mut self, i: usize, to: usize, input: Input) {
         if self.partition.contains(&i) == self.partition.contains(&to) {
             self.pending.push((to, input));
