--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -84,8 +84,8 @@
 /// Numbers of instances: of a small deployment, of a large one, and beyond that.
 const INSTANCES: [usize; 3] = [7, 320, 1_000];
 
-/// Data centres of a large deployment.
-const CENTRES: usize = 17;
+/// The number of data centres in a large deployment.
+const CENTRE_COUNT: usize = 17;
 
 /// Outstanding tasks for each endpoint while a placement is timed.
 const OUTSTANDING_PER_ENDPOINT: usize = 4;
@@ -150,7 +150,7 @@
     }
     let count = ENDPOINTS[2];
     let mut placement = Placement::new(parse_name("elsewhere"), 16, 1);
-    placement.apply_list(&worker_list(count, CENTRES), 7);
+    placement.apply_list(&worker_list(count, CENTRE_COUNT), 7);
     group.bench_function("place and end, all spilt to 17 data centres", |bench| {
         bench_place_and_end(bench, &mut placement, count);
     });
@@ -260,13 +260,13 @@
     group.finish();
 }
 
-/// Times a heartbeat period with the replies of all peers asked, and the application of an unchanged list.
+/// Times a heartbeat period with the replies of all peers that get a heartbeat, and the application of an unchanged list.
 fn bench_membership(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("membership");
     for count in INSTANCES {
         let member = |number: usize| Member {
             name: parse_name(format!("entry-{number}")),
-            centre: parse_name(format!("centre-{}", number % CENTRES)),
+            centre: parse_name(format!("centre-{}", number % CENTRE_COUNT)),
             address: format!("10.0.1.1:{number}"),
             state: State::Live,
         };
@@ -307,8 +307,8 @@
     group.finish();
 }
 
-/// Routes of a large configuration.
-const ROUTES: usize = 1_500;
+/// The number of routes in a large configuration.
+const ROUTE_COUNT: usize = 1_500;
 
 /// Times a period in which every peer sends one heartbeat and lacks the large configuration that the dispatcher has.
 fn bench_documents(criterion: &mut Criterion) {
@@ -329,7 +329,7 @@
                                 sent,
                                 ..from.clone()
                             },
-                            lagging_heartbeat(),
+                            heartbeat_without_configuration(),
                         )
                     });
                     black_box(dispatcher.step(now, Input::Heartbeats(heartbeats.collect())));
@@ -341,7 +341,7 @@
     group.finish();
 }
 
-/// Returns a dispatcher with a configuration of [`ROUTES`] routes.
+/// Returns a dispatcher with a configuration of [`ROUTE_COUNT`] routes.
 fn configured_dispatcher(now: Time) -> Dispatcher {
     let identity = Identity {
         contact: sender(0).contact,
@@ -360,14 +360,14 @@
     };
     let configuration = Configuration {
         version: 7,
-        routes: (0..ROUTES).map(route).collect(),
+        routes: (0..ROUTE_COUNT).map(route).collect(),
         ..Configuration::default()
     };
     dispatcher.step(now, Input::Configured(Box::new(configuration)));
     dispatcher
 }
 
-/// Returns the sender of a heartbeat, the instance of this number.
+/// Returns the sender of a heartbeat from the instance of the given number.
 fn sender(number: usize) -> Sender {
     Sender {
         contact: Contact {
@@ -383,7 +383,7 @@
 }
 
 /// Returns a heartbeat of an instance that has no configuration yet.
-fn lagging_heartbeat() -> DispatchHeartbeat {
+fn heartbeat_without_configuration() -> DispatchHeartbeat {
     DispatchHeartbeat {
         watching: true,
         status: Status {
@@ -439,7 +439,7 @@
     owner
 }
 
-/// Processes what is due, and replies to the calls of endpoints that come of it as on success.
+/// Processes due work, and answers the resulting calls to endpoints with success.
 fn reply_to_calls(owner: &mut Owner, now: Time) {
     let clock = now.0 / 1_000;
     let mut out = Effects::default();
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -25,9 +25,9 @@
 }
 
 quickcheck! {
-    /// A refused job leaves the usage as it was, an admitted one counts in full, no limit is exceeded, and releases
+    /// A refused job must not change the usage, an admitted one counts in full, no limit is exceeded, and releases
     /// bring the usage back to zero.
-    fn counts_whole_jobs_or_nothing(steps: Vec<(u8, u8, u16, bool)>) -> bool {
+    fn usage_counts_admitted_jobs_only(steps: Vec<(u8, u8, u16, bool)>) -> bool {
         let limits = limits();
         let mut admission = Admission::new(&limits, 3);
         let teams: Vec<Team> = (0..3).map(|team| name(format!("team-{team}"))).collect();
@@ -49,12 +49,12 @@
                 Err(_) => return false,
             }
             let usage = admission.usage();
-            let held: usize = admitted.iter().map(|(_, tasks, _)| *tasks as usize).sum();
+            let admitted_tasks: usize = admitted.iter().map(|(_, tasks, _)| *tasks as usize).sum();
             let is_within_limits = usage.jobs <= limits.jobs
                 && usage.bytes <= limits.job_bytes
                 && usage.tasks <= limits.waiting_tasks
                 && admission.team_usage(&teams[0]).tasks <= 100;
-            if !is_within_limits || usage.tasks != held || usage.jobs != admitted.len() {
+            if !is_within_limits || usage.tasks != admitted_tasks || usage.jobs != admitted.len() {
                 return false;
             }
         }
@@ -66,10 +66,10 @@
 }
 
 #[test]
-fn a_flood_leaves_room_for_others() {
-    // Guards against one team's burst that fills the instance, so that other teams' small jobs are refused as busy.
+fn a_burst_leaves_room_for_other_teams() {
+    // Guards against a burst of one team that fills the instance, so that small jobs of other teams are refused.
     let mut admission = Admission::new(&limits(), 3);
-    let burst = name("flood");
+    let burst = name("burst");
     let jobs = (0..100)
         .filter(|_| {
             admission
@@ -77,7 +77,10 @@
                 .is_ok()
         })
         .count();
-    assert!(jobs >= 10, "only {jobs} jobs of a team that was alone");
+    assert!(
+        jobs >= 10,
+        "only {jobs} jobs of a single team were admitted"
+    );
     for team in 0..3 {
         let team = name(format!("team-{team}"));
         let admitted = admission.admit(Time(0), &demand(&team, 2, Span::millis(50)));
@@ -86,9 +89,9 @@
 }
 
 #[test]
-fn refuses_at_once_what_would_come_late() {
-    // Guards against jobs that are admitted although the work ahead of them makes them miss their deadline. They are
-    // refused at once with a delay for the retry; another team's job waits for its fair share only and is admitted.
+fn refuses_jobs_that_would_miss_their_deadline() {
+    // Guards against the admission of jobs that miss their deadline because of the work ahead of them. They must be
+    // refused with a retry delay; a job of another team waits for its fair share only and must be admitted.
     let mut admission = Admission::new(&Limits::default(), 3);
     let (busy, other) = (name("busy"), name("other"));
     let refusal = (0..100)
@@ -112,8 +115,8 @@
 }
 
 #[test]
-fn learns_that_declarations_are_too_short() {
-    // Guards against missed deadlines when tasks are declared at a tenth of their run time: the actual ratio has to be
+fn learns_the_ratio_of_actual_to_declared_run_times() {
+    // Guards against missed deadlines when the declared run time is a tenth of the actual one. The ratio must be
     // learned and applied.
     let mut admission = Admission::new(&Limits::default(), 3);
     for _ in 0..1_000 {
@@ -134,14 +137,14 @@
         .count();
     assert!(
         (5..=10).contains(&admitted),
-        "{admitted} jobs of 10 s each on 8 slots"
+        "{admitted} jobs of 10 s each were admitted on 8 slots"
     );
 }
 
 #[test]
-fn retries_are_spread() {
-    // Guards against retries that come all at once and are refused together again: the delays of 200 refused jobs have
-    // to be spread over the allowed range.
+fn retry_delays_are_spread() {
+    // Guards against retries that arrive all at once and are refused again. The delays of 200 refused jobs must be
+    // spread over the allowed range.
     let mut admission = Admission::new(&Limits::default(), 3);
     let team = name("busy");
     while admission
@@ -153,17 +156,17 @@
         let refusal = admission
             .admit(Time(0), &demand(&team, 20, Span::millis(500)))
             .expect_err("no room");
-        let retry = refusal.retry_after.expect("a time to come back");
-        seconds[usize::try_from(retry.0 / 1_000_000).expect("a short time")] += 1;
+        let retry = refusal.retry_after.expect("a retry delay");
+        seconds[usize::try_from(retry.0 / 1_000_000).expect("a short delay")] += 1;
     }
     let most = seconds.iter().max().expect("seconds");
-    assert!(*most <= 30, "returns by second: {seconds:?}");
+    assert!(*most <= 30, "retries in each second: {seconds:?}");
 }
 
 #[test]
 fn only_jobs_that_can_be_admitted_later_get_a_retry_delay() {
-    // Guards against endless retries of a job that can never be admitted: too large, or far longer than its deadline.
-    // It gets no delay for a retry; a job over its quota, or without slots for now, gets one.
+    // Guards against endless retries of a job that can never be admitted: it's too large, or far longer than its
+    // deadline. It must get no retry delay; a job over its quota, or without slots for now, must get one.
     let mut admission = Admission::new(&limits(), 3);
     let team = name("large");
     let large = admission
--- a/tests/policy/health.rs
+++ b/tests/policy/health.rs
@@ -28,16 +28,16 @@
 }
 
 quickcheck! {
-    /// Failures of a single job never eject an endpoint, however many there are and at whichever endpoints.
-    fn one_bad_job_ejects_nothing(failures: Vec<u8>, successes: Vec<u8>) -> bool {
+    /// Failures of a single job must never eject an endpoint, regardless of their number and of the endpoints.
+    fn one_failing_job_ejects_no_endpoint(failures: Vec<u8>, successes: Vec<u8>) -> bool {
         let mut health = health(9);
         let slot = |number: u8| Slot(u32::from(number % 9));
         successes.iter().for_each(|number| assert!(health.on_success(Time(0), slot(*number)).is_none()));
         failures.iter().all(|number| health.on_failure(Time(0), slot(*number), 1).is_none())
     }
 
-    /// After any results, ticks and changes of the list, no more endpoints are out than the cap allows.
-    fn no_more_than_a_third_is_out(steps: Vec<(u8, u8, u8)>) -> bool {
+    /// After any results, ticks and changes of the list, no more endpoints may be ejected than the cap allows.
+    fn a_third_of_endpoints_is_ejected_at_most(steps: Vec<(u8, u8, u8)>) -> bool {
         let mut health = health(12);
         let (mut now, mut members) = (Time(0), (0..12).map(Slot).collect::<BTreeSet<Slot>>());
         steps.into_iter().all(|(kind, number, job)| {
@@ -50,17 +50,17 @@
                 _ => drop(health.on_failure(now, slot, job.into())),
             }
             health.tick(now);
-            let out = |slot: &&Slot| !health.allows(**slot, Class::NonIdempotent);
+            let is_ejected = |slot: &&Slot| !health.allows(**slot, Class::NonIdempotent);
             let cap = if members.len() < 2 { 0 } else { (members.len() / 3).max(1) };
-            members.iter().filter(out).count() <= cap
+            members.iter().filter(is_ejected).count() <= cap
         })
     }
 }
 
 #[test]
 fn an_endpoint_that_fails_everything_is_ejected() {
-    // Guards against an endpoint that fails every task at once, is therefore always idle and attracts most of the work.
-    // A success in between resets the count.
+    // Guards against an endpoint that fails every task immediately, is therefore always idle and attracts most of the
+    // tasks. A success in between resets the count of failures.
     let mut health = health(9);
     let slot = Slot(4);
     assert_eq!(health.on_failure(Time(0), slot, 1), None);
@@ -76,9 +76,9 @@
 }
 
 #[test]
-fn an_endpoint_that_the_cap_spares_gets_work_last() {
-    // Guards against failing endpoints beyond the cap that attract most of the tasks. They come after all healthy ones,
-    // are tried again after a while, and are suspect again after one more failure.
+fn a_suspected_endpoint_gets_tasks_last() {
+    // Guards against failing endpoints beyond the ejection cap that attract most of the tasks. They must come after all
+    // healthy ones until they are restored, and are suspected again after one more failure.
     let mut health = health(9);
     for number in 0..3 {
         eject(&mut health, Time(0), Slot(number));
@@ -96,7 +96,10 @@
     let place =
         |placement: &mut Placement| placement.place(&requirement(&route, &[])).expect("room");
     let placed: Vec<_> = (0..8 * 9).map(|_| place(&mut placement)).collect();
-    assert!(!placed.contains(&slot), "there was room elsewhere");
+    assert!(
+        !placed.contains(&slot),
+        "{slot:?} got a task while there was room elsewhere"
+    );
     assert_eq!(place(&mut placement), slot);
     let (restored_at, changes) = tick_until_change(&mut health, Time(0));
     assert!(changes.contains(&Change::Restored(slot)), "{changes:?}");
@@ -111,9 +114,9 @@
 }
 
 #[test]
-fn an_ejected_endpoint_comes_back_by_probation() {
-    // Guards against recovered endpoints that stay out, and failing ones that come back in full. On probation, a failure
-    // ejects for longer and a success restores.
+fn an_ejected_endpoint_returns_on_probation() {
+    // Guards against recovered endpoints that stay ejected, and failing ones that get all tasks again. On probation, a
+    // failure must eject the endpoint for longer, and a success must restore it.
     let mut health = health(9);
     let slot = Slot(4);
     eject(&mut health, Time(0), slot);
@@ -138,9 +141,9 @@
 }
 
 #[test]
-fn ejections_stay_bounded() {
-    // Guards against ejections that double without bound during a long fault. They last about six minutes at most, and
-    // after a long time in good standing start from the first span again.
+fn ejection_times_are_bounded() {
+    // Guards against ejection times that double without bound during a long fault. They must be 384 s at most, and
+    // start from the first value again after an hour without failures.
     let mut health = health(9);
     let slot = Slot(4);
     let mut now = Time(0);
@@ -164,9 +167,9 @@
 }
 
 #[test]
-fn without_idempotent_work_any_task_ends_a_probation() {
-    // Guards against endpoints that stay on probation for good where all tasks are non-idempotent: after a while a task
-    // of any class tries them.
+fn any_task_ends_a_probation_without_idempotent_tasks() {
+    // Guards against endpoints that stay on probation for ever where all tasks are non-idempotent: after a while they
+    // must get tasks of any class.
     let mut health = health(9);
     let slot = Slot(4);
     eject(&mut health, Time(0), slot);
@@ -178,9 +181,9 @@
 }
 
 #[test]
-fn a_bad_service_takes_no_pool_down() {
-    // Guards against a faulty service that ejects a whole pool it shares with others: at most a third is out, also after
-    // half of the pool has left the list.
+fn a_faulty_service_ejects_a_third_of_a_pool_at_most() {
+    // Guards against a faulty service that ejects a whole pool that it shares with others. At most a third may be
+    // ejected, also after half of the pool has left the list.
     let mut health = health(12);
     let changes: Vec<_> = (0..12)
         .map(|slot| eject(&mut health, Time(0), Slot(slot)))
@@ -191,6 +194,6 @@
     assert_eq!(changes, expected);
     (6..12).for_each(|slot| health.remove(Slot(slot)));
     assert_eq!(health.tick(Time(0)).len(), 2);
-    let out = (0..6).filter(|slot| !health.allows(Slot(*slot), Class::Once));
-    assert_eq!(out.count(), 2);
+    let ejected = (0..6).filter(|slot| !health.allows(Slot(*slot), Class::Once));
+    assert_eq!(ejected.count(), 2);
 }
--- a/tests/policy/membership.rs
+++ b/tests/policy/membership.rs
@@ -117,7 +117,7 @@
         self.views[to].0.on_observations(self.now, &observations);
     }
 
-    /// Returns the instance that `own` expects to poll for a data centre, as the configuration ranks them.
+    /// Returns the instance that `own` expects to poll for a data centre: the first in the configuration's ranking.
     fn elected(&self, own: usize, home: &Centre) -> Option<Instance> {
         let is_local = |peer: &&Peer| peer.alive && peer.centre == *home;
         let peers = self.views[own].0.peers().filter(is_local);
@@ -160,8 +160,8 @@
 }
 
 quickcheck! {
-    /// After any stops and restarts, the elections agree within seconds and all views converge within minutes, although
-    /// the list stays stale.
+    /// After any stops and restarts, elections must agree within 5 s and all views must converge within minutes,
+    /// although the list stays stale.
     fn views_converge(events: Vec<(u8, bool)>) -> bool {
         let mut cluster = Cluster::new(7, FEW_CENTRES);
         for (number, up) in events.into_iter().take(20) {
@@ -173,16 +173,16 @@
             cluster.run(Span::millis(300));
         }
         cluster.run(Span::seconds(5));
-        let agree_early = cluster.elections_agree();
+        let agreed_early = cluster.elections_agree();
         cluster.run(Span::seconds(200));
-        agree_early && cluster.elections_agree() && cluster.converged()
+        agreed_early && cluster.elections_agree() && cluster.converged()
     }
 }
 
 #[test]
 fn a_rolling_restart_leaves_no_old_incarnation() {
-    // Guards against submissions that are forwarded to an ended incarnation, or answered "unknown" while the owner runs,
-    // after a rolling restart under the same names.
+    // Guards against submissions that are forwarded to an ended incarnation, or answered "unknown" while the owner is
+    // up, after a rolling restart under the same names.
     let mut cluster = Cluster::new(7, FEW_CENTRES);
     cluster.run(Span::seconds(5));
     assert!(cluster.converged());
@@ -199,9 +199,9 @@
 }
 
 #[test]
-fn a_late_heartbeat_brings_no_old_incarnation_back() {
+fn a_late_heartbeat_restores_no_old_incarnation() {
     // Guards against a delayed heartbeat or an outdated observation that replaces a newer incarnation. Once the newer
-    // one is silent while the other goes on, the view has to switch.
+    // one is silent and the other still sends heartbeats, the view must switch.
     let mut view = view(0, 1, FEW_CENTRES);
     view.apply_list(Time(0), &[member(1, FEW_CENTRES)]);
     let (old, new) = (Incarnation(10), Incarnation(11));
@@ -222,8 +222,8 @@
 
 #[test]
 fn a_silent_peer_is_lost() {
-    // Guards against callers that wait for a hung peer. A peer is lost after the silence timeout although the list still
-    // shows it, is found when it is heard again, and is lost at once when a call to it fails.
+    // Guards against callers that wait for a hung peer. A peer must be lost after the timeout although it's still
+    // listed, be found at its next heartbeat, and be lost at once when a call to it fails.
     let mut view = view(0, 1, FEW_CENTRES);
     let peer = instance(3);
     view.apply_list(Time(0), &[member(3, FEW_CENTRES)]);
@@ -244,9 +244,9 @@
 }
 
 #[test]
-fn heartbeats_stay_bounded_at_any_size() {
+fn heartbeat_rate_is_bounded_at_320_instances() {
     // Guards against heartbeat traffic that grows with the square of the number of instances. With 320 of them, each
-    // makes at most seven calls a second, and all views converge within 75 s of a common start.
+    // may make at most seven calls a second, and all views must converge within 75 s of a common start.
     let mut cluster = Cluster::new(320, MANY_CENTRES);
     cluster.run(Span::seconds(75));
     assert!(cluster.converged());
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn ever_new_names_fill_no_memory() {
+fn new_names_do_not_exhaust_memory() {
     // Guards against unbounded memory when heartbeats keep coming under new names or new incarnations.
     let mut view = view(0, 1, FEW_CENTRES);
     for number in 1..10_000 {
@@ -274,9 +274,9 @@
 }
 
 #[test]
-fn endpoints_are_shared_by_those_who_use_them() {
-    // Guards against idle endpoints because connections are divided among instances that never use them: only those in
-    // the given data centres count, or all if none is given.
+fn only_instances_of_the_given_centres_are_counted() {
+    // Guards against idle endpoints because connections are divided among instances that never use them. Only those in
+    // the given data centres must be counted, or all if none is given.
     let mut view = view(0, 1, MANY_CENTRES);
     let members: Vec<_> = (1..102)
         .map(|number| member(number, MANY_CENTRES))
@@ -292,13 +292,13 @@
 
 #[test]
 fn a_started_instance_waits_for_its_peers() {
-    // Guards against an instance that has just started and reports the owner of a key as lost. It waits for its listed
-    // peers, but no longer than the silence timeout.
+    // Guards against an instance that has just started and reports the owner of a key as lost. It must wait for its
+    // listed peers, but no longer than the peer timeout.
     let mut view = view(0, 1, FEW_CENTRES);
     view.apply_list(Time(0), &[member(3, FEW_CENTRES)]);
     assert!(!view.has_converged(Time(0), Time(0)));
-    let silence = Timing::default().peer_timeout;
-    assert!(view.has_converged(Time(0) + silence, Time(0)));
+    let timeout = Timing::default().peer_timeout;
+    assert!(view.has_converged(Time(0) + timeout, Time(0)));
     view.on_heartbeat(Time(1), &heartbeat(3, 10));
     assert!(view.has_converged(Time(1), Time(0)));
 }
--- a/tests/policy/placement.rs
+++ b/tests/policy/placement.rs
@@ -20,7 +20,7 @@
 }
 
 impl Model {
-    fn eligible(&self) -> bool {
+    fn is_eligible(&self) -> bool {
         self.listed && !self.reported_leaving && !self.ejected && self.worker.state == State::Live
     }
 
@@ -30,17 +30,17 @@
             .max(1)
     }
 
-    /// Returns the rank by outstanding tasks per slot, then by the load last reported; the lowest is the best.
+    /// Returns the rank: outstanding tasks per slot, then the last reported load. The lowest rank is the best.
     fn rank(&self) -> (u64, u32) {
         let work = u64::from(self.outstanding + 1) * 1024 / u64::from(self.worker.slots);
         (work, self.load)
     }
 
-    fn near(&self) -> bool {
+    fn is_local(&self) -> bool {
         self.worker.centre == name(OWN)
     }
 
-    /// Returns whether a task is likely to start at once: it is the first one, or within this instance's share of three
+    /// Returns whether a task is likely to start at once: it's the first one, or within this instance's share of three
     /// tasks per slot and at most one per slot.
     fn starts_at_once(&self, instances: u32) -> bool {
         let share = (3 * 1024 / u64::from(instances)).min(1024);
@@ -118,41 +118,41 @@
             ..requirement(&route, &[])
         };
         let has_place = |model: &&Model| {
-            model.eligible()
+            model.is_eligible()
                 && model.outstanding < model.limit(self.instances)
                 && requirement.need.cores <= model.worker.resources.cores
         };
         // The best endpoints of the own data centre, or of the others; any of them may be picked.
-        let best = |near: bool| {
+        let best = |is_local: bool| {
             let candidates = || {
                 self.models
                     .values()
                     .filter(has_place)
-                    .filter(|model| model.near() == near)
+                    .filter(|model| model.is_local() == is_local)
             };
             let rank = candidates().map(Model::rank).min();
             candidates()
                 .filter(|model| Some(model.rank()) == rank)
                 .collect::<Vec<_>>()
         };
-        let (near, far) = (best(true), best(false));
+        let (local, remote) = (best(true), best(false));
         let Ok(slot) = self.placement.place(&requirement) else {
-            return near.is_empty() && far.is_empty();
+            return local.is_empty() && remote.is_empty();
         };
-        let busy = |models: &[&Model]| {
+        let is_busy = |models: &[&Model]| {
             models
                 .iter()
                 .any(|model| !model.starts_at_once(self.instances))
         };
         let model = &self.models[&slot];
-        let candidates = if model.near() { &near } else { &far };
+        let candidates = if model.is_local() { &local } else { &remote };
         let starts_at_once = model.starts_at_once(self.instances);
         let is_allowed = candidates
             .iter()
             .any(|best| best.worker.name == model.worker.name)
-            && match model.near() {
-                true => starts_at_once || far.is_empty() || busy(&far),
-                false => near.is_empty() || busy(&near) && starts_at_once,
+            && match model.is_local() {
+                true => starts_at_once || remote.is_empty() || is_busy(&remote),
+                false => local.is_empty() || is_busy(&local) && starts_at_once,
             };
         self.model(slot).outstanding += 1;
         is_allowed
@@ -195,7 +195,7 @@
 
     /// Returns whether the placement's sums over all endpoints equal those of the models.
     fn sums_agree(&self) -> bool {
-        let eligible = || self.models.values().filter(|model| model.eligible());
+        let eligible = || self.models.values().filter(|model| model.is_eligible());
         let slots: u32 = eligible().map(|model| model.worker.slots).sum();
         let free = |model: &Model| {
             model
@@ -211,16 +211,16 @@
 quickcheck! {
     /// A task must only go to an endpoint below its limit that is listed, not leaving, not ejected and large enough,
     /// and that ranks best among these in a search of all endpoints.
-    fn agrees_with_a_plain_table(steps: Vec<(u8, u16, u8)>) -> bool {
+    fn agrees_with_an_exhaustive_search(steps: Vec<(u8, u16, u8)>) -> bool {
         let mut comparison = Comparison::new();
         steps.into_iter().all(|step| comparison.step(step))
     }
 }
 
 #[test]
-fn stragglers_get_less() {
+fn slow_endpoints_get_fewer_tasks() {
     // Guards against late answers due to an endpoint that is much slower than the others and doesn't report it. It must
-    // get clearly less than its share, but more than nothing, so that its recovery is noticed.
+    // get less than a third of the others' tasks, but some, so that its recovery is noticed.
     let mut placement = placement(&workers(8));
     let slow = placement.find(&name("worker-3")).expect("listed");
     let route = route();
@@ -231,8 +231,8 @@
             .collect();
         for slot in placed {
             placed_counts[usize::from(slot == slow)] += u32::from(round >= 20);
-            let took = if slot == slow { 1_600 } else { 200 };
-            placement.on_task_end(slot, Some(Span::millis(took)), None);
+            let millis = if slot == slow { 1_600 } else { 200 };
+            placement.on_task_end(slot, Some(Span::millis(millis)), None);
         }
         placement.apply_list(&workers(8), 7);
     }
@@ -245,9 +245,9 @@
 }
 
 #[test]
-fn ties_are_drawn_evenly() {
-    // Guards against waits at some endpoints while others are idle, if all instances break ties the same way. Equal
-    // endpoints must be picked about equally often.
+fn ties_are_broken_evenly() {
+    // Guards against tasks that wait at some endpoints while others are idle because all instances break ties the same
+    // way. Equal endpoints must be picked about equally often.
     let mut placement = placement(&workers(10));
     let mut picks = BTreeMap::<Slot, u32>::new();
     let route = route();
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn spills_only_when_the_own_data_centre_is_busy_full_or_gone() {
+fn spills_only_when_the_own_data_centre_is_busy_full_or_ineligible() {
     // Guards against needless traffic between data centres, and against waits or refusals while another one has places.
     // A data centre counts as busy from this instance's share of three tasks per slot, here 3 tasks.
     let mut placement = placement(&[worker(0, OWN), worker(1, OTHER)]);
@@ -292,8 +292,8 @@
 }
 
 #[test]
-fn retries_go_elsewhere_first() {
-    // Guards against a retry at the endpoint that just failed, which ranks best since it is idle. It must be avoided
+fn retries_avoid_the_endpoint_that_failed() {
+    // Guards against a retry at the endpoint that just failed, which ranks best since it's idle. It must be avoided
     // while another one is eligible, even if that is full, and be used if there is none.
     let mut placement = placement(&workers(2));
     let route = route();
@@ -330,7 +330,7 @@
 
 #[test]
 fn probation_gets_one_idempotent_task_at_a_time() {
-    // Guards against start-once jobs that fail at an endpoint which was just ejected. On probation it must only get
+    // Guards against start-once jobs that fail at an endpoint that was just ejected. On probation it must only get
     // idempotent tasks, which can be retried, and one at a time.
     let mut placement = placement(&workers(2));
     placement.set_eligibility(Slot(0), Eligibility::Probation);
@@ -348,9 +348,9 @@
 }
 
 #[test]
-fn a_leaving_endpoint_gets_nothing_while_lists_are_stale() {
-    // Guards against refused starts at an endpoint that reported to be leaving while the platform's list still shows it
-    // as live. It must get no task until it is listed with another address, or its report has expired.
+fn a_leaving_endpoint_gets_no_tasks_while_the_list_is_stale() {
+    // Guards against refused starts at an endpoint that reported that it leaves while it's still listed as live. It
+    // must get no task until it's listed with another address, or its report has expired.
     let list = workers(1);
     let mut placement = placement(&list);
     let route = route();
--- a/tests/policy/queue.rs
+++ b/tests/policy/queue.rs
@@ -31,7 +31,7 @@
 
     /// Every accepted task must be removed or popped exactly once, the capacity must hold, and a job's longest task
     /// must come first.
-    fn holds_what_was_pushed(capacity: u8, pushes: Vec<(u8, u8, u16)>, removed: u8) -> bool {
+    fn pops_or_removes_each_accepted_task_once(capacity: u8, pushes: Vec<(u8, u8, u16)>, removed: u8) -> bool {
         let mut queue = Queue::new(usize::from(capacity));
         let teams: Vec<Team> = (0..4).map(|team| name(format!("team-{team}"))).collect();
         let mut accepted = 0;
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_flood_by_one_team_holds_no_other_up() {
+fn many_tasks_of_one_team_do_not_delay_others() {
     // Guards against a small job that waits for minutes behind another team's 10,000 tasks. It must get every second
     // place.
     let mut queue = Queue::new(20_000);
--- a/tests/policy/retry.rs
+++ b/tests/policy/retry.rs
@@ -19,7 +19,7 @@
     }
 
     /// Delays must be between 5 ms and 1 s, and must vary.
-    fn waits_are_bounded(attempt: u32, seed: u64) -> bool {
+    fn delays_are_bounded(attempt: u32, seed: u64) -> bool {
         let mut random = SmallRng::seed_from_u64(seed);
         let waits: Vec<Span> = (0..20).map(|_| backoff(attempt, &mut random)).collect();
         let bounded = waits.iter().all(|wait| (5_000..=1_000_000).contains(&wait.0));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn an_outage_is_followed_by_some_retries_still() {
+fn some_retries_are_allowed_after_an_outage() {
     // Guards against failures after an outage that a retry would hide: without successes, no tokens are earned. One
     // token a second must still be available.
     let mut budget = Budget::for_retries();
