--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -26,11 +26,11 @@
         },
         message::Heartbeat,
         placement::{
-            EndpointId, //
+            EndpointId,
             Placement,
-            Requirement,
+            Requirement, //
         },
-        queue::Queue,
+        queue::Queue, //
     },
     dispatch::{
         id::{
@@ -75,7 +75,7 @@
         Member,
         State,
         Worker, //
-    },
+    }, //
 };
 
 /// Numbers of endpoints: of a small deployment, of a region, and of all data centres together.
--- a/examples/failures.rs
+++ b/examples/failures.rs
@@ -20,7 +20,7 @@
         Path,
         PathBuf, //
     },
-    process::ExitCode,
+    process::ExitCode, //
 };
 
 use incidents::Incident;
--- a/examples/measure/control.rs
+++ b/examples/measure/control.rs
@@ -22,7 +22,7 @@
         Table, //
     },
     support::Result,
-    Effort,
+    Effort, //
 };
 
 /// Kinds of messages that an instance sends without work.
--- a/examples/measure/fleet.rs
+++ b/examples/measure/fleet.rs
@@ -25,7 +25,7 @@
         wait_until,
         worker,
         Result, //
-    },
+    }, //
 };
 
 /// Names of the data centres.
--- a/examples/measure/load.rs
+++ b/examples/measure/load.rs
@@ -17,7 +17,7 @@
     time::{
         Duration,
         Instant, //
-    },
+    }, //
 };
 
 use poplarknot::{
@@ -25,8 +25,8 @@
         Reply,
         Start, //
     },
-    prelude::*, //
-    table::wire::Worker as Entry,
+    prelude::*,
+    table::wire::Worker as Entry, //
 };
 use serde_json::{
     json,
@@ -45,7 +45,7 @@
         cluster,
         Result, //
     },
-    trace,
+    trace, //
 };
 
 /// How long an idle connection may be reused; an instance closes those that are idle for longer.
--- a/examples/measure/messages.rs
+++ b/examples/measure/messages.rs
@@ -18,7 +18,7 @@
         Table, //
     },
     support::Result,
-    Effort,
+    Effort, //
 };
 
 /// How long each task runs, in milliseconds.
--- a/examples/measure/outage.rs
+++ b/examples/measure/outage.rs
@@ -6,7 +6,7 @@
     time::{
         Duration,
         Instant, //
-    },
+    }, //
 };
 
 use poplarknot::prelude::*;
@@ -37,7 +37,7 @@
     },
     role::Request,
     support::Result,
-    Effort,
+    Effort, //
 };
 
 /// How long each task runs in an outage, in milliseconds.
--- a/examples/measure/placement.rs
+++ b/examples/measure/placement.rs
@@ -28,7 +28,7 @@
         self,
         Workload, //
     },
-    Effort,
+    Effort, //
 };
 
 /// Workers of the fleet.
--- a/examples/measure/policy.rs
+++ b/examples/measure/policy.rs
@@ -9,20 +9,20 @@
         BTreeMap,
         BinaryHeap,
         VecDeque, //
-    },
+    }, //
 };
 
 use poplarknot::{
     core::placement::{
-        EndpointId, //
+        EndpointId,
         Placement,
         Policy,
-        Requirement,
+        Requirement, //
     },
     endpoint::wire::Load,
     prelude::*,
     record::route::Route,
-    table::wire::Worker as Entry,
+    table::wire::Worker as Entry, //
 };
 
 use crate::{
@@ -46,7 +46,7 @@
         Job,
         Workload, //
     },
-    Effort,
+    Effort, //
 };
 
 /// A task placed on a worker.
--- a/examples/measure/records.rs
+++ b/examples/measure/records.rs
@@ -5,7 +5,7 @@
     time::{
         Duration,
         Instant, //
-    },
+    }, //
 };
 
 use serde_json::{
@@ -34,7 +34,7 @@
         Result,
         WAIT_TIMEOUT, //
     },
-    Effort,
+    Effort, //
 };
 
 /// Index of the data centre that is cut off.
--- a/examples/measure/response.rs
+++ b/examples/measure/response.rs
@@ -20,7 +20,7 @@
         Table, //
     },
     support::Result,
-    Effort,
+    Effort, //
 };
 
 /// How long each task runs, in milliseconds.
--- a/examples/measure/role.rs
+++ b/examples/measure/role.rs
@@ -33,7 +33,7 @@
         ChildStdin,
         ChildStdout,
         Command, //
-    },
+    }, //
 };
 
 use crate::{
@@ -50,7 +50,7 @@
         },
         Result,
         WAIT_TIMEOUT, //
-    },
+    }, //
 };
 
 /// A request to a stand-in; workers are given by their indices within the process.
--- a/examples/measure/storm.rs
+++ b/examples/measure/storm.rs
@@ -26,7 +26,7 @@
         self,
         Workload, //
     },
-    Effort,
+    Effort, //
 };
 
 /// Measures successive spans of time with the same load, and prints a table.
--- a/examples/measure/throughput.rs
+++ b/examples/measure/throughput.rs
@@ -28,7 +28,7 @@
         Table, //
     },
     support::Result,
-    Effort,
+    Effort, //
 };
 
 /// How long each task runs, in milliseconds.
--- a/examples/platform.rs
+++ b/examples/platform.rs
@@ -17,7 +17,7 @@
     time::{
         Duration,
         Instant, //
-    },
+    }, //
 };
 
 use fleet::Fleet;
--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -14,7 +14,7 @@
     time::{
         Duration,
         Instant, //
-    },
+    }, //
 };
 
 use poplarknot::{
@@ -22,7 +22,7 @@
     table::wire::{
         List,
         Worker as Entry, //
-    },
+    }, //
 };
 use support::{
     client::{
@@ -54,7 +54,7 @@
     process::{
         Child,
         Command, //
-    },
+    }, //
 };
 
 /// Data centres; workers and instances are spread over them round robin.
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -10,8 +10,8 @@
 
 use crate::{
     prelude::*,
-    record::Name, //
-    table::wire::Write,
+    record::Name,
+    table::wire::Write, //
 };
 
 /// The action that an operator requested on a record.
--- a/src/caller.rs
+++ b/src/caller.rs
@@ -12,7 +12,7 @@
         atomic::Ordering,
         Arc, //
     },
-    time::Duration,
+    time::Duration, //
 };
 
 use bytes::Bytes;
@@ -57,7 +57,7 @@
     time::{
         sleep,
         timeout, //
-    },
+    }, //
 };
 
 use crate::{
@@ -67,7 +67,7 @@
             self,
             Input,
             Output, //
-        },
+        }, //
     },
     decision,
     event::{
@@ -81,7 +81,7 @@
     prelude::*,
     ring,
     settings::Settings,
-    sync::lock,
+    sync::lock, //
 };
 
 mod admin;
--- a/src/caller/admin.rs
+++ b/src/caller/admin.rs
@@ -33,10 +33,10 @@
         message::{
             Input,
             Output, //
-        },
+        }, //
     },
     prelude::*,
-    record,
+    record, //
 };
 
 /// The request header with the id of a change, so that a retry doesn't apply it twice.
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -7,7 +7,7 @@
         self,
         Read, //
     },
-    time::Duration,
+    time::Duration, //
 };
 
 use bytes::Bytes;
@@ -28,7 +28,7 @@
     http::{
         Connection,
         Reply, //
-    },
+    }, //
 };
 
 /// The address of an instance with the shipped settings file.
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -18,7 +18,7 @@
         Tracer,
         DEFAULT_CONTEXT_SPAN,
         MAX_CONTEXT_SPAN, //
-    },
+    }, //
 };
 
 const BRIEF: &str = "\
--- a/src/core.rs
+++ b/src/core.rs
@@ -8,7 +8,7 @@
         BTreeMap,
         HashMap, //
     },
-    sync::Arc,
+    sync::Arc, //
 };
 
 use rand::{
@@ -27,7 +27,7 @@
         Limits,
         Timing, //
     },
-    table::wire::List,
+    table::wire::List, //
 };
 
 pub mod admission;
--- a/src/core/claim.rs
+++ b/src/core/claim.rs
@@ -12,7 +12,7 @@
     },
     fmt,
     str::FromStr,
-    sync::Arc,
+    sync::Arc, //
 };
 
 use serde::{
--- a/src/core/claim_resolution.rs
+++ b/src/core/claim_resolution.rs
@@ -3,8 +3,8 @@
 use super::{
     answer::{
         conflict,
-        owner_unreachable, //
-        refusal_in_doubt,
+        owner_unreachable,
+        refusal_in_doubt, //
     },
     claim::{
         self,
@@ -27,12 +27,12 @@
         Wait, //
     },
     timer::Timer,
-    Core,
+    Core, //
 };
 use crate::{
     event::Code,
-    prelude::*, //
-    table::wire,
+    prelude::*,
+    table::wire, //
 };
 
 /// The delay before a claim whose insert got no reply is read from the table.
--- a/src/core/completion.rs
+++ b/src/core/completion.rs
@@ -21,11 +21,11 @@
         self,
         Job,
         Received,
-        Recipient, //
+        Recipient,
         Stage,
-        Wait,
+        Wait, //
     },
-    Core,
+    Core, //
 };
 use crate::{
     event::Code,
--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -38,7 +38,7 @@
         Return, //
     },
     report::Report,
-    stats::Stats,
+    stats::Stats, //
 };
 use self::{
     edit::Edits,
@@ -49,7 +49,7 @@
         Purpose, //
     },
     sync::Sync,
-    trail::Trail,
+    trail::Trail, //
 };
 use crate::{
     core::message::{
@@ -68,9 +68,9 @@
         route::{
             Error,
             Route, //
-        },
+        }, //
     },
-    table::wire::Worker,
+    table::wire::Worker, //
 };
 
 /// The time after which a command or a call without an end counts as lost.
--- a/src/core/config/ask.rs
+++ b/src/core/config/ask.rs
@@ -8,7 +8,7 @@
     record::{
         Kind,
         Name, //
-    },
+    }, //
 };
 
 /// A request of an operator.
--- a/src/core/config/edit.rs
+++ b/src/core/config/edit.rs
@@ -13,18 +13,18 @@
     report::Report,
     row::{
         self,
-        Decision, //
+        Decision,
         End,
-        Head,
+        Head, //
     },
     state::Purpose,
-    Config,
+    Config, //
 };
 use crate::{
     core::message::{
         Command,
-        Completion, //
-        Request,
+        Completion,
+        Request, //
     },
     event::Code,
     prelude::*,
@@ -35,7 +35,7 @@
     table::wire::{
         Group,
         Verdict, //
-    },
+    }, //
 };
 
 mod validate;
--- a/src/core/config/edit/validate.rs
+++ b/src/core/config/edit/validate.rs
@@ -22,7 +22,7 @@
             Stored, //
         },
         state::Applied,
-        trail,
+        trail, //
     },
     prelude::*,
     record::{
@@ -42,7 +42,7 @@
     table::wire::{
         Group,
         Write, //
-    },
+    }, //
 };
 
 /// Parses the text of an act; returns none for a withdrawal, which has no text.
--- a/src/core/config/load.rs
+++ b/src/core/config/load.rs
@@ -15,7 +15,7 @@
         Purpose,
         Stage, //
     },
-    Config,
+    Config, //
 };
 use crate::{
     event::Code,
--- a/src/core/config/query.rs
+++ b/src/core/config/query.rs
@@ -15,21 +15,21 @@
     },
     row,
     state::Purpose,
-    Config,
+    Config, //
 };
 use crate::{
     audit,
     core::message::{
         Command,
-        Completion, //
-        Request,
+        Completion,
+        Request, //
     },
     prelude::*,
     record::{
         set::Entry,
         Kind,
         Name, //
-    },
+    }, //
 };
 
 /// The most entries of the audit trail in one answer.
--- a/src/core/config/report.rs
+++ b/src/core/config/report.rs
@@ -13,7 +13,7 @@
         difference::Difference,
         fault::Fault,
         Name, //
-    },
+    }, //
 };
 
 /// The answer to an operator's request.
--- a/src/core/config/row.rs
+++ b/src/core/config/row.rs
@@ -19,12 +19,12 @@
 use super::report::Refusal;
 use crate::{
     prelude::*,
-    record::Name, //
+    record::Name,
     table::wire::{
         Condition,
         Row,
         Write, //
-    },
+    }, //
 };
 
 /// The key of the head.
--- a/src/core/config/state.rs
+++ b/src/core/config/state.rs
@@ -5,7 +5,7 @@
         BTreeMap,
         VecDeque, //
     },
-    sync::Arc,
+    sync::Arc, //
 };
 
 use super::{
@@ -13,7 +13,7 @@
     row::{
         Change,
         Stored, //
-    },
+    }, //
 };
 use crate::{
     core::message::Request,
@@ -26,7 +26,7 @@
         set::Set,
         Name,
         Record, //
-    },
+    }, //
 };
 
 /// The most recent changes that are kept for peers that lag behind.
--- a/src/core/config/sync.rs
+++ b/src/core/config/sync.rs
@@ -17,7 +17,7 @@
         Purpose,
         Stage, //
     },
-    Config,
+    Config, //
 };
 use crate::{
     core::message::{
@@ -26,7 +26,7 @@
     },
     event::Code,
     prelude::*,
-    table::wire::Row,
+    table::wire::Row, //
 };
 
 /// The unit of the backoff after failures, which doubles with each one.
--- a/src/core/config/trail.rs
+++ b/src/core/config/trail.rs
@@ -11,14 +11,14 @@
         Report, //
     },
     state::Purpose,
-    Config,
+    Config, //
 };
 use crate::{
     audit,
     core::message::{
         Command,
-        Completion, //
-        Request,
+        Completion,
+        Request, //
     },
     event::Code,
     prelude::*,
@@ -28,7 +28,7 @@
         Name,
         MAX_TEXT_BYTES, //
     },
-    table::wire::Group,
+    table::wire::Group, //
 };
 
 /// The most entries that wait to be written.
--- a/src/core/execution.rs
+++ b/src/core/execution.rs
@@ -11,9 +11,9 @@
         Sample, //
     },
     placement::{
-        EndpointId, //
+        EndpointId,
         Obstacle,
-        Requirement,
+        Requirement, //
     },
     queue::Item,
     retry,
@@ -21,11 +21,11 @@
         Job,
         Pending,
         Progress,
-        Running, //
-        Stage,
+        Running,
+        Stage, //
     },
     timer::Timer,
-    Core,
+    Core, //
 };
 use crate::{
     endpoint::wire::{
@@ -34,7 +34,7 @@
         Start, //
     },
     event::Code,
-    prelude::*,
+    prelude::*, //
 };
 
 /// The number of attempts after which an idempotent task is neither retried nor hedged.
--- a/src/core/health.rs
+++ b/src/core/health.rs
@@ -17,7 +17,7 @@
         EndpointId, //
     },
     prelude::*,
-    table::wire::Worker,
+    table::wire::Worker, //
 };
 
 /// The consecutive failures that eject an endpoint, if they are from more than one job.
--- a/src/core/membership.rs
+++ b/src/core/membership.rs
@@ -13,7 +13,7 @@
         HashSet,
         VecDeque, //
     },
-    ops::Bound,
+    ops::Bound, //
 };
 
 use rand::{
@@ -30,7 +30,7 @@
     },
     prelude::*,
     settings::Timing,
-    table::wire::Member,
+    table::wire::Member, //
 };
 
 /// The most peers that are kept at once.
--- a/src/core/membership/peer.rs
+++ b/src/core/membership/peer.rs
@@ -4,8 +4,8 @@
 
 use crate::{
     core::message::Observation,
-    prelude::*, //
-    table::wire::State,
+    prelude::*,
+    table::wire::State, //
 };
 
 /// The observations in each heartbeat, besides those of new incarnations; the peers take turns.
--- a/src/core/message.rs
+++ b/src/core/message.rs
@@ -25,7 +25,7 @@
         List,
         Row,
         Verdict, //
-    },
+    }, //
 };
 
 /// Identifies a request of a caller or an operator within this instance, until it is answered.
--- a/src/core/peering.rs
+++ b/src/core/peering.rs
@@ -1,7 +1,8 @@
 //! Calls between instances: forwarded submissions, heartbeats and calls of the configuration.
 
 use super::{
-    config, membership,
+    config,
+    membership,
     message::{
         Call,
         CallId,
@@ -12,7 +13,7 @@
     },
     stage::Recipient,
     submission::Arrival,
-    Core,
+    Core, //
 };
 use crate::{
     event::Code,
--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -24,7 +24,7 @@
         Score,
         UNITS_PER_TASK, //
     },
-    index::Group,
+    index::Group, //
 };
 use crate::{
     endpoint::wire::Load,
@@ -33,7 +33,7 @@
     table::wire::{
         State,
         Worker, //
-    },
+    }, //
 };
 
 /// The number of tasks per slot, over all instances, from which an endpoint counts as busy and tasks may leave the data
--- a/src/core/placement/index.rs
+++ b/src/core/placement/index.rs
@@ -14,7 +14,7 @@
         Score, //
     },
     speed::Speeds,
-    EndpointId,
+    EndpointId, //
 };
 use crate::prelude::*;
 
--- a/src/core/queue.rs
+++ b/src/core/queue.rs
@@ -9,7 +9,7 @@
         BTreeMap,
         BTreeSet,
         HashMap, //
-    },
+    }, //
 };
 
 use crate::prelude::*;
--- a/src/core/stage.rs
+++ b/src/core/stage.rs
@@ -12,7 +12,7 @@
         Request, //
     },
     placement::EndpointId,
-    timer::Handle,
+    timer::Handle, //
 };
 use crate::{
     job::Task,
--- a/src/core/status_check.rs
+++ b/src/core/status_check.rs
@@ -13,11 +13,11 @@
     placement::EndpointId,
     queue::Item,
     stage::{
-        Pending, //
-        Stage,
+        Pending,
+        Stage, //
     },
     timer::Timer,
-    Core,
+    Core, //
 };
 use crate::{
     endpoint::wire::{
@@ -25,7 +25,7 @@
         Status, //
     },
     event::Code,
-    prelude::*,
+    prelude::*, //
 };
 
 /// The number of failed status checks in a row after which an attempt counts as lost.
--- a/src/core/store.rs
+++ b/src/core/store.rs
@@ -8,7 +8,8 @@
         Output,
         Ticket, //
     },
-    stage, Core,
+    stage,
+    Core, //
 };
 use crate::{
     event::Code,
@@ -17,7 +18,7 @@
         Condition,
         Group,
         Write, //
-    },
+    }, //
 };
 
 /// The consecutive failures after which the table counts as down.
--- a/src/core/submission.rs
+++ b/src/core/submission.rs
@@ -23,19 +23,19 @@
         Job,
         Permit,
         Received,
-        Recipient, //
+        Recipient,
         Stage,
-        Wait,
+        Wait, //
     },
     timer::Timer,
-    Core,
+    Core, //
 };
 use crate::{
     prelude::*,
     record::route::{
         Error,
         Route, //
-    },
+    }, //
 };
 
 /// The deadline of a job that is forwarded or refused before a route gives one.
--- a/src/decision.rs
+++ b/src/decision.rs
@@ -5,7 +5,8 @@
         AtomicBool,
         Ordering, //
     },
-    Arc, Mutex,
+    Arc,
+    Mutex, //
 };
 
 use tokio::{
@@ -14,7 +15,7 @@
         interval,
         sleep_until,
         MissedTickBehavior, //
-    },
+    }, //
 };
 use xtra::prelude::*;
 
@@ -29,7 +30,7 @@
             Return,
             Sample, //
         },
-        Core,
+        Core, //
     },
     event::Code,
     metrics::{
@@ -38,7 +39,7 @@
     },
     prelude::*,
     ring,
-    sync::lock,
+    sync::lock, //
 };
 
 /// How often the core gets [`Input::Tick`].
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -76,7 +76,7 @@
     },
     reader::Reader,
     requests::Requests,
-    route::Configuration,
+    route::Configuration, //
 };
 use crate::prelude::*;
 
--- a/src/dispatch/durable.rs
+++ b/src/dispatch/durable.rs
@@ -21,7 +21,7 @@
         send_verdict,
         Phase,
         Shard, //
-    },
+    }, //
 };
 use super::{
     id::{
--- a/src/dispatch/endpoint.rs
+++ b/src/dispatch/endpoint.rs
@@ -39,7 +39,7 @@
         Reply, //
     },
     queue::Handle,
-    task::Resources,
+    task::Resources, //
 };
 use crate::prelude::*;
 
--- a/src/dispatch/entry.rs
+++ b/src/dispatch/entry.rs
@@ -12,7 +12,7 @@
         HashMap,
         HashSet, //
     },
-    rc::Rc,
+    rc::Rc, //
 };
 
 use self::rack::{
@@ -38,7 +38,7 @@
     },
     owner::Effects,
     route::Route,
-    task::Submission,
+    task::Submission, //
 };
 use crate::prelude::*;
 
--- a/src/dispatch/entry/rack.rs
+++ b/src/dispatch/entry/rack.rs
@@ -15,7 +15,7 @@
     task::{
         Resources,
         Step, //
-    },
+    }, //
 };
 use crate::prelude::*;
 
--- a/src/dispatch/member.rs
+++ b/src/dispatch/member.rs
@@ -21,7 +21,7 @@
         self,
         neighbours,
         Watch, //
-    },
+    }, //
 };
 use crate::prelude::*;
 
--- a/src/dispatch/message.rs
+++ b/src/dispatch/message.rs
@@ -49,7 +49,7 @@
         StoreReply,
         StoreRequest, //
     },
-    suspicion::Suspicion,
+    suspicion::Suspicion, //
 };
 use super::{
     evacuation::{
@@ -68,7 +68,7 @@
         AcceptedJob,
         Resources,
         Submission, //
-    },
+    }, //
 };
 use crate::prelude::*;
 
--- a/src/dispatch/message/heartbeat.rs
+++ b/src/dispatch/message/heartbeat.rs
@@ -13,7 +13,7 @@
         ShardId,
         Token, //
     },
-    task::Resources,
+    task::Resources, //
 };
 use crate::prelude::*;
 
--- a/src/dispatch/owner.rs
+++ b/src/dispatch/owner.rs
@@ -56,7 +56,7 @@
         Rank,
         Waiting, //
     },
-    timeout::Estimator,
+    timeout::Estimator, //
 };
 use crate::prelude::*;
 
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -6,7 +6,7 @@
         Arc,
         Mutex, //
     },
-    time::Duration,
+    time::Duration, //
 };
 
 use bytes::Bytes;
@@ -40,7 +40,7 @@
     prelude::*,
     ring,
     settings::Settings,
-    sync::lock,
+    sync::lock, //
 };
 
 pub mod wire;
--- a/src/event.rs
+++ b/src/event.rs
@@ -6,7 +6,7 @@
     io::{
         self,
         Write, //
-    },
+    }, //
 };
 
 use log::{
--- a/src/http.rs
+++ b/src/http.rs
@@ -35,7 +35,7 @@
     time::{
         timeout,
         Instant, //
-    },
+    }, //
 };
 
 /// How long a connection may take to open, unless another timeout is given.
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -32,7 +32,7 @@
         spawn_local,
         LocalSet, //
     },
-    time::sleep,
+    time::sleep, //
 };
 
 use self::{
@@ -60,7 +60,7 @@
     },
     error::Error,
     platform::settings::Settings,
-    prelude::*,
+    prelude::*, //
 };
 
 /// The port at which `/metrics` is served besides the readiness address. The deployment's scrape configuration names
--- a/src/instance/calls.rs
+++ b/src/instance/calls.rs
@@ -36,7 +36,7 @@
         Pool, //
     },
     platform::order,
-    prelude::*,
+    prelude::*, //
 };
 
 /// How long a connection to an endpoint may be idle and still be reused. A connection that has silently failed costs
--- a/src/instance/feeds.rs
+++ b/src/instance/feeds.rs
@@ -48,7 +48,7 @@
         },
         Fault, //
     },
-    prelude::*,
+    prelude::*, //
 };
 
 /// How long a long poll of the operator's table waits for a change. A silent connection is detected after this time
--- a/src/instance/front.rs
+++ b/src/instance/front.rs
@@ -7,7 +7,7 @@
     },
     collections::BTreeMap,
     rc::Rc,
-    time::Duration,
+    time::Duration, //
 };
 
 use bytes::Bytes;
@@ -49,7 +49,7 @@
     time::{
         sleep,
         timeout, //
-    },
+    }, //
 };
 
 use super::hub::{
@@ -75,7 +75,7 @@
         CONNECTION_GRACE, //
     },
     platform::ingress,
-    prelude::*,
+    prelude::*, //
 };
 
 /// Sockets that are reserved for endpoints, peers and the store.
--- a/src/instance/hub.rs
+++ b/src/instance/hub.rs
@@ -6,7 +6,7 @@
         RefCell, //
     },
     collections::HashMap,
-    rc::Rc,
+    rc::Rc, //
 };
 
 use nix::time::{
@@ -37,7 +37,7 @@
         },
         Dispatcher, //
     },
-    prelude::*,
+    prelude::*, //
 };
 
 /// The state that all tasks of the instance share. They run on one thread, so that no lock is needed.
--- a/src/instance/job_store.rs
+++ b/src/instance/job_store.rs
@@ -32,7 +32,7 @@
             self,
             Content, //
         }, //
-    },
+    }, //
 };
 
 /// How long a call may take. A coordinator that can't confirm its lock releases its shards after a second, which
--- a/src/instance/journal.rs
+++ b/src/instance/journal.rs
@@ -9,7 +9,7 @@
         sync_channel,
         Receiver,
         SyncSender, //
-    },
+    }, //
 };
 
 use serde_json::{
--- a/src/instance/metrics.rs
+++ b/src/instance/metrics.rs
@@ -12,7 +12,7 @@
             exponential_buckets,
             Histogram, //
         }, //
-    },
+    }, //
 };
 
 use crate::{
@@ -25,7 +25,7 @@
         Stats, //
     },
     metrics::registry::Registry,
-    prelude::*,
+    prelude::*, //
 };
 
 /// The first latency bucket in seconds, the ratio between buckets, and their number: 1 ms to 16 s.
--- a/src/instance/peers.rs
+++ b/src/instance/peers.rs
@@ -11,7 +11,7 @@
         SocketAddr, //
     },
     rc::Rc,
-    time::Duration,
+    time::Duration, //
 };
 
 use capnp_rpc::{
@@ -32,7 +32,7 @@
     time::{
         sleep,
         timeout, //
-    },
+    }, //
 };
 
 use super::{
@@ -40,7 +40,7 @@
         now,
         Hub, //
     },
-    inbox::Inbox,
+    inbox::Inbox, //
 };
 use crate::{
     dispatch::{
@@ -55,7 +55,7 @@
     },
     fleet_capnp::mailbox,
     prelude::*,
-    rpc::build_network,
+    rpc::build_network, //
 };
 
 /// How long connecting to a peer may take: some round trips, and less than the silence that ends a session.
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -23,8 +23,8 @@
         histogram::{
             exponential_buckets,
             Histogram, //
-        },
-    },
+        }, //
+    }, //
 };
 
 use self::registry::Registry;
--- a/src/metrics/registry.rs
+++ b/src/metrics/registry.rs
@@ -8,7 +8,7 @@
     registry::{
         self,
         Metric, //
-    },
+    }, //
 };
 
 /// The prefix of every metric's name.
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -13,7 +13,7 @@
     collections::HashMap,
     rc::Rc,
     sync::Arc,
-    time::Duration,
+    time::Duration, //
 };
 
 use capnp::capability::Promise;
@@ -29,7 +29,7 @@
     },
     sync::oneshot,
     task::spawn_local,
-    time::timeout,
+    time::timeout, //
 };
 
 use crate::{
@@ -56,7 +56,7 @@
     prelude::*,
     ring,
     rpc::build_network,
-    settings::Settings,
+    settings::Settings, //
 };
 
 /// The most connections that are served at once. Each peer opens one; connections beyond the limit are closed.
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -19,7 +19,7 @@
             Submission, //
         }, //
     },
-    prelude::*,
+    prelude::*, //
 };
 
 /// The header with the time for which a caller waits, in milliseconds.
--- a/src/platform/order.rs
+++ b/src/platform/order.rs
@@ -25,7 +25,7 @@
         Refusal,
         Reply,
         Running, //
-    },
+    }, //
 };
 
 /// The header that names the endpoint that the order is for.
--- a/src/platform/record.rs
+++ b/src/platform/record.rs
@@ -22,12 +22,12 @@
         route::{
             Configuration,
             Limits,
-            Route, //
-            Service,
+            Route,
+            Service, //
         },
         task::Resources, //
     },
-    prelude::*,
+    prelude::*, //
 };
 
 /// The operator's table.
--- a/src/prelude.rs
+++ b/src/prelude.rs
@@ -28,5 +28,5 @@
     time::{
         Span,
         Time, //
-    },
+    }, //
 };
--- a/src/record.rs
+++ b/src/record.rs
@@ -33,7 +33,7 @@
         Code,
         Fault, //
     },
-    fields::Fields,
+    fields::Fields, //
 };
 use crate::{
     id::as_text,
--- a/src/record/check.rs
+++ b/src/record/check.rs
@@ -26,7 +26,7 @@
     table::wire::{
         State,
         Worker, //
-    },
+    }, //
 };
 
 /// The most records in force.
--- a/src/record/pool.rs
+++ b/src/record/pool.rs
@@ -18,7 +18,7 @@
     fields::{
         self,
         Fields, //
-    },
+    }, //
 };
 use crate::prelude::*;
 
--- a/src/record/rule.rs
+++ b/src/record/rule.rs
@@ -17,7 +17,7 @@
         self,
         Fields, //
     },
-    route::Quota,
+    route::Quota, //
 };
 use crate::prelude::*;
 
--- a/src/record/service.rs
+++ b/src/record/service.rs
@@ -13,7 +13,7 @@
     fields::{
         self,
         Fields, //
-    },
+    }, //
 };
 use crate::prelude::*;
 
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -24,7 +24,7 @@
         watch, //
     },
     task::LocalSet,
-    time::timeout,
+    time::timeout, //
 };
 
 use crate::{
@@ -35,7 +35,8 @@
         Core,
         Identity, //
     },
-    decision, endpoint,
+    decision,
+    endpoint,
     error::Error,
     event::{
         Code,
@@ -46,7 +47,7 @@
     prelude::*,
     ring,
     settings::Settings,
-    table,
+    table, //
 };
 
 /// Capacity of the ring from the main thread, in messages.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -12,7 +12,7 @@
         Path,
         PathBuf, //
     },
-    str::FromStr,
+    str::FromStr, //
 };
 
 use log::LevelFilter;
--- a/src/table.rs
+++ b/src/table.rs
@@ -6,7 +6,7 @@
         Arc,
         Mutex, //
     },
-    time::Duration,
+    time::Duration, //
 };
 
 use bytes::Bytes;
@@ -22,7 +22,7 @@
         sleep,
         timeout,
         Instant, //
-    },
+    }, //
 };
 use xtra::prelude::*;
 
@@ -48,7 +48,7 @@
     },
     ring,
     settings::Settings,
-    sync::lock,
+    sync::lock, //
 };
 
 mod list;
@@ -58,8 +58,8 @@
     Commit,
     Group,
     Row,
-    Scan, //
-    Verdicts,
+    Scan,
+    Verdicts, //
 };
 
 /// The most groups in one commit.
--- a/src/time.rs
+++ b/src/time.rs
@@ -6,7 +6,7 @@
         Add,
         Sub, //
     },
-    str::FromStr,
+    str::FromStr, //
 };
 
 use serde::{
--- a/src/trace/line.rs
+++ b/src/trace/line.rs
@@ -14,7 +14,7 @@
         self,
         JobId, //
     },
-    prelude::*,
+    prelude::*, //
 };
 
 /// The error for a text that isn't a line of an instance's log.
--- a/src/trace/log.rs
+++ b/src/trace/log.rs
@@ -11,7 +11,7 @@
         BufRead,
         BufReader,
         Read, //
-    },
+    }, //
 };
 
 use super::{
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -28,7 +28,7 @@
             Content, //
         }, //
     },
-    prelude::*,
+    prelude::*, //
 };
 use serde_json::{
     json,
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -17,7 +17,7 @@
         Stdio, //
     },
     sync::mpsc,
-    thread,
+    thread, //
 };
 
 use poplarknot::{
@@ -39,7 +39,7 @@
         Size,
         Timing, //
     },
-    time::Span,
+    time::Span, //
 };
 use tokio::net::TcpSocket;
 
--- a/tests/dispatch/crashes.rs
+++ b/tests/dispatch/crashes.rs
@@ -5,7 +5,7 @@
         id::JobId,
         message::Answer, //
     },
-    prelude::*,
+    prelude::*, //
 };
 
 use super::{
--- a/tests/dispatch/endpoint.rs
+++ b/tests/dispatch/endpoint.rs
@@ -24,9 +24,9 @@
             Reply,
             Running, //
         },
-        task::Resources,
+        task::Resources, //
     },
-    prelude::*,
+    prelude::*, //
 };
 
 /// The longest lease that an endpoint grants, in milliseconds.
--- a/tests/dispatch/overload.rs
+++ b/tests/dispatch/overload.rs
@@ -11,9 +11,9 @@
             Queue,
             Rank,
             Waiting, //
-        },
+        }, //
     },
-    prelude::*,
+    prelude::*, //
 };
 
 use super::{
--- a/tests/dispatch/rows.rs
+++ b/tests/dispatch/rows.rs
@@ -7,7 +7,7 @@
     message::{
         StoreReply,
         StoreRequest, //
-    },
+    }, //
 };
 
 /// The number of rows in a page.
--- a/tests/dispatch/stored.rs
+++ b/tests/dispatch/stored.rs
@@ -11,7 +11,7 @@
         Faults,
         World, //
     },
-    NO_FAULTS,
+    NO_FAULTS, //
 };
 
 fn storing_world(seed: u64, instances: usize, faults: Faults) -> World {
--- a/tests/dispatch/world.rs
+++ b/tests/dispatch/world.rs
@@ -6,7 +6,7 @@
         BinaryHeap,
         HashMap,
         HashSet, //
-    },
+    }, //
 };
 
 use poplarknot::{
@@ -51,9 +51,10 @@
             Step,
             Submission, //
         },
-        Dispatcher, Identity,
+        Dispatcher,
+        Identity, //
     },
-    prelude::*,
+    prelude::*, //
 };
 use rand::{
     rngs::SmallRng,
--- a/tests/entry.rs
+++ b/tests/entry.rs
@@ -33,7 +33,7 @@
             Submission, //
         }, //
     },
-    prelude::*,
+    prelude::*, //
 };
 
 const NOW: Time = Time(1_000_000);
--- a/tests/fleet/configuration.rs
+++ b/tests/fleet/configuration.rs
@@ -5,11 +5,11 @@
         message::Input,
         route::{
             Configuration,
-            Route, //
-            Service,
-        },
+            Route,
+            Service, //
+        }, //
     },
-    prelude::*,
+    prelude::*, //
 };
 
 use super::world::{
--- a/tests/fleet/readers.rs
+++ b/tests/fleet/readers.rs
@@ -9,7 +9,7 @@
             Roster, //
         }, //
     },
-    prelude::*,
+    prelude::*, //
 };
 
 use super::world::Fleet;
--- a/tests/fleet/watch.rs
+++ b/tests/fleet/watch.rs
@@ -8,9 +8,9 @@
             Sender,
             Status, //
         },
-        watch,
+        watch, //
     },
-    prelude::*,
+    prelude::*, //
 };
 
 use super::world::{
--- a/tests/fleet/world.rs
+++ b/tests/fleet/world.rs
@@ -19,7 +19,7 @@
         Dispatcher,
         Identity, //
     },
-    prelude::*,
+    prelude::*, //
 };
 
 /// The interval between ticks. A message arrives at the tick after it was sent.
--- a/tests/inbox.rs
+++ b/tests/inbox.rs
@@ -6,7 +6,7 @@
         Sender, //
     },
     instance::inbox::Inbox,
-    prelude::*,
+    prelude::*, //
 };
 
 /// The receiver's incarnation, and the one before it.
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -33,7 +33,7 @@
     time::{
         Duration,
         Instant, //
-    },
+    }, //
 };
 
 use fleet::Fleet;
--- a/tests/orders/world.rs
+++ b/tests/orders/world.rs
@@ -5,7 +5,7 @@
         BTreeMap,
         BTreeSet, //
     },
-    sync::Arc,
+    sync::Arc, //
 };
 
 use poplarknot::{
@@ -50,7 +50,7 @@
         State,
         Verdict,
         Worker, //
-    },
+    }, //
 };
 use quickcheck::{
     Arbitrary,
--- a/tests/owner.rs
+++ b/tests/owner.rs
@@ -43,7 +43,7 @@
         Dispatcher,
         Identity, //
     },
-    prelude::*,
+    prelude::*, //
 };
 
 const START: Time = Time(10_000_000);
--- a/tests/platform/endpoint.rs
+++ b/tests/platform/endpoint.rs
@@ -10,7 +10,7 @@
         Arc,
         Mutex, //
     },
-    time::Duration,
+    time::Duration, //
 };
 
 use serde_json::{
@@ -22,7 +22,7 @@
     time::{
         timeout,
         Instant, //
-    },
+    }, //
 };
 
 use super::store::Store;
--- a/tests/platform/fleet.rs
+++ b/tests/platform/fleet.rs
@@ -14,9 +14,9 @@
             AtomicU8,
             Ordering, //
         },
-        Mutex,
+        Mutex, //
     },
-    time::Duration,
+    time::Duration, //
 };
 
 use hyper::Method;
@@ -25,7 +25,7 @@
         kill,
         Signal, //
     },
-    unistd::Pid,
+    unistd::Pid, //
 };
 use serde_json::{
     json,
--- a/tests/platform/store.rs
+++ b/tests/platform/store.rs
@@ -6,7 +6,7 @@
         Arc,
         Mutex, //
     },
-    time::Duration,
+    time::Duration, //
 };
 
 use base64::{
@@ -22,7 +22,7 @@
     time::{
         timeout,
         Instant, //
-    },
+    }, //
 };
 
 use crate::support::server::{
--- a/tests/policy/support.rs
+++ b/tests/policy/support.rs
@@ -34,17 +34,17 @@
         },
         placement::{
             Eligibility,
-            EndpointId, //
+            EndpointId,
             Obstacle,
             Placement,
-            Requirement,
+            Requirement, //
         },
         queue::Queue,
         retry::{
             backoff,
             Budget,
             Hedge, //
-        },
+        }, //
     },
     endpoint::wire::Load,
     prelude::*,
@@ -60,7 +60,7 @@
         Member,
         State,
         Worker, //
-    },
+    }, //
 };
 pub(crate) use quickcheck::quickcheck;
 pub(crate) use rand::{
--- a/tests/proofs.rs
+++ b/tests/proofs.rs
@@ -66,7 +66,7 @@
     time::{
         sleep,
         timeout, //
-    },
+    }, //
 };
 
 /// The longest time until an answer, far below the jobs' deadline of 30 s.
--- a/tests/proofs/restart.rs
+++ b/tests/proofs/restart.rs
@@ -6,7 +6,8 @@
         AtomicUsize,
         Ordering, //
     },
-    Arc, Mutex,
+    Arc,
+    Mutex, //
 };
 
 use super::*;
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -35,15 +35,15 @@
                 Input,
                 Output,
                 Peer,
-                Report, //
-                Return,
+                Report,
+                Return, //
             },
             message::{
                 Command,
-                Completion, //
+                Completion,
                 IncomingCall,
-                Request,
-            },
+                Request, //
+            }, //
         },
         prelude::*,
         record::{
@@ -61,7 +61,7 @@
             State,
             Verdict,
             Worker, //
-        },
+        }, //
     };
 
     pub(crate) use crate::{
@@ -86,7 +86,7 @@
         },
         rules::refusal_faults,
         sample,
-        table::Table,
+        table::Table, //
     };
 }
 
--- a/tests/records/orders.rs
+++ b/tests/records/orders.rs
@@ -8,7 +8,7 @@
     message::{
         Command,
         Completion, //
-    },
+    }, //
 };
 
 const INSTANCES: usize = 5;
--- a/tests/roster.rs
+++ b/tests/roster.rs
@@ -10,7 +10,7 @@
         roster::Cache,
         task::Resources, //
     },
-    prelude::*,
+    prelude::*, //
 };
 
 fn at(ms: u64) -> Time {
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -28,7 +28,7 @@
         Arc,
         Mutex, //
     },
-    time::Duration,
+    time::Duration, //
 };
 
 use fleet::{
--- a/tests/standin.rs
+++ b/tests/standin.rs
@@ -20,7 +20,7 @@
         Scan,
         Verdicts,
         Write, //
-    },
+    }, //
 };
 use support::{
     client::{
@@ -41,7 +41,7 @@
         self,
         Worker, //
     },
-    Result,
+    Result, //
 };
 
 /// Returns a commit that inserts rows that don't exist, each in a group of its own.
--- a/tests/support/instance.rs
+++ b/tests/support/instance.rs
@@ -9,7 +9,7 @@
     process::{
         ExitStatus,
         Stdio, //
-    },
+    }, //
 };
 
 use nix::{
@@ -17,7 +17,7 @@
         kill,
         Signal, //
     },
-    unistd::Pid,
+    unistd::Pid, //
 };
 use poplarknot::table::wire::{
     Member,
@@ -31,7 +31,7 @@
     process::{
         Child,
         Command, //
-    },
+    }, //
 };
 
 use super::{
--- a/tests/support/platform.rs
+++ b/tests/support/platform.rs
@@ -11,7 +11,7 @@
     time::{
         Duration,
         Instant, //
-    },
+    }, //
 };
 
 use bytes::Bytes;
@@ -28,7 +28,7 @@
         Verdict,
         Verdicts,
         Worker, //
-    },
+    }, //
 };
 use serde::{
     Deserialize,
@@ -44,7 +44,7 @@
         Response,
         Server, //
     },
-    Result,
+    Result, //
 };
 
 /// Row limit of a scan whose request names none.
--- a/tests/support/proxy.rs
+++ b/tests/support/proxy.rs
@@ -10,7 +10,7 @@
         Arc,
         Mutex, //
     },
-    time::Duration,
+    time::Duration, //
 };
 
 use bytes::{
@@ -30,7 +30,7 @@
         TcpStream, //
     },
     sync::mpsc,
-    time::Instant,
+    time::Instant, //
 };
 
 use super::{
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -11,7 +11,7 @@
     sync::{
         Arc,
         Mutex, //
-    },
+    }, //
 };
 
 use bytes::Bytes;
@@ -40,7 +40,7 @@
     task::{
         JoinHandle,
         JoinSet, //
-    },
+    }, //
 };
 
 /// A reserved port. While nothing listens on it, it refuses connections, and the system assigns it to no other test.
--- a/tests/support/worker.rs
+++ b/tests/support/worker.rs
@@ -11,7 +11,7 @@
     time::{
         Duration,
         Instant, //
-    },
+    }, //
 };
 
 use hyper::Method;
@@ -26,7 +26,7 @@
     table::wire::{
         State as Listed,
         Worker as Entry, //
-    },
+    }, //
 };
 use serde::{
     Deserialize,
@@ -42,7 +42,7 @@
         Notify,
         Semaphore, //
     },
-    task::JoinSet,
+    task::JoinSet, //
 };
 
 use super::{
@@ -53,7 +53,7 @@
         Response,
         Server, //
     },
-    Result,
+    Result, //
 };
 
 /// The payload of a task: what it does.
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -23,7 +23,7 @@
         Command,
         Output,
         Stdio, //
-    },
+    }, //
 };
 
 /// Runs `poplarknot trace` with `input` as standard input.
--- a/tests/trace/files.rs
+++ b/tests/trace/files.rs
@@ -10,9 +10,9 @@
 
 use super::{
     events,
-    run_trace, //
+    run_trace,
     stderr,
-    stdout,
+    stdout, //
 };
 
 const JOB: &str = "7239831d1d124ecb";
--- a/tests/trace/incidents.rs
+++ b/tests/trace/incidents.rs
@@ -21,7 +21,7 @@
     support::{
         wait_until,
         Result, //
-    },
+    }, //
 };
 
 /// The duration of tasks.
--- a/tests/trace/runs.rs
+++ b/tests/trace/runs.rs
@@ -11,9 +11,9 @@
         self,
         Incident, //
     },
-    run_trace, //
+    run_trace,
     stderr,
-    stdout,
+    stdout, //
 };
 use crate::support::Result;
 
