--- a/examples/failures.rs
+++ b/examples/failures.rs
@@ -56,11 +56,11 @@
     let program = std::env::current_exe()?;
     write_logs_and_trace(
         &folder.join("lost-instance"),
-        &incidents::lost_instance(&program).await?,
+        &incidents::lose_instance(&program).await?,
     )?;
     write_logs_and_trace(
         &folder.join("lost-endpoint"),
-        &incidents::lost_endpoint(&program).await?,
+        &incidents::lose_endpoint(&program).await?,
     )?;
     write_logs_and_trace(
         &folder.join("overload"),
@@ -68,7 +68,7 @@
     )?;
     write_logs_and_trace(
         &folder.join("lost-store"),
-        &incidents::lost_store(&program).await?,
+        &incidents::lose_store(&program).await?,
     )
 }
 
--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -287,7 +287,7 @@
     fn start_call(&mut self, purpose: Purpose, to: Instance, call: Call) -> Option<u64> {
         let ticket = self.open_ticket(purpose)?;
         match call {
-            Call::Announce(_) => self.stats.announces += 1,
+            Call::Announce(_) => self.stats.announcements += 1,
             Call::Fetch { .. } => self.stats.fetches += 1,
             Call::Snapshot { .. } => self.stats.snapshots += 1,
         }
--- a/src/core/config/stats.rs
+++ b/src/core/config/stats.rs
@@ -14,7 +14,7 @@
     /// Writes in those transactions.
     pub writes: u64,
     /// Announcements to peers.
-    pub announces: u64,
+    pub announcements: u64,
     /// Fetches of changes from peers.
     pub fetches: u64,
     /// Pages of snapshots requested from peers.
--- a/tests/records/edits.rs
+++ b/tests/records/edits.rs
@@ -314,7 +314,7 @@
                 sum.0 + count.commits,
                 sum.1 + count.writes,
                 sum.2 + count.reads - count.polls + count.scans,
-                sum.3 + count.announces + count.fetches,
+                sum.3 + count.announcements + count.fetches,
             )
         })
     };
--- a/tests/trace/incidents.rs
+++ b/tests/trace/incidents.rs
@@ -95,7 +95,7 @@
 
 /// Kills the instance that accepted a job while the tasks run on endpoints that other instances own. The caller's
 /// connection breaks; the other instances stop the tasks and answer the caller's retry.
-pub(crate) async fn lost_instance(program: &Path) -> Result<Incident> {
+pub(crate) async fn lose_instance(program: &Path) -> Result<Incident> {
     let fleet = start_warm(program, 3, 4, UNFINISHED_TASK_DURATION).await?;
     let id = 0xa01;
     let (first, second) = tokio::join!(fleet.instances[0].submit(id, 2, 900), async {
@@ -118,7 +118,7 @@
 }
 
 /// Stops the only endpoint while it runs a job's tasks, so that they can't be run before the deadline.
-pub(crate) async fn lost_endpoint(program: &Path) -> Result<Incident> {
+pub(crate) async fn lose_endpoint(program: &Path) -> Result<Incident> {
     let mut fleet = start_warm(program, 1, 1, UNFINISHED_TASK_DURATION).await?;
     let id = 0xa02;
     let endpoint = fleet.endpoints.pop();
@@ -146,7 +146,7 @@
 
 /// Submits two jobs of one shard that must be stored. The store answers the first, and no call for the second: whether that
 /// one was stored is unknown when its deadline passes.
-pub(crate) async fn lost_store(program: &Path) -> Result<Incident> {
+pub(crate) async fn lose_store(program: &Path) -> Result<Incident> {
     let fleet = start_warm(program, 2, 2, TASK_DURATION).await?;
     let id = 0xc01;
     let earlier = (1..).find(|n| JobId(*n).shard() == JobId(id).shard());
--- a/tests/trace/runs.rs
+++ b/tests/trace/runs.rs
@@ -55,7 +55,7 @@
 /// and answered the caller's retry.
 #[tokio::test(flavor = "multi_thread")]
 async fn logs_of_peers_show_a_lost_instance() -> Result {
-    let incident = incidents::lost_instance(program()).await?;
+    let incident = incidents::lose_instance(program()).await?;
     assert_eq!(
         incident.response,
         "a broken connection, and 200 on the retry"
@@ -81,7 +81,7 @@
 /// The only endpoint dies while it runs the job's tasks: the owner's log must show why the job wasn't done in time.
 #[tokio::test(flavor = "multi_thread")]
 async fn log_of_the_owner_shows_a_lost_endpoint() -> Result {
-    let incident = incidents::lost_endpoint(program()).await?;
+    let incident = incidents::lose_endpoint(program()).await?;
     assert_eq!(incident.response, "504");
     let expected = [
         "job_accepted",
@@ -110,7 +110,7 @@
 /// The store stops answering while the job is stored: the log must show this as the cause of the timeout.
 #[tokio::test(flavor = "multi_thread")]
 async fn log_shows_a_lost_store_as_the_cause() -> Result {
-    let incident = incidents::lost_store(program()).await?;
+    let incident = incidents::lose_store(program()).await?;
     assert_eq!(incident.response, "504");
     assert_events_in_order(
         &trace_incident(&incident),
