--- a/examples/measure/role.rs
+++ b/examples/measure/role.rs
@@ -33,7 +33,7 @@
         ChildStdin,
         ChildStdout,
         Command, //
-    },
+    }, //
 };
 
 use crate::{
@@ -50,7 +50,7 @@
         },
         Result,
         WAIT_TIMEOUT, //
-    },
+    }, //
 };
 
 /// A request to a stand-in; workers are given by their indices within the process.
@@ -190,7 +190,7 @@
         self.read_reply().await
     }
 
-    /// Reads a line from the stand-in, and parses it; gives up after [`PATIENCE`].
+    /// Reads a line from the stand-in, and parses it; gives up after [`WAIT_TIMEOUT`].
     async fn read_reply<T: DeserializeOwned>(&mut self) -> Result<T> {
         let mut line = String::new();
         tokio::time::timeout(WAIT_TIMEOUT, self.replies.read_line(&mut line)).await??;
